--- a/answer.c
+++ b/answer.c
@@ -6,7 +6,7 @@
 
 double answer_share(const struct question *q, double weight)
 {
-	return q->total > 0 ? weight / q->total : 0;
+	return q->total_weight > 0 ? weight / q->total_weight : 0;
 }
 
 static void add_missing(const struct question *q, struct buf *out)
@@ -14,19 +14,20 @@
 	bool first = true;
 
 	buf_str_add(out, STR(",\"missing\":["));
-	for (size_t i = 0; i < q->nleafs; i++) {
-		const struct leaf *leaf = &q->leafs[i];
+	for (size_t i = 0; i < q->nleaves; i++) {
+		const struct leaf *leaf = &q->leaves[i];
 
 		if (leaf->state == LEAF_MERGED)
 			continue;
 		buf_printf(out, "%s{\"shard\":%u,\"index\":", first ? "" : ",",
 			   leaf->shard->id);
 		buf_json_add(out, leaf->shard->index);
-		buf_printf(out, ",\"kind\":\"%s\"}",
-			   error_info(leaf->state == LEAF_OPEN && !leaf->why
-					      ? ERR_DEADLINE
-					      : leaf->why)
-				   ->kind);
+		buf_printf(
+			out, ",\"kind\":\"%s\"}",
+			error_info(leaf->state == LEAF_OPEN && !leaf->error_code
+					   ? ERR_DEADLINE
+					   : leaf->error_code)
+				->kind);
 		first = false;
 	}
 	buf_add(out, "]", 1);
@@ -37,10 +38,10 @@
 	bool first = true;
 
 	buf_str_add(out, STR(",\"rows\":["));
-	for (size_t i = 0; i < q->nleafs; i++) {
-		struct str rows = q->leafs[i].rows;
+	for (size_t i = 0; i < q->nleaves; i++) {
+		struct str rows = q->leaves[i].rows;
 
-		if (q->leafs[i].state != LEAF_MERGED || rows.len <= 2)
+		if (q->leaves[i].state != LEAF_MERGED || rows.len <= 2)
 			continue;
 		if (!first)
 			buf_add(out, ",", 1);
@@ -52,8 +53,8 @@
 
 static bool is_complete(const struct question *q)
 {
-	for (size_t i = 0; i < q->nleafs; i++)
-		if (q->leafs[i].state != LEAF_MERGED)
+	for (size_t i = 0; i < q->nleaves; i++)
+		if (q->leaves[i].state != LEAF_MERGED)
 			return false;
 	return true;
 }
@@ -63,10 +64,10 @@
 	struct buf out = { 0 };
 	bool complete = is_complete(q);
 	/* Rounded down: a partial answer never reads as a complete one. */
-	double covered =
-		complete ? 1
-			 : floor(answer_share(q, q->covered) * SHARE_STEPS) /
-				   SHARE_STEPS;
+	double covered = complete ? 1
+				  : floor(answer_share(q, q->merged_weight) *
+					  SHARE_STEPS) /
+					    SHARE_STEPS;
 	int status = covered > 0 ? 200 : 504;
 
 	if (node->opt.off.no_coverage_merge)
--- a/conf.c
+++ b/conf.c
@@ -255,7 +255,7 @@
 	if (taken)
 		node_view_changed(node);
 	if (taken && kind == DOC_FLEET)
-		replica_forget(node);
+		replica_remove_unlisted(node);
 	member_caught_up(node);
 }
 
--- a/front.c
+++ b/front.c
@@ -14,15 +14,15 @@
 #include "xmalloc.h"
 
 enum {
-	REROUTES_MAX = 4,
-	REROUTE_US = 20000,
-	REROUTE_FACTOR = 3,
+	DELAYED_RETRIES_MAX = 4,
+	RETRY_DELAY_US = 20000,
+	RETRY_BACKOFF_FACTOR = 3,
 	/* A leaf that waits for the trial of its question looks again. */
-	HOLD_US = 10000,
+	DEFER_US = 10000,
 	BUDGET_MAX = 256,
-	BUDGET_START = 32,
-	HEDGED_ATTEMPTS = 3,
-	ANSWER_MAX = 8 * 1024 * 1024,
+	BUDGET_INITIAL = 32,
+	HEDGE_MAX_ATTEMPTS = 3,
+	ANSWER_MAX_BYTES = 8 * 1024 * 1024,
 };
 
 #define HEDGE_QUANTILE 0.97
@@ -36,10 +36,10 @@
 	apr_pool_create(&front->pool, node->pool);
 	front->questions = hash_make(front->pool);
 	front->callers = hash_make(front->pool);
-	front->targets = hash_make(front->pool);
+	front->replicas = hash_make(front->pool);
 	front->latency = xcalloc(1, sizeof(*front->latency));
 	front->limit = node->opt.max_open;
-	front->budget = BUDGET_START;
+	front->budget = BUDGET_INITIAL;
 	front->config.hedge = true;
 	front->config.admission = true;
 	front->config.hedge_quantile = HEDGE_QUANTILE;
@@ -61,7 +61,7 @@
 		fleet_unref(q->fleet);
 		apr_pool_destroy(q->pool);
 	}
-	for (it = apr_hash_first(front->pool, front->targets); it;
+	for (it = apr_hash_first(front->pool, front->replicas); it;
 	     it = apr_hash_next(it)) {
 		apr_hash_this(it, NULL, NULL, &value);
 		free(value);
@@ -87,8 +87,8 @@
 	struct msg msg = {
 		.kind = MSG_CANCEL,
 		.id = q->id,
-		.attempt = q->base +
-			   (uint32_t)(leaf - q->leafs) * LEAF_ATTEMPTS + i,
+		.attempt = q->attempt_base +
+			   (uint32_t)(leaf - q->leaves) * LEAF_MAX_ATTEMPTS + i,
 	};
 
 	if (gate && gate->incarnation == attempt->incarnation)
@@ -103,7 +103,8 @@
 	replica_get(node, attempt->target->key)->outstanding--;
 }
 
-void front_close_all(struct node *node, struct question *q, struct leaf *leaf)
+void front_cancel_attempts(struct node *node, struct question *q,
+			   struct leaf *leaf)
 {
 	for (uint32_t i = 0; i < leaf->nattempts; i++) {
 		if (!leaf->attempts[i].open)
@@ -120,20 +121,20 @@
 	struct replica *replica = replica_get(node, target->key);
 	struct vm *gate = replica_gate(node, replica, target);
 
-	if (!gate || leaf->nattempts == LEAF_ATTEMPTS)
+	if (!gate || leaf->nattempts == LEAF_MAX_ATTEMPTS)
 		return false;
 
 	struct attempt *attempt = &leaf->attempts[leaf->nattempts];
 	struct msg msg = {
 		.kind = MSG_LEAF,
 		.id = q->id,
-		.attempt = q->base +
-			   (uint32_t)(leaf - q->leafs) * LEAF_ATTEMPTS +
+		.attempt = q->attempt_base +
+			   (uint32_t)(leaf - q->leaves) * LEAF_MAX_ATTEMPTS +
 			   leaf->nattempts,
 		.target = target->key,
 		.shard = leaf->shard->id,
 		.version = q->snapshot->version,
-		.remaining_us = q->hard_at - node->now,
+		.remaining_us = q->deadline - node->now,
 		.state = leaf->nattempts > 0,
 		.name = leaf->shard->index,
 		.text = q->ask.terms,
@@ -146,7 +147,7 @@
 		.sent_at = node->now,
 		.open = true,
 		.hedge = hedge,
-		.round = poison_round(&node->front->poison, &q->print),
+		.round = poison_round(&node->front->poison, &q->fingerprint),
 	};
 	leaf->nattempts++;
 	leaf->retry_at = 0;
@@ -157,7 +158,7 @@
 	return true;
 }
 
-static bool take_budget(struct node *node)
+static bool spend_budget(struct node *node)
 {
 	if (node->front->budget < 1)
 		return false;
@@ -177,14 +178,14 @@
 
 /* Outcome of a leaf. */
 
-static bool floor_met(const struct question *q)
+static bool floor_reached(const struct question *q)
 {
-	return answer_share(q, q->covered) >= q->plan.floor - EPSILON;
+	return answer_share(q, q->merged_weight) >= q->plan.floor - EPSILON;
 }
 
 bool front_is_done(const struct question *q)
 {
-	return !q->open_leafs || (q->soft_passed && floor_met(q));
+	return !q->open_leaves || (q->soft_passed && floor_reached(q));
 }
 
 /*
@@ -194,26 +195,26 @@
 static bool restart(struct node *node, struct question *q)
 {
 	size_t count;
-	double total;
+	double total_weight;
 	const struct snapshot *other;
 
-	if (q->restarted || q->hard_at - node->now < node->now - q->start)
+	if (q->restarted || q->deadline - node->now < node->now - q->start)
 		return false;
 	other = snapshot_choose(node, &q->ask, q->fleet, q->plan.floor,
-				q->snapshot, &count, &total);
-	if (!other || node->front->budget < (double)q->nleafs / 2)
+				q->snapshot, &count, &total_weight);
+	if (!other || node->front->budget < (double)q->nleaves / 2)
 		return false;
-	node->front->budget -= (double)q->nleafs / 2;
+	node->front->budget -= (double)q->nleaves / 2;
 	node->counters[CNT_RESTARTS]++;
-	for (size_t i = 0; i < q->nleafs; i++)
-		front_close_all(node, q, &q->leafs[i]);
+	for (size_t i = 0; i < q->nleaves; i++)
+		front_cancel_attempts(node, q, &q->leaves[i]);
 	q->restarted = true;
-	q->base += (uint32_t)q->nleafs * LEAF_ATTEMPTS;
+	q->attempt_base += (uint32_t)q->nleaves * LEAF_MAX_ATTEMPTS;
 	q->snapshot = other;
-	q->nleafs = count;
-	q->total = total;
-	q->covered = 0;
-	front_start_leafs(node, q);
+	q->nleaves = count;
+	q->total_weight = total_weight;
+	q->merged_weight = 0;
+	front_send_leaves(node, q);
 	return true;
 }
 
@@ -221,50 +222,52 @@
 {
 	double open = 0;
 
-	for (size_t i = 0; i < q->nleafs; i++)
-		if (q->leafs[i].state == LEAF_OPEN)
-			open += q->leafs[i].shard->weight;
-	return answer_share(q, q->covered + open) >= q->plan.floor - EPSILON;
+	for (size_t i = 0; i < q->nleaves; i++)
+		if (q->leaves[i].state == LEAF_OPEN)
+			open += q->leaves[i].shard->weight;
+	return answer_share(q, q->merged_weight + open) >=
+	       q->plan.floor - EPSILON;
 }
 
 /* Return: false when the question has started anew. */
 static bool set_missing(struct node *node, struct question *q,
-			struct leaf *leaf, int why)
+			struct leaf *leaf, int error_code)
 {
 	leaf->state = LEAF_MISSING;
-	leaf->why = why;
-	q->open_leafs--;
+	leaf->error_code = error_code;
+	q->open_leaves--;
 	node->counters[CNT_LEAF_MISSING]++;
-	if (why == ERR_WRONG_VERSION && !can_reach_floor(q))
+	if (error_code == ERR_WRONG_VERSION && !can_reach_floor(q))
 		return !restart(node, q);
 	return true;
 }
 
 /* Until a target has answered it, or it is blocked. */
-static void hold(struct node *node, const struct question *q, struct leaf *leaf)
+static void defer_leaf(struct node *node, const struct question *q,
+		       struct leaf *leaf)
 {
-	leaf->retry_at = node->now + HOLD_US;
+	leaf->retry_at = node->now + DEFER_US;
 	timer_add(&node->timers, leaf->retry_at, TIMER_QUESTION, q->id);
 }
 
 /* Ends what must not be sent any more; its missing shards say why. */
 static bool stop_if_blocked(struct node *node, struct question *q)
 {
-	if (!front_blocked(node, q))
+	if (!front_question_blocked(node, q))
 		return false;
-	for (size_t i = 0; i < q->nleafs; i++) {
-		struct leaf *leaf = &q->leafs[i];
+	for (size_t i = 0; i < q->nleaves; i++) {
+		struct leaf *leaf = &q->leaves[i];
 
 		if (leaf->state != LEAF_OPEN)
 			continue;
-		front_close_all(node, q, leaf);
+		front_cancel_attempts(node, q, leaf);
 		set_missing(node, q, leaf, ERR_BLOCKED);
 	}
 	front_finish(node, q, 0);
 	return true;
 }
 
-static bool any_open(const struct leaf *leaf)
+static bool has_open_attempt(const struct leaf *leaf)
 {
 	for (uint32_t i = 0; i < leaf->nattempts; i++)
 		if (leaf->attempts[i].open)
@@ -277,15 +280,16 @@
  * leaf waits and asks again, each time longer, for as long as its question
  * has time: what is given up early is lost coverage.
  */
-static bool retry_later(struct node *node, struct question *q,
-			struct leaf *leaf, int why)
+static bool schedule_retry(struct node *node, struct question *q,
+			   struct leaf *leaf, int error_code)
 {
-	int64_t wait = REROUTE_US;
+	int64_t wait = RETRY_DELAY_US;
 
-	for (int i = 0; i < leaf->reroutes; i++)
-		wait *= REROUTE_FACTOR;
-	if (++leaf->reroutes > REROUTES_MAX || node->now + wait >= q->hard_at)
-		return set_missing(node, q, leaf, why);
+	for (int i = 0; i < leaf->delayed_retries; i++)
+		wait *= RETRY_BACKOFF_FACTOR;
+	if (++leaf->delayed_retries > DELAYED_RETRIES_MAX ||
+	    node->now + wait >= q->deadline)
+		return set_missing(node, q, leaf, error_code);
 	leaf->retry_at = node->now + wait;
 	timer_add(&node->timers, leaf->retry_at, TIMER_QUESTION, q->id);
 	return true;
@@ -296,64 +300,64 @@
  * never reached a target is sent elsewhere for free; the rest costs budget.
  */
 static bool fail_over(struct node *node, struct question *q, struct leaf *leaf,
-		      int why, bool ran)
+		      int error_code, bool ran)
 {
 	struct fleet_target *target;
 
-	leaf->why = why;
-	if (any_open(leaf) || leaf->retry_at)
+	leaf->error_code = error_code;
+	if (has_open_attempt(leaf) || leaf->retry_at)
 		return true;
-	if (front_suspect(node, q)) {
-		hold(node, q, leaf);
+	if (front_question_suspect(node, q)) {
+		defer_leaf(node, q, leaf);
 		return true;
 	}
-	if (leaf->nattempts == LEAF_ATTEMPTS ||
+	if (leaf->nattempts == LEAF_MAX_ATTEMPTS ||
 	    !replica_choose(node, q, leaf, false))
-		return set_missing(node, q, leaf, why);
-	if (ran && !take_budget(node))
-		return set_missing(node, q, leaf, why);
+		return set_missing(node, q, leaf, error_code);
+	if (ran && !spend_budget(node))
+		return set_missing(node, q, leaf, error_code);
 	node->counters[ran ? CNT_RETRIES : CNT_REROUTES]++;
 	target = replica_choose(node, q, leaf, true);
 	if (!target)
-		return retry_later(node, q, leaf, why);
+		return schedule_retry(node, q, leaf, error_code);
 	if (!send_attempt(node, q, leaf, target, false))
 		return set_missing(node, q, leaf, ERR_GATE_LOST);
 	return true;
 }
 
-void front_start_leafs(struct node *node, struct question *q)
+void front_send_leaves(struct node *node, struct question *q)
 {
 	size_t n = 0;
 
-	q->leafs = apr_pcalloc(q->pool, q->nleafs * sizeof(struct leaf));
+	q->leaves = apr_pcalloc(q->pool, q->nleaves * sizeof(struct leaf));
 	for (size_t i = 0; i < q->ask.nindexes; i++) {
 		size_t count;
 		const struct shard *shards =
 			snapshot_range(q->snapshot, q->ask.indexes[i], &count);
 
 		for (size_t j = 0; j < count; j++)
-			if (snapshot_wants(&q->ask, shards[j].id))
-				q->leafs[n++].shard = &shards[j];
+			if (snapshot_selects(&q->ask, shards[j].id))
+				q->leaves[n++].shard = &shards[j];
 	}
-	q->open_leafs = q->nleafs;
-	for (size_t i = 0; i < q->nleafs; i++) {
-		struct leaf *leaf = &q->leafs[i];
+	q->open_leaves = q->nleaves;
+	for (size_t i = 0; i < q->nleaves; i++) {
+		struct leaf *leaf = &q->leaves[i];
 		struct fleet_target *target =
 			replica_choose(node, q, leaf, true);
 
 		if (target && !front_may_send(node, q)) {
-			hold(node, q, leaf);
+			defer_leaf(node, q, leaf);
 			continue;
 		}
 		if (!target) {
 			leaf->state = LEAF_MISSING;
-			leaf->why = ERR_NO_REPLICA;
-			q->open_leafs--;
+			leaf->error_code = ERR_NO_REPLICA;
+			q->open_leaves--;
 			node->counters[CNT_LEAF_MISSING]++;
 		} else if (!send_attempt(node, q, leaf, target, false)) {
 			leaf->state = LEAF_MISSING;
-			leaf->why = ERR_GATE_LOST;
-			q->open_leafs--;
+			leaf->error_code = ERR_GATE_LOST;
+			q->open_leaves--;
 			node->counters[CNT_LEAF_MISSING]++;
 		}
 	}
@@ -372,17 +376,17 @@
 				    uint64_t incarnation, const struct msg *msg,
 				    struct leaf **leaf_out)
 {
-	if (msg->attempt < q->base)
+	if (msg->attempt < q->attempt_base)
 		return NULL;
 
-	uint32_t number = msg->attempt - q->base;
-	size_t at = number / LEAF_ATTEMPTS;
+	uint32_t number = msg->attempt - q->attempt_base;
+	size_t at = number / LEAF_MAX_ATTEMPTS;
 
-	if (at >= q->nleafs)
+	if (at >= q->nleaves)
 		return NULL;
 
-	struct leaf *leaf = &q->leafs[at];
-	uint32_t i = number % LEAF_ATTEMPTS;
+	struct leaf *leaf = &q->leaves[at];
+	uint32_t i = number % LEAF_MAX_ATTEMPTS;
 
 	if (i >= leaf->nattempts || leaf->shard->id != msg->shard)
 		return NULL;
@@ -397,9 +401,10 @@
 }
 
 /* With the matching turned off (tests): any question with that shard. */
-static struct attempt *find_loosely(struct node *node, const struct msg *msg,
-				    struct question **q_out,
-				    struct leaf **leaf_out)
+static struct attempt *find_attempt_by_shard(struct node *node,
+					     const struct msg *msg,
+					     struct question **q_out,
+					     struct leaf **leaf_out)
 {
 	for (apr_hash_index_t *it =
 		     apr_hash_first(NULL, node->front->questions);
@@ -410,8 +415,8 @@
 
 		struct question *q = value;
 
-		for (size_t i = 0; i < q->nleafs; i++) {
-			struct leaf *leaf = &q->leafs[i];
+		for (size_t i = 0; i < q->nleaves; i++) {
+			struct leaf *leaf = &q->leaves[i];
 
 			if (leaf->shard->id != msg->shard || !leaf->nattempts)
 				continue;
@@ -423,19 +428,19 @@
 	return NULL;
 }
 
-static void merge(struct node *node, struct question *q, struct leaf *leaf,
-		  const struct attempt *attempt, const struct msg *msg)
+static void merge_leaf(struct node *node, struct question *q, struct leaf *leaf,
+		       const struct attempt *attempt, const struct msg *msg)
 {
 	leaf->rows = str_dup(q->pool, msg->body);
-	q->bytes += msg->body.len;
+	q->merged_bytes += msg->body.len;
 	leaf->state = LEAF_MERGED;
-	q->open_leafs--;
-	q->covered += leaf->shard->weight;
+	q->open_leaves--;
+	q->merged_weight += leaf->shard->weight;
 	node->counters[CNT_LEAF_MERGED]++;
 	if (attempt->hedge)
 		node->counters[CNT_HEDGES_WON]++;
 	earn_budget(node, q->plan.extra_load);
-	front_close_all(node, q, leaf);
+	front_cancel_attempts(node, q, leaf);
 }
 
 void front_reply(struct node *node, struct str from, uint64_t incarnation,
@@ -448,10 +453,10 @@
 	struct attempt *attempt = NULL;
 	int status = msg->status;
 
-	if (q && !q->waiting)
+	if (q && !q->awaiting_lease)
 		attempt = find_attempt(q, from, incarnation, msg, &leaf);
 	if (node->opt.off.no_attempt_match)
-		attempt = find_loosely(node, msg, &q, &leaf);
+		attempt = find_attempt_by_shard(node, msg, &q, &leaf);
 	if (!attempt || leaf->state != LEAF_OPEN) {
 		node->counters[CNT_LEAF_LATE]++;
 		return;
@@ -461,24 +466,24 @@
 		status = ERR_WRONG_VERSION;
 	if (!status && (msg->body.len < 2 || msg->body.ptr[0] != '['))
 		status = ERR_MALFORMED;
-	if (!status && q->bytes + msg->body.len > ANSWER_MAX)
+	if (!status && q->merged_bytes + msg->body.len > ANSWER_MAX_BYTES)
 		status = ERR_TOO_LARGE;
 	close_attempt(node, attempt);
-	if (msg->wait_us > q->worst_wait)
-		q->worst_wait = msg->wait_us;
+	if (msg->wait_us > q->max_queue_wait)
+		q->max_queue_wait = msg->wait_us;
 	if (!status) {
-		replica_answered(node, attempt);
+		replica_record_reply(node, attempt);
 		front_target_served(node, q, attempt, msg);
-		merge(node, q, leaf, attempt, msg);
+		merge_leaf(node, q, leaf, attempt, msg);
 	} else if (status == ERR_TOO_LARGE) {
-		front_close_all(node, q, leaf);
+		front_cancel_attempts(node, q, leaf);
 		set_missing(node, q, leaf, status);
 	} else {
 		if (status == ERR_QUEUE_FULL)
-			q->worst_wait = q->plan.soft_us;
-		replica_failed(node, q, attempt, status);
+			q->max_queue_wait = q->plan.soft_us;
+		replica_record_failure(node, q, attempt, status);
 		if (status == ERR_BROKEN)
-			front_target_broke(node, q, attempt, msg);
+			front_connection_broke(node, q, attempt, msg);
 		if (stop_if_blocked(node, q))
 			return;
 		fail_over(node, q, leaf, status, msg->ran);
@@ -489,16 +494,16 @@
 
 /* Timers. */
 
-static void retry_due(struct node *node, struct question *q)
+static void send_due_retries(struct node *node, struct question *q)
 {
-	for (size_t i = 0; i < q->nleafs; i++) {
-		struct leaf *leaf = &q->leafs[i];
+	for (size_t i = 0; i < q->nleaves; i++) {
+		struct leaf *leaf = &q->leaves[i];
 
 		if (leaf->state != LEAF_OPEN || !leaf->retry_at ||
 		    node->now < leaf->retry_at)
 			continue;
 		if (!front_may_send(node, q)) {
-			hold(node, q, leaf);
+			defer_leaf(node, q, leaf);
 			continue;
 		}
 		leaf->retry_at = 0;
@@ -508,7 +513,7 @@
 
 		if (target && send_attempt(node, q, leaf, target, false))
 			continue;
-		if (!set_missing(node, q, leaf, leaf->why))
+		if (!set_missing(node, q, leaf, leaf->error_code))
 			return;
 	}
 }
@@ -518,15 +523,15 @@
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
 
-	if (!q || q->waiting)
+	if (!q || q->awaiting_lease)
 		return;
 	if (stop_if_blocked(node, q))
 		return;
-	if (node->now >= q->soft_at)
+	if (node->now >= q->soft_deadline)
 		q->soft_passed = true;
-	if (node->now < q->hard_at)
-		retry_due(node, q);
-	if (node->now >= q->hard_at || front_is_done(q))
+	if (node->now < q->deadline)
+		send_due_retries(node, q);
+	if (node->now >= q->deadline || front_is_done(q))
 		front_finish(node, q, 0);
 }
 
@@ -535,13 +540,13 @@
 		       int64_t delay)
 {
 	if (leaf->state != LEAF_OPEN || !leaf->nattempts ||
-	    front_suspect(node, q))
+	    front_question_suspect(node, q))
 		return true;
 
 	const struct attempt *last = &leaf->attempts[leaf->nattempts - 1];
 
 	if (!last->open || node->now - last->sent_at < delay ||
-	    leaf->nattempts == HEDGED_ATTEMPTS)
+	    leaf->nattempts == HEDGE_MAX_ATTEMPTS)
 		return true;
 
 	/* A hedge can straggle too; the next may go to a replica once more. */
@@ -550,7 +555,7 @@
 
 	if (!target)
 		return true;
-	if (!take_budget(node)) {
+	if (!spend_budget(node)) {
 		node->counters[CNT_HEDGES_DENIED]++;
 		return false;
 	}
@@ -567,10 +572,10 @@
 		apr_hash_get(node->front->questions, &id, sizeof(id));
 	int64_t delay = front_hedge_delay(node);
 
-	if (!q || q->waiting)
+	if (!q || q->awaiting_lease)
 		return;
-	for (size_t i = 0; i < q->nleafs; i++)
-		if (!hedge_leaf(node, q, &q->leafs[i], delay))
+	for (size_t i = 0; i < q->nleaves; i++)
+		if (!hedge_leaf(node, q, &q->leaves[i], delay))
 			break;
 	timer_add(&node->timers, node->now + delay / 2 + FRONT_HEDGE_MIN_US,
 		  TIMER_HEDGE, id);
@@ -579,8 +584,8 @@
 static void question_gate_lost(struct node *node, struct question *q,
 			       uint64_t gate, uint64_t incarnation)
 {
-	for (size_t i = 0; i < q->nleafs; i++) {
-		struct leaf *leaf = &q->leafs[i];
+	for (size_t i = 0; i < q->nleaves; i++) {
+		struct leaf *leaf = &q->leaves[i];
 
 		for (uint32_t j = 0; j < leaf->nattempts; j++) {
 			struct attempt *attempt = &leaf->attempts[j];
@@ -616,7 +621,7 @@
 
 		struct question *q = value;
 
-		if (q->waiting)
+		if (q->awaiting_lease)
 			continue;
 		question_gate_lost(node, q, gate, incarnation);
 		if (front_is_done(q))
--- a/front.h
+++ b/front.h
@@ -14,7 +14,7 @@
  */
 
 enum {
-	LEAF_ATTEMPTS = 6,
+	LEAF_MAX_ATTEMPTS = 6,
 };
 
 /**
@@ -43,20 +43,20 @@
 
 /**
  * struct leaf - one shard of one question
- * @why: last failure, reported when the shard is missing
+ * @error_code: last failure, reported when the shard is missing
  * @rows: merged rows, a JSON array
  * @retry_at: waits until then to be sent again, 0 when it does not
- * @reroutes: attempts that never reached a target
+ * @delayed_retries: attempts that never reached a target
  */
 struct leaf {
 	const struct shard *shard;
 	enum leaf_state state;
-	int why;
-	struct attempt attempts[LEAF_ATTEMPTS];
+	int error_code;
+	struct attempt attempts[LEAF_MAX_ATTEMPTS];
 	uint32_t nattempts;
 	struct str rows;
 	int64_t retry_at;
-	int reroutes;
+	int delayed_retries;
 };
 
 /**
@@ -64,16 +64,18 @@
  * @pool: owns all of it; destroyed with the answer
  * @fleet, @snapshot: pinned for its whole life
  * @plan: copy of the plan's figures at admission
- * @waiting: for a lease of the customer's plan
- * @soft_at, @hard_at: answer from, answer by; microseconds
- * @covered, @total: weight merged, weight of the map for this question
- * @open_leafs: leafs in state LEAF_OPEN
- * @base: attempt numbers of this run start here (restart on a new snapshot)
- * @worst_wait: longest time in a gate's queue
- * @print: tells whether it has come before
+ * @awaiting_lease: for a lease of the customer's plan
+ * @soft_deadline, @deadline: answer from, answer by; microseconds
+ * @merged_weight, @total_weight: weight merged, weight of the map for this
+ * question
+ * @open_leaves: leafs in state LEAF_OPEN
+ * @attempt_base: attempt numbers of this run start here (restart on a new
+ * snapshot)
+ * @max_queue_wait: longest time in a gate's queue
+ * @fingerprint: tells whether it has come before
  * @served: some target has answered a leaf request of it
- * @bytes: rows merged so far; bounded, so that one question cannot take the
- *         memory of all
+ * @merged_bytes: rows merged so far; bounded, so that one question cannot take
+ * the memory of all
  */
 struct question {
 	apr_pool_t *pool;
@@ -81,24 +83,24 @@
 	uint64_t caller;
 	struct ask ask;
 	struct plan plan;
-	bool waiting;
+	bool awaiting_lease;
 	struct fleet *fleet;
 	const struct snapshot *snapshot;
-	struct leaf *leafs;
-	size_t nleafs;
-	size_t open_leafs;
+	struct leaf *leaves;
+	size_t nleaves;
+	size_t open_leaves;
 	int64_t start;
-	int64_t soft_at;
-	int64_t hard_at;
-	double covered;
-	double total;
-	uint32_t base;
+	int64_t soft_deadline;
+	int64_t deadline;
+	double merged_weight;
+	double total_weight;
+	uint32_t attempt_base;
 	bool restarted;
 	bool soft_passed;
-	int64_t worst_wait;
-	struct fingerprint print;
+	int64_t max_queue_wait;
+	struct fingerprint fingerprint;
 	bool served;
-	size_t bytes;
+	size_t merged_bytes;
 	uint32_t sent;
 	uint32_t hedges;
 };
@@ -116,12 +118,12 @@
 	struct front_config config;
 	apr_hash_t *questions; /* id -> struct question */
 	apr_hash_t *callers; /* caller -> struct question */
-	apr_hash_t *targets; /* key -> struct replica */
+	apr_hash_t *replicas; /* key -> struct replica */
 	struct poison poison;
 	struct poison_news news;
 	size_t open;
 	double limit; /* questions open at a time, steered */
-	int64_t limit_at; /* last time that it was lowered */
+	int64_t limit_lowered_at; /* last time that it was lowered */
 	double budget; /* extra leaf requests in hand */
 	struct latency *latency; /* of leaf requests */
 	struct latency *ratio; /* the same over what the target usually
@@ -149,7 +151,8 @@
 };
 
 bool front_is_done(const struct question *q);
-void front_start_leafs(struct node *node, struct question *q);
-void front_close_all(struct node *node, struct question *q, struct leaf *leaf);
+void front_send_leaves(struct node *node, struct question *q);
+void front_cancel_attempts(struct node *node, struct question *q,
+			   struct leaf *leaf);
 void front_finish(struct node *node, struct question *q, int code);
 int64_t front_hedge_delay(const struct node *node);
--- a/front_admit.c
+++ b/front_admit.c
@@ -11,15 +11,15 @@
 #include "xmalloc.h"
 
 enum {
-	HEDGE_FIRST_US = 50000,
+	HEDGE_INITIAL_US = 50000,
 	LIMIT_MIN = 4,
-	LIMIT_EVERY_US = 100000,
-	WAIT_SHARE = 4,
+	LIMIT_CUT_INTERVAL_US = 100000,
+	QUEUE_WAIT_DIVISOR = 4,
 	RETRY_AFTER_US = 250000,
 	STARTING_RETRY_US = 1000000,
 };
 
-#define LIMIT_CUT 0.9
+#define LIMIT_CUT_FACTOR 0.9
 
 /* Admission. */
 
@@ -51,8 +51,8 @@
 	return 0;
 }
 
-static void refuse(struct node *node, uint64_t caller, int code,
-		   const char *text, int64_t retry_us)
+static void refuse_caller(struct node *node, uint64_t caller, int code,
+			  const char *text, int64_t retry_us)
 {
 	node->counters[CNT_REFUSED]++;
 	if (code == ERR_OVER_PLAN)
@@ -60,7 +60,7 @@
 	node_refuse(node, caller, code, text, retry_us);
 }
 
-static void drop(struct node *node, struct question *q)
+static void question_destroy(struct node *node, struct question *q)
 {
 	struct front *front = node->front;
 
@@ -80,43 +80,44 @@
 		delay = latency_quantile(front->latency,
 					 front->config.hedge_quantile);
 	if (!delay)
-		delay = HEDGE_FIRST_US;
+		delay = HEDGE_INITIAL_US;
 	return delay < FRONT_HEDGE_MIN_US ? FRONT_HEDGE_MIN_US : delay;
 }
 
-static void begin(struct node *node, struct question *q)
+static void question_start(struct node *node, struct question *q)
 {
 	size_t count = 0;
-	double total = 0;
+	double total_weight = 0;
 
-	q->waiting = false;
+	q->awaiting_lease = false;
 	q->fleet = fleet_ref(node->fleet);
 	q->snapshot = snapshot_choose(node, &q->ask, q->fleet, q->plan.floor,
-				      NULL, &count, &total);
+				      NULL, &count, &total_weight);
 	if (!q->snapshot) {
-		refuse(node, q->caller, ERR_NO_SNAPSHOT,
-		       "no snapshot has all of the indexes and shards asked "
-		       "for",
-		       STARTING_RETRY_US);
-		drop(node, q);
+		refuse_caller(
+			node, q->caller, ERR_NO_SNAPSHOT,
+			"no snapshot has all of the indexes and shards asked "
+			"for",
+			STARTING_RETRY_US);
+		question_destroy(node, q);
 		return;
 	}
-	q->nleafs = count;
-	q->total = total;
-	front_start_leafs(node, q);
+	q->nleaves = count;
+	q->total_weight = total_weight;
+	front_send_leaves(node, q);
 	if (front_is_done(q)) {
 		front_finish(node, q, 0);
 		return;
 	}
-	timer_add(&node->timers, q->soft_at, TIMER_QUESTION, q->id);
-	timer_add(&node->timers, q->hard_at, TIMER_QUESTION, q->id);
+	timer_add(&node->timers, q->soft_deadline, TIMER_QUESTION, q->id);
+	timer_add(&node->timers, q->deadline, TIMER_QUESTION, q->id);
 	if (node->front->config.hedge)
 		timer_add(&node->timers, node->now + front_hedge_delay(node),
 			  TIMER_HEDGE, q->id);
 }
 
 /* What the targets are asked, and for whom; not the caller's own id. */
-static struct fingerprint fingerprint(const struct ask *ask)
+static struct fingerprint question_fingerprint(const struct ask *ask)
 {
 	struct str parts[ASK_MAX_INDEXES + 2];
 	size_t count = 0;
@@ -141,13 +142,13 @@
 	q->ask = *ask;
 	q->plan = *plan;
 	q->start = node->now;
-	q->hard_at = node->now + plan->deadline_us;
+	q->deadline = node->now + plan->deadline_us;
 	if (ask->deadline_us && ask->deadline_us < plan->deadline_us)
-		q->hard_at = node->now + ask->deadline_us;
-	q->soft_at = node->now + plan->soft_us;
-	if (q->soft_at > q->hard_at)
-		q->soft_at = q->hard_at;
-	q->print = fingerprint(ask);
+		q->deadline = node->now + ask->deadline_us;
+	q->soft_deadline = node->now + plan->soft_us;
+	if (q->soft_deadline > q->deadline)
+		q->soft_deadline = q->deadline;
+	q->fingerprint = question_fingerprint(ask);
 	apr_hash_set(node->front->questions, &q->id, sizeof(q->id), q);
 	apr_hash_set(node->front->callers, &q->caller, sizeof(q->caller), q);
 	node->front->open++;
@@ -189,30 +190,30 @@
 	else if (code != ERR_STARTING && code != ERR_ISOLATED)
 		retry_us = 0;
 	if (code) {
-		refuse(node, caller, code, err.text, retry_us);
+		refuse_caller(node, caller, code, err.text, retry_us);
 		apr_pool_destroy(pool);
 		return;
 	}
 
 	struct question *q = question_create(node, caller, pool, &ask, plan);
 
-	poison_asked(&node->front->poison, &q->print, node->now);
-	if (front_blocked(node, q)) {
-		refuse(node, caller, ERR_BLOCKED,
-		       "it crashes the targets that run it", 0);
-		drop(node, q);
+	poison_asked(&node->front->poison, &q->fingerprint, node->now);
+	if (front_question_blocked(node, q)) {
+		refuse_caller(node, caller, ERR_BLOCKED,
+			      "it crashes the targets that run it", 0);
+		question_destroy(node, q);
 		return;
 	}
 	switch (quota_take(node, ask.customer, plan, q->id, &retry_us)) {
 	case QUOTA_TAKEN:
-		begin(node, q);
+		question_start(node, q);
 		break;
 	case QUOTA_WAIT:
-		q->waiting = true;
+		q->awaiting_lease = true;
 		break;
 	case QUOTA_REFUSED:
-		refuse(node, caller, ERR_OVER_PLAN, "", retry_us);
-		drop(node, q);
+		refuse_caller(node, caller, ERR_OVER_PLAN, "", retry_us);
+		question_destroy(node, q);
 		break;
 	}
 }
@@ -222,14 +223,14 @@
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
 
-	if (!q || !q->waiting)
+	if (!q || !q->awaiting_lease)
 		return;
 	if (taken) {
-		begin(node, q);
+		question_start(node, q);
 		return;
 	}
-	refuse(node, q->caller, ERR_OVER_PLAN, "", retry_us);
-	drop(node, q);
+	refuse_caller(node, q->caller, ERR_OVER_PLAN, "", retry_us);
+	question_destroy(node, q);
 }
 
 /*
@@ -237,18 +238,18 @@
  * means that the fleet as a whole has more than its slots carry, and a
  * question that is admitted now would be answered late or in part.
  */
-static void steer_limit(struct node *node, const struct question *q)
+static void adjust_limit(struct node *node, const struct question *q)
 {
 	struct front *front = node->front;
-	int64_t bound = q->plan.soft_us / WAIT_SHARE;
+	int64_t bound = q->plan.soft_us / QUEUE_WAIT_DIVISOR;
 
-	if (q->worst_wait > bound) {
-		if (node->now - front->limit_at < LIMIT_EVERY_US)
+	if (q->max_queue_wait > bound) {
+		if (node->now - front->limit_lowered_at < LIMIT_CUT_INTERVAL_US)
 			return;
-		front->limit_at = node->now;
+		front->limit_lowered_at = node->now;
 		if (front->limit > (double)front->open + LIMIT_MIN)
 			front->limit = (double)front->open + LIMIT_MIN;
-		front->limit *= LIMIT_CUT;
+		front->limit *= LIMIT_CUT_FACTOR;
 		if (front->limit < LIMIT_MIN)
 			front->limit = LIMIT_MIN;
 	} else if (front->limit < node->opt.max_open &&
@@ -259,13 +260,13 @@
 
 void front_finish(struct node *node, struct question *q, int code)
 {
-	for (size_t i = 0; i < q->nleafs; i++)
-		front_close_all(node, q, &q->leafs[i]);
-	steer_limit(node, q);
-	front_unserved(node, q);
+	for (size_t i = 0; i < q->nleaves; i++)
+		front_cancel_attempts(node, q, &q->leaves[i]);
+	adjust_limit(node, q);
+	front_question_unserved(node, q);
 	if (!code)
 		answer_send(node, q);
-	drop(node, q);
+	question_destroy(node, q);
 }
 
 void front_caller_gone(struct node *node, uint64_t caller)
--- a/member.c
+++ b/member.c
@@ -371,7 +371,7 @@
 	}
 	conf_offered(node, vm, DOC_LISTS, msg->version, msg->hash);
 	conf_offered(node, vm, DOC_FLEET, msg->version2, msg->hash2);
-	front_poison_heard(node, from, msg->key);
+	front_poison_handle_digest(node, from, msg->key);
 	/*
 	 * After a pause the socket still holds heartbeats from before it; only
 	 * the answer to a probe sent since then shows that the view is new.
--- a/node.c
+++ b/node.c
@@ -275,7 +275,7 @@
 	[MSG_LEASE] = { quota_lease },
 	[MSG_LEASE_REPLY] = { on_lease_reply },
 	[MSG_HANDOVER] = { gate_handover },
-	[MSG_SUSPECTS] = { front_suspects },
+	[MSG_SUSPECTS] = { front_poison_handle_msg },
 };
 
 static void on_msg(struct node *node, struct str from, uint64_t incarnation,
--- a/replica.c
+++ b/replica.c
@@ -8,24 +8,24 @@
 
 enum {
 	AVOID_US = 200000,
-	LACKS_US = 2000000,
+	MISSING_VERSION_US = 2000000,
 	EWMA_SHIFT = 3,
-	FIRST_US = 2000,
-	FAR_PENALTY = 16,
+	INITIAL_LATENCY_US = 2000,
+	SCORE_PENALTY = 16,
 };
 
 struct replica *replica_get(struct node *node, uint64_t key)
 {
 	struct front *front = node->front;
 	struct replica *replica =
-		apr_hash_get(front->targets, &key, sizeof(key));
+		apr_hash_get(front->replicas, &key, sizeof(key));
 
 	if (!replica) {
 		replica = xcalloc(1, sizeof(*replica));
 		replica->key = key;
-		replica->latency_us = FIRST_US;
+		replica->latency_us = INITIAL_LATENCY_US;
 		replica->epoch = UINT64_MAX;
-		apr_hash_set(front->targets, &replica->key,
+		apr_hash_set(front->replicas, &replica->key,
 			     sizeof(replica->key), replica);
 	}
 	return replica;
@@ -49,8 +49,8 @@
 {
 	const struct replica *replica = replica_get(node, target->key);
 
-	return replica->lacks_version != version ||
-	       node->now >= replica->lacks_until;
+	return replica->missing_version != version ||
+	       node->now >= replica->missing_until;
 }
 
 bool replica_usable(struct node *node, const struct fleet_target *target,
@@ -84,7 +84,7 @@
  * attempt slow or lost is likely to be shared within the domain.
  */
 struct fleet_target *replica_choose(struct node *node, const struct question *q,
-				    const struct leaf *leaf, bool fresh_only)
+				    const struct leaf *leaf, bool untried_only)
 {
 	struct fleet_target *best = NULL;
 	double best_score = 0;
@@ -95,7 +95,7 @@
 		bool tried = was_tried(leaf, target, &same_domain);
 
 		if (!replica_usable(node, target, q->snapshot->version) ||
-		    (fresh_only && tried))
+		    (untried_only && tried))
 			continue;
 
 		const struct replica *replica = replica_get(node, target->key);
@@ -103,11 +103,11 @@
 			       (1 + replica->outstanding);
 
 		if (tried)
-			score *= (double)FAR_PENALTY * FAR_PENALTY;
+			score *= (double)SCORE_PENALTY * SCORE_PENALTY;
 		if (same_domain)
-			score *= FAR_PENALTY;
+			score *= SCORE_PENALTY;
 		if (node->now < replica->avoid_until)
-			score *= FAR_PENALTY;
+			score *= SCORE_PENALTY;
 		if (best && score >= best_score)
 			continue;
 		best = target;
@@ -117,11 +117,11 @@
 }
 
 /* Targets are replaced day by day; their records must not pile up. */
-void replica_forget(struct node *node)
+void replica_remove_unlisted(struct node *node)
 {
-	apr_hash_t *targets = node->front->targets;
+	apr_hash_t *replicas = node->front->replicas;
 
-	for (apr_hash_index_t *it = apr_hash_first(NULL, targets); it;
+	for (apr_hash_index_t *it = apr_hash_first(NULL, replicas); it;
 	     it = apr_hash_next(it)) {
 		void *value;
 
@@ -131,13 +131,13 @@
 
 		if (replica->outstanding || gate_knows(node, replica->key))
 			continue;
-		apr_hash_set(targets, &replica->key, sizeof(replica->key),
+		apr_hash_set(replicas, &replica->key, sizeof(replica->key),
 			     NULL);
 		free(replica);
 	}
 }
 
-void replica_answered(struct node *node, const struct attempt *attempt)
+void replica_record_reply(struct node *node, const struct attempt *attempt)
 {
 	struct replica *replica = replica_get(node, attempt->target->key);
 	int64_t took = node->now - attempt->sent_at;
@@ -148,14 +148,14 @@
 	latency_add(node->front->latency, took);
 }
 
-void replica_failed(struct node *node, const struct question *q,
-		    const struct attempt *attempt, int status)
+void replica_record_failure(struct node *node, const struct question *q,
+			    const struct attempt *attempt, int status)
 {
 	struct replica *replica = replica_get(node, attempt->target->key);
 
 	if (status == ERR_WRONG_VERSION) {
-		replica->lacks_version = q->snapshot->version;
-		replica->lacks_until = node->now + LACKS_US;
+		replica->missing_version = q->snapshot->version;
+		replica->missing_until = node->now + MISSING_VERSION_US;
 		node->counters[CNT_LEAF_WRONG_VERSION]++;
 	} else if (status == ERR_NOT_OWNER || status == ERR_GATE_LOST) {
 		replica->epoch = UINT64_MAX;
--- a/snapshot.c
+++ b/snapshot.c
@@ -13,7 +13,7 @@
 	return false;
 }
 
-bool snapshot_wants(const struct ask *ask, uint32_t id)
+bool snapshot_selects(const struct ask *ask, uint32_t id)
 {
 	size_t low = 0;
 	size_t high = ask->nshards;
@@ -32,13 +32,13 @@
 }
 
 /* Shards of the question in @snap, their weight, and the weight at hand. */
-static size_t measure(struct node *node, const struct ask *ask,
-		      const struct snapshot *snap, double *total,
-		      double *available)
+static size_t measure_coverage(struct node *node, const struct ask *ask,
+			       const struct snapshot *snap,
+			       double *total_weight, double *available)
 {
 	size_t found = 0;
 
-	*total = 0;
+	*total_weight = 0;
 	*available = 0;
 	for (size_t i = 0; i < ask->nindexes; i++) {
 		size_t count;
@@ -48,10 +48,10 @@
 		if (!count)
 			return 0;
 		for (size_t j = 0; j < count; j++) {
-			if (!snapshot_wants(ask, shards[j].id))
+			if (!snapshot_selects(ask, shards[j].id))
 				continue;
 			found++;
-			*total += shards[j].weight;
+			*total_weight += shards[j].weight;
 			if (is_available(node, &shards[j], snap->version))
 				*available += shards[j].weight;
 		}
@@ -65,27 +65,28 @@
  */
 const struct snapshot *snapshot_choose(struct node *node, const struct ask *ask,
 				       const struct fleet *fleet, double floor,
-				       const struct snapshot *not_this,
-				       size_t *count, double *total)
+				       const struct snapshot *excluded,
+				       size_t *count, double *total_weight)
 {
 	const struct snapshot *best = NULL;
-	double best_share = -1;
+	double best_coverage = -1;
 
 	for (size_t i = 0; i < fleet->nsnapshots; i++) {
 		const struct snapshot *snap = &fleet->snapshots[i];
 		double weight;
 		double available;
-		size_t found = measure(node, ask, snap, &weight, &available);
+		size_t found =
+			measure_coverage(node, ask, snap, &weight, &available);
 
-		if (!found || snap == not_this)
+		if (!found || snap == excluded)
 			continue;
-		if (available / weight <= best_share)
+		if (available / weight <= best_coverage)
 			continue;
 		best = snap;
-		best_share = available / weight;
+		best_coverage = available / weight;
 		*count = found;
-		*total = weight;
-		if (best_share >= floor - EPSILON)
+		*total_weight = weight;
+		if (best_coverage >= floor - EPSILON)
 			break;
 	}
 	return best;
