--- a/gate.c
+++ b/gate.c
@@ -7,12 +7,12 @@
 #include "xmalloc.h"
 
 enum {
-	FIRST_SERVICE_US = 5000,
+	INITIAL_SERVICE_US = 5000,
 	QUEUE_MAX = 512,
-	GRANT_US = 300000,
-	GRACE_US = 2000000,
-	IDLE_US = 45000,
-	TOMBSTONE_US = 10000000,
+	GRANT_TIMEOUT_US = 300000,
+	CANCEL_GRACE_US = 2000000,
+	VERIFY_IDLE_US = 45000,
+	TOMBSTONE_TTL_US = 10000000,
 	ENTRY_RETRY_US = 1000000,
 };
 
@@ -29,7 +29,7 @@
 	struct job job;
 };
 
-static struct job_key *key_of(struct job *job)
+static struct job_key *job_key_of(struct job *job)
 {
 	size_t offset = offsetof(struct keyed_job, job);
 
@@ -43,23 +43,24 @@
 	node->gate = gate;
 	apr_pool_create(&gate->pool, node->pool);
 	gate->targets = hash_make(gate->pool);
-	gate->numbers = hash_make(gate->pool);
-	gate->keys = hash_make(gate->pool);
+	gate->jobs_by_number = hash_make(gate->pool);
+	gate->jobs_by_key = hash_make(gate->pool);
 }
 
 static void job_free(struct node *node, struct job *job)
 {
 	struct gate *gate = node->gate;
-	struct job_key *key = key_of(job);
+	struct job_key *key = job_key_of(job);
 
-	apr_hash_set(gate->numbers, &job->number, sizeof(job->number), NULL);
-	if (apr_hash_get(gate->keys, key, sizeof(*key)) == job)
-		apr_hash_set(gate->keys, key, sizeof(*key), NULL);
+	apr_hash_set(gate->jobs_by_number, &job->number, sizeof(job->number),
+		     NULL);
+	if (apr_hash_get(gate->jobs_by_key, key, sizeof(*key)) == job)
+		apr_hash_set(gate->jobs_by_key, key, sizeof(*key), NULL);
 	str_free(job->addr);
 	str_free(job->index);
 	str_free(job->terms);
 	job->target->jobs--;
-	if (job->state != JOB_DONE)
+	if (job->state != JOB_TOMBSTONE)
 		gate->open--;
 	free(key);
 }
@@ -78,7 +79,7 @@
 	apr_hash_index_t *it;
 	void *value;
 
-	for (it = apr_hash_first(gate->pool, gate->numbers); it;
+	for (it = apr_hash_first(gate->pool, gate->jobs_by_number); it;
 	     it = apr_hash_next(it)) {
 		apr_hash_this(it, NULL, NULL, &value);
 		job_free(node, value);
@@ -97,12 +98,13 @@
 	return node->gate->open;
 }
 
-bool gate_knows(const struct node *node, uint64_t key)
+bool gate_has_target(const struct node *node, uint64_t key)
 {
 	return apr_hash_get(node->gate->targets, &key, sizeof(key));
 }
 
-const struct target *gate_listed(const struct node *node, uint64_t key)
+const struct target *gate_target_in_service(const struct node *node,
+					    uint64_t key)
 {
 	const struct target *target =
 		apr_hash_get(node->gate->targets, &key, sizeof(key));
@@ -146,7 +148,7 @@
 	node_send(node, job->addr, job->incarnation, &msg);
 }
 
-static void refuse(struct node *node, struct job *job, int status)
+static void refuse_job(struct node *node, struct job *job, int status)
 {
 	node->counters[CNT_JOBS_REFUSED]++;
 	reply(node, job, status, false, (struct str){ 0 });
@@ -155,7 +157,7 @@
 
 /* The queue. */
 
-static void push(struct target *target, struct job *job)
+static void enqueue(struct target *target, struct job *job)
 {
 	job->next = NULL;
 	if (target->tail)
@@ -166,7 +168,7 @@
 	target->queued++;
 }
 
-static void push_front(struct target *target, struct job *job)
+static void enqueue_first(struct target *target, struct job *job)
 {
 	job->next = target->head;
 	target->head = job;
@@ -175,7 +177,7 @@
 	target->queued++;
 }
 
-static struct job *pop(struct target *target)
+static struct job *dequeue(struct target *target)
 {
 	struct job *job = target->head;
 
@@ -186,7 +188,7 @@
 	return job;
 }
 
-static void unlink_job(struct target *target, struct job *job)
+static void remove_queued(struct target *target, struct job *job)
 {
 	struct job **at = &target->head;
 	struct job *before = NULL;
@@ -203,10 +205,10 @@
 	target->queued--;
 }
 
-void gate_refuse_all(struct node *node, struct target *target, int status)
+void gate_refuse_queued(struct node *node, struct target *target, int status)
 {
 	while (target->head)
-		refuse(node, pop(target), status);
+		refuse_job(node, dequeue(target), status);
 }
 
 /*
@@ -214,7 +216,7 @@
  * the front. Checked at arrival and again at the start of each job, since a
  * domain, a VM list or an owner can change while a job waits in the queue.
  */
-static int closed(const struct node *node, const struct target *target)
+static int refusal_reason(const struct node *node, const struct target *target)
 {
 	if (!target->owned)
 		return ERR_NOT_OWNER;
@@ -252,7 +254,7 @@
 	node->counters[CNT_TARGET_REQUESTS]++;
 }
 
-static void start(struct node *node, struct job *job)
+static void start_job(struct node *node, struct job *job)
 {
 	struct target *target = job->target;
 
@@ -262,7 +264,7 @@
 	 * cold. One request goes first; its reply names the boot id.
 	 */
 	if (!target->busy && !node->opt.off.no_ramp &&
-	    node->now - target->replied_at > IDLE_US)
+	    node->now - target->replied_at > VERIFY_IDLE_US)
 		target->unverified = true;
 	target->busy++;
 	if (!job->is_entry) {
@@ -275,46 +277,46 @@
 	}
 	job->state = JOB_GRANTED;
 	/* The grant ends by this node's own clock, wherever the issuer is. */
-	job->deadline = node->now + GRANT_US;
+	job->deadline = node->now + GRANT_TIMEOUT_US;
 	timer_add(&node->timers, job->deadline, TIMER_JOB, job->number);
 
 	struct msg grant = {
 		.kind = MSG_GRANT,
 		.id = job->id,
 		.attempt = job->attempt,
-		.remaining_us = GRANT_US,
+		.remaining_us = GRANT_TIMEOUT_US,
 	};
 
 	node_send(node, job->addr, job->incarnation, &grant);
 }
 
-void gate_pump(struct node *node, struct target *target)
+void gate_start_queued(struct node *node, struct target *target)
 {
-	int reason = target->head ? closed(node, target) : 0;
+	int reason = target->head ? refusal_reason(node, target) : 0;
 
 	if (reason) {
-		gate_refuse_all(node, target, reason);
+		gate_refuse_queued(node, target, reason);
 		return;
 	}
 	/* After a pause nothing starts on the old view; gate_resume() pumps. */
 	if (!member_view_ok(node) && !node->opt.off.no_pause_check)
 		return;
-	if (node->now < target->wait_until)
+	if (node->now < target->start_after)
 		return;
 	while (target->head && target->busy < health_limit(target)) {
-		struct job *job = pop(target);
+		struct job *job = dequeue(target);
 
 		if (node->now < job->deadline) {
-			start(node, job);
+			start_job(node, job);
 			continue;
 		}
 		node->counters[CNT_JOBS_EXPIRED]++;
-		refuse(node, job, ERR_DEADLINE);
+		refuse_job(node, job, ERR_DEADLINE);
 	}
 }
 
 /* To the next gate, once this one has nothing at the target any more. */
-void gate_hand_over(struct node *node, struct target *target)
+void gate_send_handover(struct node *node, struct target *target)
 {
 	struct vm *owner;
 	struct msg msg = {
@@ -322,13 +324,13 @@
 		.target = target->key,
 		.amount = target->limit,
 		.service_us = target->baseline_us,
-		.wait_us = target->hold_us,
+		.wait_us = target->step_interval_us,
 		.hash = target->boot,
 	};
 
-	if (!target->owes || target->owned || target->busy)
+	if (!target->handover_due || target->owned || target->busy)
 		return;
-	target->owes = false;
+	target->handover_due = false;
 	owner = member_owner(node, target->key, target->domain);
 	if (owner && owner->key != node->key)
 		node_send(node, owner->addr, owner->incarnation, &msg);
@@ -337,8 +339,8 @@
 static void release_slot(struct node *node, struct target *target)
 {
 	target->busy--;
-	gate_hand_over(node, target);
-	gate_pump(node, target);
+	gate_send_handover(node, target);
+	gate_start_queued(node, target);
 }
 
 /* Arrival. */
@@ -348,7 +350,7 @@
 {
 	struct job_key key = { origin, incarnation, msg->id, msg->attempt };
 
-	return apr_hash_get(node->gate->keys, &key, sizeof(key));
+	return apr_hash_get(node->gate->jobs_by_key, &key, sizeof(key));
 }
 
 static struct job *job_create(struct node *node, struct target *target,
@@ -376,8 +378,9 @@
 	job->terms = str_keep(msg->text);
 	job->queued_at = node->now;
 	job->deadline = node->now + msg->remaining_us;
-	apr_hash_set(gate->numbers, &job->number, sizeof(job->number), job);
-	apr_hash_set(gate->keys, &keyed->key, sizeof(keyed->key), job);
+	apr_hash_set(gate->jobs_by_number, &job->number, sizeof(job->number),
+		     job);
+	apr_hash_set(gate->jobs_by_key, &keyed->key, sizeof(keyed->key), job);
 	gate->open++;
 	return job;
 }
@@ -387,10 +390,11 @@
  * past its deadline is refused on arrival, while its front can still go to
  * another replica.
  */
-static bool would_expire(const struct target *target, const struct msg *msg)
+static bool would_miss_deadline(const struct target *target,
+				const struct msg *msg)
 {
 	int64_t service =
-		target->service_us ? target->service_us : FIRST_SERVICE_US;
+		target->service_us ? target->service_us : INITIAL_SERVICE_US;
 	int64_t ahead = (int64_t)target->queued + target->busy;
 	int64_t wait = ahead * service / health_limit(target);
 
@@ -398,12 +402,12 @@
 	       wait + service > msg->remaining_us;
 }
 
-static void arrive(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg)
+static void accept_job(struct node *node, struct str from, uint64_t incarnation,
+		       const struct msg *msg)
 {
 	struct target *target = apr_hash_get(node->gate->targets, &msg->target,
 					     sizeof(msg->target));
-	struct msg no = {
+	struct msg refusal = {
 		.kind = msg->kind == MSG_RESERVE ? MSG_GO_REPLY
 						 : MSG_LEAF_REPLY,
 		.id = msg->id,
@@ -416,52 +420,52 @@
 	if (job_find(node, str_hash(from), incarnation, msg))
 		return;
 	if (!target)
-		no.status = ERR_NOT_OWNER;
+		refusal.status = ERR_NOT_OWNER;
 	else
-		no.status = closed(node, target);
-	if (!no.status && would_expire(target, msg))
-		no.status = ERR_QUEUE_FULL;
-	if (no.status) {
+		refusal.status = refusal_reason(node, target);
+	if (!refusal.status && would_miss_deadline(target, msg))
+		refusal.status = ERR_QUEUE_FULL;
+	if (refusal.status) {
 		node->counters[CNT_JOBS_REFUSED]++;
-		node_send(node, from, incarnation, &no);
+		node_send(node, from, incarnation, &refusal);
 		return;
 	}
 	struct job *job = job_create(node, target, from, incarnation, msg);
 
 	/* Its question waits for little else than this one. */
 	if (msg->kind == MSG_LEAF && msg->state)
-		push_front(target, job);
+		enqueue_first(target, job);
 	else
-		push(target, job);
-	gate_pump(node, target);
+		enqueue(target, job);
+	gate_start_queued(node, target);
 }
 
 void gate_leaf(struct node *node, struct str from, uint64_t incarnation,
 	       const struct msg *msg)
 {
-	arrive(node, from, incarnation, msg);
+	accept_job(node, from, incarnation, msg);
 }
 
 void gate_reserve(struct node *node, struct str from, uint64_t incarnation,
 		  const struct msg *msg)
 {
-	arrive(node, from, incarnation, msg);
+	accept_job(node, from, incarnation, msg);
 }
 
 /* An entry's job stays as a tombstone, so that a second GO finds it. */
-static void bury(struct node *node, struct job *job)
+static void keep_tombstone(struct node *node, struct job *job)
 {
-	job->state = JOB_DONE;
-	job->deadline = node->now + TOMBSTONE_US;
+	job->state = JOB_TOMBSTONE;
+	job->deadline = node->now + TOMBSTONE_TTL_US;
 	node->gate->open--;
-	timer_add(&node->timers, node->now + TOMBSTONE_US, TIMER_JOB,
+	timer_add(&node->timers, node->now + TOMBSTONE_TTL_US, TIMER_JOB,
 		  job->number);
 }
 
 /* With the grant's end turned off (tests): take the slot again. */
-static void revive(struct job *job)
+static void reclaim_slot(struct job *job)
 {
-	if (job->state == JOB_DONE && !job->started_at) {
+	if (job->state == JOB_TOMBSTONE && !job->started_at) {
 		job->state = JOB_GRANTED;
 		job->target->busy++;
 	}
@@ -474,7 +478,7 @@
 	struct job *job = job_find(node, str_hash(from), incarnation, msg);
 
 	if (job && node->opt.off.no_grant)
-		revive(job);
+		reclaim_slot(job);
 	if (job && job->state != JOB_GRANTED)
 		return;
 	/*
@@ -483,23 +487,23 @@
 	 * did not run. The grant's own deadline stops it here.
 	 */
 	if (!job || node->now >= job->deadline) {
-		struct msg no = { .kind = MSG_GO_REPLY,
-				  .id = msg->id,
-				  .attempt = msg->attempt,
-				  .status = ERR_GRANT_EXPIRED };
+		struct msg refusal = { .kind = MSG_GO_REPLY,
+				       .id = msg->id,
+				       .attempt = msg->attempt,
+				       .status = ERR_GRANT_EXPIRED };
 
-		node_send(node, from, incarnation, &no);
+		node_send(node, from, incarnation, &refusal);
 		return;
 	}
 
 	struct target *target = job->target;
-	int reason = closed(node, target);
+	int reason = refusal_reason(node, target);
 
 	if (!reason && !member_view_ok(node) && !node->opt.off.no_grant)
 		reason = ERR_ISOLATED;
 	if (reason) {
 		reply(node, job, reason, false, (struct str){ 0 });
-		bury(node, job);
+		keep_tombstone(node, job);
 		release_slot(node, target);
 		return;
 	}
@@ -525,22 +529,23 @@
 	fx->job = job->number;
 	fx->fetch = FETCH_CANCEL;
 	fx->addr = str_dup(node->fx->pool, job->target->addr);
-	fx->wait_us = GRACE_US;
-	timer_add(&node->timers, node->now + GRACE_US, TIMER_JOB, job->number);
+	fx->wait_us = CANCEL_GRACE_US;
+	timer_add(&node->timers, node->now + CANCEL_GRACE_US, TIMER_JOB,
+		  job->number);
 }
 
-static void cancel(struct node *node, struct job *job)
+static void cancel_job(struct node *node, struct job *job)
 {
 	struct target *target = job->target;
 
 	switch (job->state) {
 	case JOB_QUEUED:
-		unlink_job(target, job);
+		remove_queued(target, job);
 		job_free(node, job);
 		return;
 	case JOB_GRANTED:
 		job->replied = true;
-		bury(node, job);
+		keep_tombstone(node, job);
 		release_slot(node, target);
 		return;
 	case JOB_RUNNING:
@@ -550,7 +555,7 @@
 		job->replied = true;
 		cancel_running(node, job);
 		return;
-	case JOB_DONE:
+	case JOB_TOMBSTONE:
 		return;
 	}
 }
@@ -561,7 +566,7 @@
 	struct job *job = job_find(node, str_hash(from), incarnation, msg);
 
 	if (job)
-		cancel(node, job);
+		cancel_job(node, job);
 }
 
 void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation)
@@ -572,7 +577,7 @@
 	if (!node->gate)
 		return;
 	apr_pool_create(&pool, node->gate->pool);
-	for (it = apr_hash_first(pool, node->gate->numbers); it;
+	for (it = apr_hash_first(pool, node->gate->jobs_by_number); it;
 	     it = apr_hash_next(it)) {
 		void *value;
 
@@ -582,7 +587,7 @@
 
 		if (job->origin == origin && job->incarnation == incarnation &&
 		    !job->replied)
-			cancel(node, job);
+			cancel_job(node, job);
 	}
 	apr_pool_destroy(pool);
 }
@@ -623,10 +628,12 @@
 	return 0;
 }
 
-void gate_fetched(struct node *node, uint64_t number, const struct fetched *got)
+void gate_fetch_done(struct node *node, uint64_t number,
+		     const struct fetched *got)
 {
 	struct gate *gate = node->gate;
-	struct job *job = apr_hash_get(gate->numbers, &number, sizeof(number));
+	struct job *job =
+		apr_hash_get(gate->jobs_by_number, &number, sizeof(number));
 
 	node->counters[CNT_TARGET_RESENT] += (uint64_t)got->resent;
 	if (!job) {
@@ -635,7 +642,7 @@
 			apr_hash_get(gate->targets, &number, sizeof(number));
 
 		if (target && target->probing)
-			health_probed(node, target, got);
+			health_record_probe(node, target, got);
 		return;
 	}
 	if (job->state != JOB_RUNNING)
@@ -645,10 +652,10 @@
 	bool ran;
 	int status = leaf_status(node, job, got, &ran);
 
-	health_note(node, target, job, got, status);
+	health_record_reply(node, target, job, got, status);
 	reply(node, job, status, ran, got->body);
 	if (job->is_entry)
-		bury(node, job);
+		keep_tombstone(node, job);
 	else
 		job_free(node, job);
 	release_slot(node, target);
@@ -656,23 +663,23 @@
 
 void gate_job_timer(struct node *node, uint64_t number)
 {
-	struct job *job =
-		apr_hash_get(node->gate->numbers, &number, sizeof(number));
+	struct job *job = apr_hash_get(node->gate->jobs_by_number, &number,
+				       sizeof(number));
 
 	if (!job || job->state == JOB_QUEUED || node->now < job->deadline)
 		return;
 
 	struct target *target = job->target;
 
-	if (job->state == JOB_DONE) {
+	if (job->state == JOB_TOMBSTONE) {
 		job_free(node, job);
 	} else if (job->state == JOB_GRANTED) {
 		reply(node, job, ERR_GRANT_EXPIRED, false, (struct str){ 0 });
-		bury(node, job);
+		keep_tombstone(node, job);
 		release_slot(node, target);
 	} else if (!job->cancelled && !job->is_entry) {
 		reply(node, job, ERR_DEADLINE, true, (struct str){ 0 });
-		job->deadline = node->now + GRACE_US;
+		job->deadline = node->now + CANCEL_GRACE_US;
 		cancel_running(node, job);
 	}
 }
--- a/gate.h
+++ b/gate.h
@@ -15,7 +15,7 @@
 	JOB_QUEUED,
 	JOB_GRANTED, /* an entry holds a slot, its body has not come yet */
 	JOB_RUNNING,
-	JOB_DONE, /* an entry's tombstone */
+	JOB_TOMBSTONE, /* an entry's tombstone */
 };
 
 /**
@@ -56,30 +56,30 @@
 	int64_t at;
 	int limit;
 	int64_t baseline_us;
-	int64_t hold_us;
+	int64_t step_interval_us;
 	uint64_t boot;
 };
 
 /**
  * struct target - a target as its gate sees it
  * @owned: this node is its gate; @owner: its gate at the last review
- * @owes: a handover to the next gate, once no job is in progress
- * @wait_until: no start before, unless the gate before has handed over
- * @handed: the last handover
+ * @handover_due: a handover to the next gate, once no job is in progress
+ * @start_after: no start before, unless the gate before has handed over
+ * @handover: the last handover
  * @limit: requests that may be in progress, 1 to slots
  * @busy: slots taken, by running and granted jobs
- * @foreign: requests of others that the target reported
+ * @foreign_load: requests of others that the target reported
  * @boot: boot id of its last reply
  * @replied_at: time of its last reply
  * @unverified: idle for so long that it may have restarted unseen
- * @streak: timely answers since the last step of the ramp
- * @step_at: time of the last step or fall
- * @hold_us: shortest time between steps; grows with each relapse
- * @ramp_us: sum of their service times
+ * @ramp_streak: timely answers since the last step of the ramp
+ * @limit_changed_at: time of the last step or fall
+ * @step_interval_us: shortest time between steps; grows with each relapse
+ * @ramp_service_us: sum of their service times
  * @service_us: smoothed service time
  * @baseline_us: the same while warm, 0 when not known
- * @slow: answers in a row far over the baseline
- * @sheds: shedding replies in a row
+ * @slow_streak: answers in a row far over the baseline
+ * @shed_streak: shedding replies in a row
  * @jobs: jobs that point here, tombstones too
  * @down: unreachable; @draining: says that it leaves. Probed, not used.
  */
@@ -94,41 +94,41 @@
 	bool domain_out;
 	bool owned;
 	uint64_t owner;
-	bool owes;
-	int64_t wait_until;
-	struct handover handed;
+	bool handover_due;
+	int64_t start_after;
+	struct handover handover;
 	int limit;
 	int busy;
-	int foreign;
+	int foreign_load;
 	uint64_t boot;
 	int64_t replied_at;
 	bool unverified;
-	int streak;
-	int64_t step_at;
-	int64_t hold_us;
-	int64_t ramp_us;
+	int ramp_streak;
+	int64_t limit_changed_at;
+	int64_t step_interval_us;
+	int64_t ramp_service_us;
 	int64_t service_us;
 	int64_t baseline_us;
-	int slow;
-	int sheds;
-	int broken;
+	int slow_streak;
+	int shed_streak;
+	int failure_streak;
 	bool down;
 	bool draining;
 	bool probing;
-	int64_t probe_us;
+	int64_t probe_interval_us;
 	struct job *head;
 	struct job *tail;
 	size_t queued;
 	size_t jobs;
 	uint64_t requests;
 	uint64_t refused;
-	uint64_t cold;
+	uint64_t cold_starts;
 };
 
 struct gate {
 	apr_hash_t *targets; /* key -> struct target */
-	apr_hash_t *numbers; /* number -> struct job */
-	apr_hash_t *keys; /* origin, incarnation, id, attempt -> job */
+	apr_hash_t *jobs_by_number; /* number -> struct job */
+	apr_hash_t *jobs_by_key; /* origin, incarnation, id, attempt -> job */
 	size_t open;
 	apr_pool_t *pool;
 };
@@ -149,23 +149,25 @@
 void gate_handover(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
 void gate_handover_timer(struct node *node, uint64_t key);
-void gate_fetched(struct node *node, uint64_t number,
-		  const struct fetched *fetched);
+void gate_fetch_done(struct node *node, uint64_t number,
+		     const struct fetched *fetched);
 void gate_job_timer(struct node *node, uint64_t number);
 /** gate_origin_lost() - a front is gone: drop what it waits for. */
 void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation);
 /** gate_resume() - the view is confirmed again: start what waits. */
 void gate_resume(struct node *node);
-/** gate_listed() - target in service by the current documents, or NULL. */
-const struct target *gate_listed(const struct node *node, uint64_t key);
-/** gate_knows() - the target is listed or has jobs here. */
-bool gate_knows(const struct node *node, uint64_t key);
-/** gate_refuse_all() - refuse all that is queued for @target. */
-void gate_refuse_all(struct node *node, struct target *target, int status);
+/** gate_target_in_service() - target in service by the current documents, or
+ * NULL. */
+const struct target *gate_target_in_service(const struct node *node,
+					    uint64_t key);
+/** gate_has_target() - the target is listed or has jobs here. */
+bool gate_has_target(const struct node *node, uint64_t key);
+/** gate_refuse_queued() - refuse all that is queued for @target. */
+void gate_refuse_queued(struct node *node, struct target *target, int status);
 size_t gate_open(const struct node *node);
 
 /* Shared with gate_owner.c. */
 
-void gate_pump(struct node *node, struct target *target);
-void gate_hand_over(struct node *node, struct target *target);
+void gate_start_queued(struct node *node, struct target *target);
+void gate_send_handover(struct node *node, struct target *target);
 void gate_target_free(struct target *target);
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -12,20 +12,20 @@
 /* Ownership. */
 
 /* What is known of a warm target stays known when its gate moves. */
-static void take_over(struct node *node, struct target *target)
+static void apply_handover(struct node *node, struct target *target)
 {
-	const struct handover *handed = &target->handed;
+	const struct handover *handover = &target->handover;
 
-	target->limit =
-		handed->limit > target->slots ? target->slots : handed->limit;
-	if (target->limit < FLOOR)
-		target->limit = FLOOR;
-	target->baseline_us = handed->baseline_us;
-	target->boot = handed->boot;
-	if (handed->hold_us >= HOLD_MIN_US)
-		target->hold_us = handed->hold_us;
-	target->step_at = node->now;
-	target->wait_until = 0;
+	target->limit = handover->limit > target->slots ? target->slots
+							: handover->limit;
+	if (target->limit < TARGET_LIMIT_MIN)
+		target->limit = TARGET_LIMIT_MIN;
+	target->baseline_us = handover->baseline_us;
+	target->boot = handover->boot;
+	if (handover->step_interval_us >= STEP_INTERVAL_MIN_US)
+		target->step_interval_us = handover->step_interval_us;
+	target->limit_changed_at = node->now;
+	target->start_after = 0;
 }
 
 /*
@@ -33,7 +33,8 @@
  * gate's first one beside them. So the next gate waits for its word, for a
  * while, if that node is still heard.
  */
-static bool gate_before(const struct node *node, const struct target *target)
+static bool previous_gate_alive(const struct node *node,
+				const struct target *target)
 {
 	const struct vm *vm;
 
@@ -49,8 +50,8 @@
 
 static void await_handover(struct node *node, struct target *target)
 {
-	target->wait_until = node->now + HANDOVER_WAIT_US;
-	timer_add(&node->timers, target->wait_until, TIMER_HANDOVER,
+	target->start_after = node->now + HANDOVER_WAIT_US;
+	timer_add(&node->timers, target->start_after, TIMER_HANDOVER,
 		  target->key);
 }
 
@@ -60,7 +61,7 @@
 		apr_hash_get(node->gate->targets, &key, sizeof(key));
 
 	if (target && target->owned)
-		gate_pump(node, target);
+		gate_start_queued(node, target);
 }
 
 void gate_handover(struct node *node, struct str from, uint64_t incarnation,
@@ -72,76 +73,77 @@
 
 	(void)from;
 	(void)incarnation;
-	if (!target || msg->amount < FLOOR || msg->amount > target->slots ||
-	    msg->service_us < 0)
+	if (!target || msg->amount < TARGET_LIMIT_MIN ||
+	    msg->amount > target->slots || msg->service_us < 0)
 		return;
-	target->handed = (struct handover){
+	target->handover = (struct handover){
 		.at = node->now,
 		.limit = (int)msg->amount,
 		.baseline_us = msg->service_us,
-		.hold_us = msg->wait_us,
+		.step_interval_us = msg->wait_us,
 		.boot = msg->hash,
 	};
-	if (!target->owned || node->now >= target->wait_until)
+	if (!target->owned || node->now >= target->start_after)
 		return;
-	take_over(node, target);
-	gate_pump(node, target);
+	apply_handover(node, target);
+	gate_start_queued(node, target);
 }
 
-static void gain(struct node *node, struct target *target)
+static void gain_target(struct node *node, struct target *target)
 {
 	target->owned = true;
 	target->down = false;
 	target->draining = false;
-	target->foreign = 0;
+	target->foreign_load = 0;
 	target->boot = 0;
 	target->unverified = false;
-	target->broken = 0;
-	target->hold_us = HOLD_MIN_US;
-	target->probe_us = PROBE_MIN_US;
-	target->cold = 0;
+	target->failure_streak = 0;
+	target->step_interval_us = STEP_INTERVAL_MIN_US;
+	target->probe_interval_us = PROBE_MIN_US;
+	target->cold_starts = 0;
 	target->baseline_us = 0;
-	target->streak = 0;
-	target->ramp_us = 0;
+	target->ramp_streak = 0;
+	target->ramp_service_us = 0;
 	/*
 	 * Another gate may still send to the target for as long as the views
 	 * differ, and nothing is known of its state. One request at a time
 	 * bounds what the overlap can add to the other gate's work.
 	 */
-	target->limit = node->opt.off.no_ramp ? target->slots : FLOOR;
-	target->step_at = node->now;
-	target->owes = false;
-	target->wait_until = 0;
+	target->limit =
+		node->opt.off.no_ramp ? target->slots : TARGET_LIMIT_MIN;
+	target->limit_changed_at = node->now;
+	target->handover_due = false;
+	target->start_after = 0;
 	node->counters[CNT_GATES_GAINED]++;
-	if (target->handed.at &&
-	    node->now - target->handed.at < HANDOVER_FRESH_US)
-		take_over(node, target);
-	else if (gate_before(node, target))
+	if (target->handover.at &&
+	    node->now - target->handover.at < HANDOVER_FRESH_US)
+		apply_handover(node, target);
+	else if (previous_gate_alive(node, target))
 		await_handover(node, target);
 }
 
-static void lose(struct node *node, struct target *target)
+static void lose_target(struct node *node, struct target *target)
 {
 	target->owned = false;
-	target->owes = true;
+	target->handover_due = true;
 	node->counters[CNT_GATES_LOST]++;
-	gate_refuse_all(node, target, ERR_NOT_OWNER);
-	gate_hand_over(node, target);
+	gate_refuse_queued(node, target, ERR_NOT_OWNER);
+	gate_send_handover(node, target);
 }
 
-static void review_owner(struct node *node, struct target *target)
+static void update_owner(struct node *node, struct target *target)
 {
 	struct vm *owner = NULL;
 
 	if (target->listed)
 		owner = member_owner(node, target->key, target->domain);
 
-	bool own = owner && (owner->key == node->key || node->opt.direct);
+	bool is_owner = owner && (owner->key == node->key || node->opt.direct);
 
-	if (own && !target->owned)
-		gain(node, target);
-	else if (!own && target->owned)
-		lose(node, target);
+	if (is_owner && !target->owned)
+		gain_target(node, target);
+	else if (!is_owner && target->owned)
+		lose_target(node, target);
 	target->owner = owner ? owner->key : 0;
 }
 
@@ -162,14 +164,15 @@
 	return target;
 }
 
-static int share_of(int slots, size_t nodes)
+static int slots_per_node(int slots, size_t nodes)
 {
 	int share = slots / (int)nodes;
 
 	return share < 1 ? 1 : share;
 }
 
-static void list_target(struct node *node, const struct fleet_target *listed)
+static void update_listed_target(struct node *node,
+				 const struct fleet_target *listed)
 {
 	struct target *target = target_get(node, listed);
 	bool was_out = target->domain_out;
@@ -178,13 +181,14 @@
 		str_free(target->addr);
 		target->addr = str_keep(listed->addr);
 		target->boot = 0;
-		target->limit = FLOOR;
+		target->limit = TARGET_LIMIT_MIN;
 	}
 	str_free(target->domain);
 	target->domain = str_keep(listed->domain->name);
 	target->slots = listed->slots;
 	if (node->opt.direct)
-		target->slots = share_of(listed->slots, member_count(node));
+		target->slots =
+			slots_per_node(listed->slots, member_count(node));
 	if (target->limit > target->slots)
 		target->limit = target->slots;
 	target->listed = true;
@@ -192,11 +196,12 @@
 	target->domain_out = listed->domain->out;
 	/* A domain that returns has lost its caches: all of it is cold. */
 	if (was_out && !target->domain_out && target->owned)
-		health_cold(node, target, "its failure domain returned");
+		health_set_cold(node, target, "its failure domain returned");
 }
 
-static void each_target(struct node *node,
-			void (*fn)(struct node *node, struct target *target))
+static void for_each_target(struct node *node,
+			    void (*fn)(struct node *node,
+				       struct target *target))
 {
 	apr_pool_t *pool;
 	apr_hash_index_t *it;
@@ -229,15 +234,15 @@
 
 void gate_view_changed(struct node *node)
 {
-	each_target(node, unlist);
+	for_each_target(node, unlist);
 	for (size_t i = 0; node->fleet && i < node->fleet->ntargets; i++)
-		list_target(node, &node->fleet->targets[i]);
-	each_target(node, review_owner);
-	each_target(node, gate_pump);
-	each_target(node, drop_unlisted);
+		update_listed_target(node, &node->fleet->targets[i]);
+	for_each_target(node, update_owner);
+	for_each_target(node, gate_start_queued);
+	for_each_target(node, drop_unlisted);
 }
 
 void gate_resume(struct node *node)
 {
-	each_target(node, gate_pump);
+	for_each_target(node, gate_start_queued);
 }
--- a/health.c
+++ b/health.c
@@ -2,39 +2,39 @@
 
 enum {
 	RAMP_STREAK = 8,
-	HOLD_NEW_US = 2000000,
-	HOLD_STALE_US = 8000000,
-	SAME_FALL_US = 50000,
-	RELAPSE_US = 30000000,
-	HOLD_MAX_US = 16000000,
+	STEP_NO_BASELINE_US = 2000000,
+	STEP_SLOW_US = 8000000,
+	COLD_DEDUP_US = 50000,
+	RELAPSE_WINDOW_US = 30000000,
+	STEP_INTERVAL_MAX_US = 16000000,
 	SLOW_FACTOR = 8,
 	SLOW_MIN_US = 50000,
 	SLOW_STREAK = 3,
 	SHED_STREAK = 3,
-	BROKEN_STREAK = 2,
-	SERVICE_SHIFT = 4,
-	DOWN_SHIFT = 3,
-	UP_SHIFT = 7,
+	FAILURE_STREAK = 2,
+	SERVICE_EWMA_SHIFT = 4,
+	BASELINE_DOWN_SHIFT = 3,
+	BASELINE_UP_SHIFT = 7,
 	WARM_FACTOR = 2,
 	PROBE_MAX_US = 1000000,
-	PROBE_WAIT_US = 500000,
+	PROBE_TIMEOUT_US = 500000,
 };
 
-static void probe_later(struct node *node, struct target *target)
+static void schedule_probe(struct node *node, struct target *target)
 {
 	if (target->probing || !target->owned)
 		return;
 	target->probing = true;
-	timer_add(&node->timers, node->now + target->probe_us, TIMER_TARGET,
-		  target->key);
-	if (target->probe_us < PROBE_MAX_US)
-		target->probe_us *= 2;
+	timer_add(&node->timers, node->now + target->probe_interval_us,
+		  TIMER_TARGET, target->key);
+	if (target->probe_interval_us < PROBE_MAX_US)
+		target->probe_interval_us *= 2;
 }
 
 static void audit_target(struct node *node, const struct target *target,
-			 const char *to, const char *why)
+			 const char *to, const char *reason)
 {
-	node_audit(node, "target", target->name, str_of(to), why, 0);
+	node_audit(node, "target", target->name, str_of(to), reason, 0);
 }
 
 /*
@@ -43,38 +43,43 @@
  * soon after a step doubles the time that steps take, so a target whose start
  * is longer than expected is not pushed over time and again.
  */
-void health_cold(struct node *node, struct target *target, const char *why)
+void health_set_cold(struct node *node, struct target *target,
+		     const char *reason)
 {
-	int64_t since = node->now - target->step_at;
+	int64_t since = node->now - target->limit_changed_at;
 
 	node->counters[CNT_TARGET_COLD]++;
 	/* Several requests break in one fall: it counts once. */
-	if (target->cold && target->limit == FLOOR && since < SAME_FALL_US)
+	if (target->cold_starts && target->limit == TARGET_LIMIT_MIN &&
+	    since < COLD_DEDUP_US)
 		return;
-	audit_target(node, target, "cold", why);
-	if (target->cold && since < RELAPSE_US && target->hold_us < HOLD_MAX_US)
-		target->hold_us *= 2;
-	else if (since >= RELAPSE_US)
-		target->hold_us = HOLD_MIN_US;
-	target->cold++;
-	target->limit = node->opt.off.no_ramp ? target->slots : FLOOR;
-	target->streak = 0;
-	target->ramp_us = 0;
-	target->slow = 0;
-	target->sheds = 0;
-	target->step_at = node->now;
+	audit_target(node, target, "cold", reason);
+	if (target->cold_starts && since < RELAPSE_WINDOW_US &&
+	    target->step_interval_us < STEP_INTERVAL_MAX_US)
+		target->step_interval_us *= 2;
+	else if (since >= RELAPSE_WINDOW_US)
+		target->step_interval_us = STEP_INTERVAL_MIN_US;
+	target->cold_starts++;
+	target->limit =
+		node->opt.off.no_ramp ? target->slots : TARGET_LIMIT_MIN;
+	target->ramp_streak = 0;
+	target->ramp_service_us = 0;
+	target->slow_streak = 0;
+	target->shed_streak = 0;
+	target->limit_changed_at = node->now;
 }
 
-static void set_down(struct node *node, struct target *target, const char *why)
+static void set_down(struct node *node, struct target *target,
+		     const char *reason)
 {
 	if (target->down)
 		return;
 	node->counters[CNT_TARGET_DOWN]++;
-	audit_target(node, target, "down", why);
+	audit_target(node, target, "down", reason);
 	target->down = true;
-	target->probe_us = PROBE_MIN_US;
-	gate_refuse_all(node, target, ERR_TARGET_DOWN);
-	probe_later(node, target);
+	target->probe_interval_us = PROBE_MIN_US;
+	gate_refuse_queued(node, target, ERR_TARGET_DOWN);
+	schedule_probe(node, target);
 }
 
 static void set_draining(struct node *node, struct target *target)
@@ -83,42 +88,42 @@
 		return;
 	audit_target(node, target, "draining", "the target says so");
 	target->draining = true;
-	target->probe_us = PROBE_MAX_US;
+	target->probe_interval_us = PROBE_MAX_US;
 	if (!node->opt.off.no_leaving_check)
-		gate_refuse_all(node, target, ERR_TARGET_LEAVING);
-	probe_later(node, target);
+		gate_refuse_queued(node, target, ERR_TARGET_LEAVING);
+	schedule_probe(node, target);
 }
 
-static void note_boot(struct node *node, struct target *target, uint64_t boot)
+static void update_boot(struct node *node, struct target *target, uint64_t boot)
 {
 	target->replied_at = node->now;
 	target->unverified = false;
 	if (!boot || boot == target->boot)
 		return;
 	if (target->boot) {
-		health_cold(node, target, "its boot id changed");
+		health_set_cold(node, target, "its boot id changed");
 		target->draining = false;
 	}
 	target->boot = boot;
 }
 
 /* A report can lower the limit: others' work counts against the slots. */
-static void note_load(struct target *target, int load)
+static void update_foreign_load(struct target *target, int load)
 {
 	if (load < 0)
 		return;
-	target->foreign = load > target->busy ? load - target->busy : 0;
+	target->foreign_load = load > target->busy ? load - target->busy : 0;
 }
 
 int health_limit(const struct target *target)
 {
-	int limit = target->slots - target->foreign;
+	int limit = target->slots - target->foreign_load;
 
 	if (target->unverified)
-		return FLOOR;
+		return TARGET_LIMIT_MIN;
 	if (limit > target->limit)
 		limit = target->limit;
-	return limit < FLOOR ? FLOOR : limit;
+	return limit < TARGET_LIMIT_MIN ? TARGET_LIMIT_MIN : limit;
 }
 
 /*
@@ -127,85 +132,91 @@
  * it was warm. Where that is not known, because the gate is new, or no longer
  * true, time decides.
  */
-static bool may_step(const struct node *node, const struct target *target)
+static bool may_raise_limit(const struct node *node,
+			    const struct target *target)
 {
-	int64_t since = node->now - target->step_at;
-	int64_t mean = target->ramp_us / target->streak;
+	int64_t since = node->now - target->limit_changed_at;
+	int64_t mean = target->ramp_service_us / target->ramp_streak;
 
 	if (!target->baseline_us)
-		return since >= HOLD_NEW_US;
+		return since >= STEP_NO_BASELINE_US;
 	if (mean > target->baseline_us * WARM_FACTOR)
-		return since >= HOLD_STALE_US;
-	return since >= target->hold_us;
+		return since >= STEP_SLOW_US;
+	return since >= target->step_interval_us;
 }
 
-static void climb(struct node *node, struct target *target, int64_t service)
+static void raise_limit(struct node *node, struct target *target,
+			int64_t service)
 {
-	target->streak++;
-	target->ramp_us += service;
-	if (target->streak < RAMP_STREAK)
+	target->ramp_streak++;
+	target->ramp_service_us += service;
+	if (target->ramp_streak < RAMP_STREAK)
 		return;
-	if (may_step(node, target)) {
+	if (may_raise_limit(node, target)) {
 		target->limit++;
-		target->step_at = node->now;
+		target->limit_changed_at = node->now;
 		if (target->limit == target->slots)
-			target->baseline_us = target->ramp_us / target->streak;
+			target->baseline_us =
+				target->ramp_service_us / target->ramp_streak;
 	}
-	target->streak = 0;
-	target->ramp_us = 0;
+	target->ramp_streak = 0;
+	target->ramp_service_us = 0;
 }
 
 /* Quickly down and slowly up: a cold start that went unseen, or a busy hour,
  * must not pass for what the target does when it is warm. */
-static void note_baseline(struct target *target, int64_t service)
+static void update_baseline(struct target *target, int64_t service)
 {
 	int64_t off = service - target->baseline_us;
 
-	target->baseline_us += off >> (off < 0 ? DOWN_SHIFT : UP_SHIFT);
+	target->baseline_us +=
+		off >> (off < 0 ? BASELINE_DOWN_SHIFT : BASELINE_UP_SHIFT);
 }
 
-static void note_timely(struct node *node, struct target *target,
-			int64_t service)
+static void record_timely_reply(struct node *node, struct target *target,
+				int64_t service)
 {
-	target->sheds = 0;
-	target->broken = 0;
+	target->shed_streak = 0;
+	target->failure_streak = 0;
 	if (!target->service_us)
 		target->service_us = service;
-	target->service_us += (service - target->service_us) >> SERVICE_SHIFT;
+	target->service_us +=
+		(service - target->service_us) >> SERVICE_EWMA_SHIFT;
 	if (target->baseline_us && service > SLOW_MIN_US &&
 	    service > target->baseline_us * SLOW_FACTOR) {
-		if (++target->slow >= SLOW_STREAK)
-			health_cold(node, target, "latency jumped");
+		if (++target->slow_streak >= SLOW_STREAK)
+			health_set_cold(node, target, "latency jumped");
 		return;
 	}
-	target->slow = 0;
+	target->slow_streak = 0;
 	if (target->limit < target->slots)
-		climb(node, target, service);
+		raise_limit(node, target, service);
 	else if (!target->baseline_us)
 		target->baseline_us = service;
 	else
-		note_baseline(target, service);
+		update_baseline(target, service);
 }
 
-void health_note(struct node *node, struct target *target,
-		 const struct job *job, const struct fetched *got, int status)
+void health_record_reply(struct node *node, struct target *target,
+			 const struct job *job, const struct fetched *got,
+			 int status)
 {
-	note_boot(node, target, got->boot);
-	note_load(target, got->load);
+	update_boot(node, target, got->boot);
+	update_foreign_load(target, got->load);
 	switch (got->result) {
 	case FETCH_REFUSED:
-		health_cold(node, target, "it refused a connection");
+		health_set_cold(node, target, "it refused a connection");
 		set_down(node, target, "it refused a connection");
 		return;
 	case FETCH_BROKEN:
-		health_cold(node, target, "it closed without a reply");
-		if (++target->broken >= BROKEN_STREAK)
+		health_set_cold(node, target, "it closed without a reply");
+		if (++target->failure_streak >= FAILURE_STREAK)
 			set_down(node, target, "it closes without a reply");
 		return;
 	case FETCH_TIMEOUT:
-		if (++target->broken < BROKEN_STREAK)
+		if (++target->failure_streak < FAILURE_STREAK)
 			return;
-		health_cold(node, target, "it does not answer");
+		health_set_cold(node, target, "it does not answer");
 		set_down(node, target, "it does not answer");
 		return;
 	case FETCH_MALFORMED:
@@ -216,11 +227,11 @@
 	if (got->draining)
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
-		if (++target->sheds >= SHED_STREAK)
-			health_cold(node, target, "it sheds in a row");
-		else if (target->limit > FLOOR)
+		if (++target->shed_streak >= SHED_STREAK)
+			health_set_cold(node, target, "it sheds in a row");
+		else if (target->limit > TARGET_LIMIT_MIN)
 			target->limit--;
-		target->step_at = node->now;
+		target->limit_changed_at = node->now;
 		return;
 	}
 	/*
@@ -228,15 +239,15 @@
 	 * rest of a cold target's answers would look as fast as warm ones.
 	 */
 	if (job->cancelled) {
-		target->streak = 0;
-		target->ramp_us = 0;
+		target->ramp_streak = 0;
+		target->ramp_service_us = 0;
 	} else if (!status) {
-		note_timely(node, target, node->now - job->started_at);
+		record_timely_reply(node, target, node->now - job->started_at);
 	}
 }
 
-void health_probed(struct node *node, struct target *target,
-		   const struct fetched *got)
+void health_record_probe(struct node *node, struct target *target,
+			 const struct fetched *got)
 {
 	target->probing = false;
 	if (!target->owned || (!target->down && !target->draining))
@@ -250,14 +261,14 @@
 		return;
 	}
 	if (!answers || got->draining) {
-		probe_later(node, target);
+		schedule_probe(node, target);
 		return;
 	}
-	note_boot(node, target, got->boot);
+	update_boot(node, target, got->boot);
 	target->down = false;
 	target->draining = false;
-	target->broken = 0;
-	health_cold(node, target, "it answers again");
+	target->failure_streak = 0;
+	health_set_cold(node, target, "it answers again");
 }
 
 void health_timer(struct node *node, uint64_t key)
@@ -277,6 +288,6 @@
 	fx->id = key;
 	fx->fetch = FETCH_HEALTH;
 	fx->addr = str_dup(node->fx->pool, target->addr);
-	fx->wait_us = PROBE_WAIT_US;
+	fx->wait_us = PROBE_TIMEOUT_US;
 	node->counters[CNT_TARGET_PROBES]++;
 }
--- a/health.h
+++ b/health.h
@@ -10,20 +10,22 @@
  */
 
 enum {
-	FLOOR = 1,
-	HOLD_MIN_US = 500000,
+	TARGET_LIMIT_MIN = 1,
+	STEP_INTERVAL_MIN_US = 500000,
 	PROBE_MIN_US = 100000,
 };
 
-/** health_cold() - back to the floor. */
-void health_cold(struct node *node, struct target *target, const char *why);
+/** health_set_cold() - back to the floor. */
+void health_set_cold(struct node *node, struct target *target,
+		     const char *reason);
 /** health_limit() - requests that may be in progress now. */
 int health_limit(const struct target *target);
-/** health_note() - learn from the reply to @job. */
-void health_note(struct node *node, struct target *target,
-		 const struct job *job, const struct fetched *got, int status);
-/** health_probed() - learn from the reply to a probe. */
-void health_probed(struct node *node, struct target *target,
-		   const struct fetched *got);
+/** health_record_reply() - learn from the reply to @job. */
+void health_record_reply(struct node *node, struct target *target,
+			 const struct job *job, const struct fetched *got,
+			 int status);
+/** health_record_probe() - learn from the reply to a probe. */
+void health_record_probe(struct node *node, struct target *target,
+			 const struct fetched *got);
 /** health_timer() - a probe of the target with @key is due. */
 void health_timer(struct node *node, uint64_t key);
--- a/once.c
+++ b/once.c
@@ -312,13 +312,14 @@
 	size_t usable = 0;
 
 	for (size_t i = 0; i < shard->nreplicas; i++)
-		if (gate_listed(node, shard->replicas[i]->key))
+		if (gate_target_in_service(node, shard->replicas[i]->key))
 			usable++;
 	if (!usable)
 		return NULL;
 	n %= usable;
 	for (size_t i = 0; i < shard->nreplicas; i++)
-		if (gate_listed(node, shard->replicas[i]->key) && !n--)
+		if (gate_target_in_service(node, shard->replicas[i]->key) &&
+		    !n--)
 			return shard->replicas[i];
 	return NULL;
 }
--- a/replica.c
+++ b/replica.c
@@ -56,7 +56,7 @@
 bool replica_usable(struct node *node, const struct fleet_target *target,
 		    uint64_t version)
 {
-	return gate_listed(node, target->key) &&
+	return gate_target_in_service(node, target->key) &&
 	       has_version(node, target, version);
 }
 
@@ -129,7 +129,7 @@
 
 		struct replica *replica = value;
 
-		if (replica->outstanding || gate_knows(node, replica->key))
+		if (replica->outstanding || gate_has_target(node, replica->key))
 			continue;
 		apr_hash_set(replicas, &replica->key, sizeof(replica->key),
 			     NULL);
--- a/status.c
+++ b/status.c
@@ -32,7 +32,7 @@
 		   (unsigned long long)target->requests);
 	buf_printf(out, ",\"refused\":%llu,\"cold_starts\":%llu}",
 		   (unsigned long long)target->refused,
-		   (unsigned long long)target->cold);
+		   (unsigned long long)target->cold_starts);
 }
 
 static void gate_json(const struct node *node, struct buf *out)
@@ -141,7 +141,7 @@
 		owned += target->owned;
 		requests += target->requests;
 		refused += target->refused;
-		cold += target->cold;
+		cold += target->cold_starts;
 	}
 	buf_str_add(out, STR("{\"domain\":"));
 	buf_json_add(out, domain->name);
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -145,7 +145,8 @@
 		if (!mesh->nodes[i].up)
 			continue;
 
-		const struct target *t = gate_listed(mesh->nodes[i].node, key);
+		const struct target *t =
+			gate_target_in_service(mesh->nodes[i].node, key);
 
 		if (t && t->owned)
 			return i;
@@ -339,9 +340,10 @@
 		mesh_run(mesh, 5 * MS);
 	}
 	ck_assert_int_le(mesh_target(mesh, "t0")->peak_cold, 1);
-	ck_assert_int_eq(
-		gate_listed(mesh->nodes[gate_of(mesh, "t3")].node, key)->limit,
-		2);
+	ck_assert_int_eq(gate_target_in_service(
+				 mesh->nodes[gate_of(mesh, "t3")].node, key)
+				 ->limit,
+			 2);
 }
 
 /* 4. Domain out, and the platform goes down right after (a pair).
