--- a/front.h
+++ b/front.h
@@ -134,7 +134,8 @@
 void front_destroy(struct node *node);
 void front_ask(struct node *node, uint64_t caller, struct str body);
 void front_caller_gone(struct node *node, uint64_t caller);
-void front_quota(struct node *node, uint64_t id, bool taken, int64_t retry_us);
+void front_quota_result(struct node *node, uint64_t id, bool taken,
+			int64_t retry_us);
 void front_reply(struct node *node, struct str from, uint64_t incarnation,
 		 const struct msg *msg);
 /** front_gate_lost() - fail over what was sent to a gate that is gone. */
--- a/front_admit.c
+++ b/front_admit.c
@@ -218,7 +218,8 @@
 	}
 }
 
-void front_quota(struct node *node, uint64_t id, bool taken, int64_t retry_us)
+void front_quota_result(struct node *node, uint64_t id, bool taken,
+			int64_t retry_us)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
--- a/once.c
+++ b/once.c
@@ -8,11 +8,11 @@
 #include "xmalloc.h"
 
 enum {
-	ENTRY_DEFAULT_US = 2000000,
-	ENTRY_MAX_US = 8000000,
+	ENTRY_DEFAULT_TIMEOUT_US = 2000000,
+	ENTRY_MAX_TIMEOUT_US = 8000000,
 	ATTEMPTS_MAX = 6,
-	ATTEMPT_WAIT_US = 30000,
-	RESULT_KEPT = 4096,
+	RESERVE_RETRY_US = 30000,
+	RESULT_KEPT_MAX_BYTES = 4096,
 	RECORDS_MAX = 20000,
 	FORWARD_GRACE_US = 250000,
 };
@@ -71,7 +71,7 @@
 size_t once_open(const struct node *node)
 {
 	const struct once *once = node->once;
-	size_t tickets = once->unused;
+	size_t tickets = once->unused_tickets;
 
 	if (node->now - once->issued_at >= TICKET_US)
 		tickets = 0;
@@ -80,7 +80,7 @@
 
 /* Answers. */
 
-static int outcome_json(const struct record *record, struct buf *out)
+static int record_to_json(const struct record *record, struct buf *out)
 {
 	buf_str_add(out, STR("{\"request_id\":"));
 	buf_json_add(out, record->request_id);
@@ -108,9 +108,9 @@
 	return not_run || status == 503 ? status : 504;
 }
 
-static int plain_json(struct str request_id, const char *outcome, int code,
-		      const char *text, int64_t retry_us, struct str ticket,
-		      struct buf *out)
+static int outcome_to_json(struct str request_id, const char *outcome, int code,
+			   const char *text, int64_t retry_us,
+			   struct str ticket, struct buf *out)
 {
 	struct buf error = { 0 };
 
@@ -125,8 +125,8 @@
 	return error_info(code)->status;
 }
 
-void once_tell(struct node *node, const struct waiter *waiter, int status,
-	       struct str body)
+void once_reply(struct node *node, const struct waiter *waiter, int status,
+		struct str body)
 {
 	if (!waiter->addr.len) {
 		node_answer(node, waiter->caller, status, body);
@@ -141,25 +141,25 @@
 	node_send(node, waiter->addr, waiter->incarnation, &msg);
 }
 
-void once_tell_plain(struct node *node, const struct waiter *waiter,
-		     struct str request_id, const char *outcome, int code,
-		     const char *text, int64_t retry_us, struct str ticket)
+void once_reply_outcome(struct node *node, const struct waiter *waiter,
+			struct str request_id, const char *outcome, int code,
+			const char *text, int64_t retry_us, struct str ticket)
 {
 	struct buf out = { 0 };
-	int status = plain_json(request_id, outcome, code, text, retry_us,
-				ticket, &out);
+	int status = outcome_to_json(request_id, outcome, code, text, retry_us,
+				     ticket, &out);
 
-	once_tell(node, waiter, status, buf_str(&out));
+	once_reply(node, waiter, status, buf_str(&out));
 	buf_free(&out);
 }
 
-void once_tell_record(struct node *node, const struct record *record,
-		      const struct waiter *waiter)
+void once_reply_record(struct node *node, const struct record *record,
+		       const struct waiter *waiter)
 {
 	struct buf out = { 0 };
-	int status = outcome_json(record, &out);
+	int status = record_to_json(record, &out);
 
-	once_tell(node, waiter, status, buf_str(&out));
+	once_reply(node, waiter, status, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -190,8 +190,8 @@
 		once->oldest = record->newer;
 		if (once->oldest)
 			once->oldest->older = NULL;
-		if (record->seq > once->evicted)
-			once->evicted = record->seq;
+		if (record->seq > once->evicted_seq)
+			once->evicted_seq = record->seq;
 		apr_hash_set(once->records, &record->seq, sizeof(record->seq),
 			     NULL);
 		once->count--;
@@ -215,15 +215,15 @@
 	record->request_id = str_keep(record->entry.request_id);
 	record->customer = str_hash(record->entry.customer);
 	record->body_hash = str_hash(record->entry.entry);
-	record->state = RECORD_RESERVE;
+	record->state = RECORD_RESERVING;
 
-	int64_t allowed = record->entry.deadline_us;
+	int64_t timeout_us = record->entry.deadline_us;
 
-	if (!allowed)
-		allowed = ENTRY_DEFAULT_US;
-	if (allowed > ENTRY_MAX_US)
-		allowed = ENTRY_MAX_US;
-	record->deadline = node->now + allowed;
+	if (!timeout_us)
+		timeout_us = ENTRY_DEFAULT_TIMEOUT_US;
+	if (timeout_us > ENTRY_MAX_TIMEOUT_US)
+		timeout_us = ENTRY_MAX_TIMEOUT_US;
+	record->deadline = node->now + timeout_us;
 	record->older = once->newest;
 	if (once->newest)
 		once->newest->newer = record;
@@ -233,8 +233,8 @@
 	apr_hash_set(once->records, &record->seq, sizeof(record->seq), record);
 	once->count++;
 	once->open++;
-	if (once->unused)
-		once->unused--;
+	if (once->unused_tickets)
+		once->unused_tickets--;
 	evict(node);
 	return record;
 }
@@ -249,8 +249,8 @@
 	record->waiters = copy;
 }
 
-static void conclude(struct node *node, struct record *record,
-		     enum record_state state, int code, struct str result)
+static void set_outcome(struct node *node, struct record *record,
+			enum record_state state, int code, struct str result)
 {
 	static const enum counter counters[] = {
 		[RECORD_DONE] = CNT_ENTRIES_DONE,
@@ -265,12 +265,12 @@
 	str_free(record->result);
 	record->result = str_keep(result);
 	if (!record->retry_us)
-		record->retry_us = ONCE_RETRY_US;
+		record->retry_us = ONCE_RETRY_AFTER_US;
 	node->counters[counters[state]]++;
 	for (struct waiter *w = record->waiters; w; w = w->next)
-		once_tell_record(node, record, w);
+		once_reply_record(node, record, w);
 	record->waiters = NULL;
-	if (record->result.len > RESULT_KEPT) {
+	if (record->result.len > RESULT_KEPT_MAX_BYTES) {
 		str_free(record->result);
 		record->result = str_keep(STR("{\"omitted\":true}"));
 	}
@@ -282,7 +282,7 @@
 
 void once_set_not_run(struct node *node, struct record *record, int code)
 {
-	conclude(node, record, RECORD_NOT_RUN, code, (struct str){ 0 });
+	set_outcome(node, record, RECORD_NOT_RUN, code, (struct str){ 0 });
 }
 
 /* Two steps: a slot first, then the body. */
@@ -306,8 +306,9 @@
 }
 
 /* The @n-th replica that is in service, counting around. */
-static struct fleet_target *
-usable_replica(const struct node *node, const struct shard *shard, uint32_t n)
+static struct fleet_target *nth_usable_replica(const struct node *node,
+					       const struct shard *shard,
+					       uint32_t n)
 {
 	size_t usable = 0;
 
@@ -324,7 +325,7 @@
 	return NULL;
 }
 
-void once_reserve(struct node *node, struct record *record, int why)
+void once_reserve(struct node *node, struct record *record, int error_code)
 {
 	uint64_t version;
 	const struct shard *shard =
@@ -333,15 +334,16 @@
 	struct vm *gate = NULL;
 
 	if (shard)
-		target = usable_replica(node, shard, record->attempt);
+		target = nth_usable_replica(node, shard, record->attempt);
 	if (target)
 		gate = member_owner(node, target->key, target->domain->name);
 	if (!gate || record->attempt == ATTEMPTS_MAX) {
-		once_set_not_run(node, record, why ? why : ERR_NO_REPLICA);
+		once_set_not_run(node, record,
+				 error_code ? error_code : ERR_NO_REPLICA);
 		return;
 	}
 	record->attempt++;
-	record->state = RECORD_RESERVE;
+	record->state = RECORD_RESERVING;
 	record->gate = gate->key;
 	record->gate_incarnation = gate->incarnation;
 
@@ -364,11 +366,12 @@
  * come or go the views of who owns the target differ for a while, and all of
  * the attempts would be spent within it.
  */
-static void reserve_later(struct node *node, struct record *record, int why)
+static void schedule_reserve(struct node *node, struct record *record,
+			     int error_code)
 {
 	record->gate = 0;
-	record->code = why;
-	record->retry_at = node->now + ATTEMPT_WAIT_US * record->attempt;
+	record->code = error_code;
+	record->retry_at = node->now + RESERVE_RETRY_US * record->attempt;
 	timer_add(&node->timers, record->retry_at, TIMER_RECORD, record->seq);
 }
 
@@ -380,8 +383,8 @@
 	       record->attempt == msg->attempt;
 }
 
-static void release(struct node *node, const struct record *record,
-		    struct str addr)
+static void release_reservation(struct node *node, const struct record *record,
+				struct str addr)
 {
 	struct msg msg = { .kind = MSG_RELEASE,
 			   .id = record->seq,
@@ -395,11 +398,11 @@
 {
 	struct record *record = once_record_find(node, msg->id);
 
-	if (!record || record->state != RECORD_RESERVE ||
+	if (!record || record->state != RECORD_RESERVING ||
 	    !is_from_gate(record, from, incarnation, msg))
 		return;
 	if (node->now >= record->deadline) {
-		release(node, record, from);
+		release_reservation(node, record, from);
 		once_set_not_run(node, record, ERR_DEADLINE);
 		return;
 	}
@@ -424,23 +427,23 @@
 
 	if (!record || !is_from_gate(record, from, incarnation, msg))
 		return;
-	if (record->state == RECORD_RESERVE && msg->status && !msg->ran) {
-		reserve_later(node, record, msg->status);
+	if (record->state == RECORD_RESERVING && msg->status && !msg->ran) {
+		schedule_reserve(node, record, msg->status);
 		return;
 	}
 	/* A late word can settle an "unknown"; only "done" is beyond doubt. */
 	if (record->state == RECORD_UNKNOWN && !msg->status) {
-		conclude(node, record, RECORD_DONE, 0, msg->body);
+		set_outcome(node, record, RECORD_DONE, 0, msg->body);
 		return;
 	}
 	if (record->state != RECORD_SENT)
 		return;
 	if (!msg->status)
-		conclude(node, record, RECORD_DONE, 0, msg->body);
+		set_outcome(node, record, RECORD_DONE, 0, msg->body);
 	else
-		conclude(node, record,
-			 msg->ran ? RECORD_UNKNOWN : RECORD_NOT_RUN,
-			 msg->status, (struct str){ 0 });
+		set_outcome(node, record,
+			    msg->ran ? RECORD_UNKNOWN : RECORD_NOT_RUN,
+			    msg->status, (struct str){ 0 });
 }
 
 void once_timer(struct node *node, uint64_t seq)
@@ -458,31 +461,31 @@
 	if (node->now < record->deadline)
 		return;
 	if (record->state == RECORD_SENT) {
-		conclude(node, record, RECORD_UNKNOWN, ERR_DEADLINE,
-			 (struct str){ 0 });
+		set_outcome(node, record, RECORD_UNKNOWN, ERR_DEADLINE,
+			    (struct str){ 0 });
 		return;
 	}
 
 	struct vm *gate = member_find(node, record->gate);
 
-	if (gate && record->state == RECORD_RESERVE)
-		release(node, record, gate->addr);
+	if (gate && record->state == RECORD_RESERVING)
+		release_reservation(node, record, gate->addr);
 	once_set_not_run(node, record, ERR_DEADLINE);
 }
 
 static void record_gate_lost(struct node *node, struct record *record)
 {
-	if (record->state == RECORD_RESERVE)
-		reserve_later(node, record, ERR_GATE_LOST);
+	if (record->state == RECORD_RESERVING)
+		schedule_reserve(node, record, ERR_GATE_LOST);
 	else if (record->state == RECORD_SENT)
-		conclude(node, record, RECORD_UNKNOWN, ERR_GATE_LOST,
-			 (struct str){ 0 });
+		set_outcome(node, record, RECORD_UNKNOWN, ERR_GATE_LOST,
+			    (struct str){ 0 });
 }
 
 /* Forwards. */
 
-static void forward_end(struct node *node, struct forward *forward, int status,
-			struct str body)
+static void forward_finish(struct node *node, struct forward *forward,
+			   int status, struct str body)
 {
 	uint64_t caller = forward->caller;
 
@@ -492,19 +495,20 @@
 	node_answer(node, caller, status, body);
 }
 
-static void forward_lost(struct node *node, struct forward *forward)
+static void forward_fail(struct node *node, struct forward *forward)
 {
 	struct buf out = { 0 };
-	bool harmless = forward->kind == FORWARD_TICKET;
-	int code = harmless ? ERR_OVERLOADED : ERR_ISSUER_GONE;
-	int status = plain_json(
-		(struct str){ 0 }, harmless ? "not_run" : "unknown", code,
-		harmless ? "no ticket was issued"
-			 : "the VM that issued the ticket did "
-			   "not answer",
-		harmless ? ONCE_RETRY_US : 0, (struct str){ 0 }, &out);
-
-	forward_end(node, forward, status, buf_str(&out));
+	bool ticket_request = forward->kind == FORWARD_TICKET;
+	int code = ticket_request ? ERR_OVERLOADED : ERR_ISSUER_GONE;
+	int status = outcome_to_json(
+		(struct str){ 0 }, ticket_request ? "not_run" : "unknown", code,
+		ticket_request ? "no ticket was issued"
+			       : "the VM that issued the ticket did "
+				 "not answer",
+		ticket_request ? ONCE_RETRY_AFTER_US : 0, (struct str){ 0 },
+		&out);
+
+	forward_finish(node, forward, status, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -524,7 +528,8 @@
 	msg.id = forward->id;
 	node->counters[CNT_FORWARDS]++;
 	node_send(node, vm->addr, vm->incarnation, &msg);
-	timer_add(&node->timers, node->now + ENTRY_MAX_US + FORWARD_GRACE_US,
+	timer_add(&node->timers,
+		  node->now + ENTRY_MAX_TIMEOUT_US + FORWARD_GRACE_US,
 		  TIMER_FORWARD, forward->id);
 }
 
@@ -534,7 +539,7 @@
 		apr_hash_get(node->once->forwards, &id, sizeof(id));
 
 	if (forward)
-		forward_lost(node, forward);
+		forward_fail(node, forward);
 }
 
 void once_forward_reply(struct node *node, struct str from,
@@ -547,7 +552,7 @@
 	if (!forward || forward->issuer != str_hash(from) ||
 	    forward->incarnation != incarnation)
 		return;
-	forward_end(node, forward, msg->status, msg->body);
+	forward_finish(node, forward, msg->status, msg->body);
 }
 
 void once_caller_gone(struct node *node, uint64_t caller)
@@ -566,7 +571,7 @@
 	}
 }
 
-static void forwards_lost(struct node *node, uint64_t key, uint64_t incarnation)
+static void fail_forwards(struct node *node, uint64_t key, uint64_t incarnation)
 {
 	for (;;) {
 		struct forward *lost = NULL;
@@ -586,7 +591,7 @@
 		}
 		if (!lost)
 			return;
-		forward_lost(node, lost);
+		forward_fail(node, lost);
 	}
 }
 
@@ -594,7 +599,7 @@
 {
 	if (!node->once)
 		return;
-	forwards_lost(node, key, incarnation);
+	fail_forwards(node, key, incarnation);
 	for (struct record *r = node->once->newest; r; r = r->older)
 		if (!once_is_final(r) && r->gate == key &&
 		    r->gate_incarnation == incarnation)
--- a/once.h
+++ b/once.h
@@ -14,8 +14,8 @@
  */
 
 enum record_state {
-	RECORD_QUOTA, /* waits for a lease of the plan */
-	RECORD_RESERVE, /* a gate was asked for a slot; no body sent */
+	RECORD_AWAIT_QUOTA, /* waits for a lease of the plan */
+	RECORD_RESERVING, /* a gate was asked for a slot; no body sent */
 	RECORD_SENT, /* the body is on its way: it may run */
 	RECORD_DONE,
 	RECORD_NOT_RUN,
@@ -70,10 +70,10 @@
 	struct record *newest;
 	size_t count;
 	size_t open;
-	size_t unused; /* tickets issued and not used yet */
+	size_t unused_tickets; /* tickets issued and not used yet */
 	int64_t issued_at; /* last issue */
 
-	uint64_t evicted; /* records up to here may have been dropped */
+	uint64_t evicted_seq; /* records up to here may have been dropped */
 	uint64_t secret;
 };
 
@@ -83,8 +83,8 @@
 void once_entry(struct node *node, uint64_t caller, struct str body);
 void once_lookup(struct node *node, uint64_t caller, struct str body);
 void once_caller_gone(struct node *node, uint64_t caller);
-void once_forwarded(struct node *node, struct str from, uint64_t incarnation,
-		    const struct msg *msg);
+void once_handle_forward(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
 void once_forward_reply(struct node *node, struct str from,
 			uint64_t incarnation, const struct msg *msg);
 void once_grant(struct node *node, struct str from, uint64_t incarnation,
@@ -92,7 +92,8 @@
 void once_go_reply(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
 void once_peer_lost(struct node *node, uint64_t key, uint64_t incarnation);
-void once_quota(struct node *node, uint64_t seq, bool taken, int64_t retry_us);
+void once_quota_result(struct node *node, uint64_t seq, bool taken,
+		       int64_t retry_us);
 void once_timer(struct node *node, uint64_t seq);
 void once_forward_timer(struct node *node, uint64_t id);
 /** once_open() - records, forwards and tickets that a stop has to wait for. */
@@ -103,7 +104,7 @@
 enum {
 	/* Told to callers whose entry did not run for want of a slot or node.
 	 */
-	ONCE_RETRY_US = 500000,
+	ONCE_RETRY_AFTER_US = 500000,
 };
 
 /** enum forward_kind - what the issuer is asked for */
@@ -120,12 +121,12 @@
 struct record *once_record_create(struct node *node, uint64_t seq,
 				  struct str body);
 struct record *once_record_find(const struct node *node, uint64_t seq);
-void once_reserve(struct node *node, struct record *record, int why);
+void once_reserve(struct node *node, struct record *record, int error_code);
 void once_set_not_run(struct node *node, struct record *record, int code);
-void once_tell(struct node *node, const struct waiter *waiter, int status,
-	       struct str body);
-void once_tell_plain(struct node *node, const struct waiter *waiter,
-		     struct str request_id, const char *outcome, int code,
-		     const char *text, int64_t retry_us, struct str ticket);
-void once_tell_record(struct node *node, const struct record *record,
-		      const struct waiter *waiter);
+void once_reply(struct node *node, const struct waiter *waiter, int status,
+		struct str body);
+void once_reply_outcome(struct node *node, const struct waiter *waiter,
+			struct str request_id, const char *outcome, int code,
+			const char *text, int64_t retry_us, struct str ticket);
+void once_reply_record(struct node *node, const struct record *record,
+		       const struct waiter *waiter);
--- a/once_entry.c
+++ b/once_entry.c
@@ -24,7 +24,7 @@
 				 plan ? ERR_NOT_ALLOWED : ERR_UNKNOWN_CUSTOMER);
 		return;
 	}
-	record->state = RECORD_QUOTA;
+	record->state = RECORD_AWAIT_QUOTA;
 	switch (quota_take(node, record->entry.customer, plan, record->seq,
 			   &retry_us)) {
 	case QUOTA_TAKEN:
@@ -39,11 +39,12 @@
 	}
 }
 
-void once_quota(struct node *node, uint64_t seq, bool taken, int64_t retry_us)
+void once_quota_result(struct node *node, uint64_t seq, bool taken,
+		       int64_t retry_us)
 {
 	struct record *record = once_record_find(node, seq);
 
-	if (!record || record->state != RECORD_QUOTA)
+	if (!record || record->state != RECORD_AWAIT_QUOTA)
 		return;
 	if (taken) {
 		once_reserve(node, record, 0);
@@ -62,29 +63,29 @@
 		    (lookup || record->body_hash == str_hash(entry->entry));
 
 	if (!same) {
-		once_tell_plain(node, waiter, entry->request_id, "unknown",
-				ERR_TICKET_MISMATCH,
-				"the ticket was used for another entry", 0,
-				(struct str){ 0 });
+		once_reply_outcome(node, waiter, entry->request_id, "unknown",
+				   ERR_TICKET_MISMATCH,
+				   "the ticket was used for another entry", 0,
+				   (struct str){ 0 });
 		return;
 	}
 	node->counters[CNT_ENTRIES_REPEATED]++;
 	if (once_is_final(record))
-		once_tell_record(node, record, waiter);
+		once_reply_record(node, record, waiter);
 	else
 		once_add_waiter(record, waiter);
 }
 
-static void run_here(struct node *node, const struct ticket *ticket,
-		     const struct entry *entry, struct str body, bool lookup,
-		     const struct waiter *waiter)
+static void run_locally(struct node *node, const struct ticket *ticket,
+			const struct entry *entry, struct str body, bool lookup,
+			const struct waiter *waiter)
 {
 	struct record *record = once_record_find(node, ticket->seq);
 	int code = 0;
 
 	if (ticket->check !=
 	    ticket_check(node, ticket, entry->customer, entry->request_id)) {
-		once_tell_plain(
+		once_reply_outcome(
 			node, waiter, entry->request_id, "not_run",
 			ERR_TICKET_INVALID,
 			"the ticket does not fit request id and customer", 0,
@@ -95,14 +96,14 @@
 		join_record(node, record, entry, lookup, waiter);
 		return;
 	}
-	if (ticket->seq <= node->once->evicted)
+	if (ticket->seq <= node->once->evicted_seq)
 		code = ERR_ISSUER_GONE;
 	else if (node->now - ticket->issued_at >= TICKET_US)
 		code = ERR_TICKET_EXPIRED;
 	else if (lookup)
 		code = ERR_NOT_FOUND;
 	if (code) {
-		once_tell_plain(
+		once_reply_outcome(
 			node, waiter, entry->request_id,
 			code == ERR_ISSUER_GONE ? "unknown" : "not_run", code,
 			code == ERR_NOT_FOUND ? "the ticket was not used yet"
@@ -116,7 +117,7 @@
 	start_record(node, record);
 }
 
-static struct vm *another_issuer(struct node *node)
+static struct vm *find_other_issuer(struct node *node)
 {
 	for (size_t i = 1; i < node->member->count; i++)
 		if (member_usable(node, node->member->vms[i]))
@@ -130,8 +131,8 @@
 	return member_state(node) == VM_LIVE && !member_isolated(node);
 }
 
-static void require_ticket(struct node *node, const struct entry *entry,
-			   struct str body, const struct waiter *waiter)
+static void reply_ticket_required(struct node *node, const struct entry *entry,
+				  struct str body, const struct waiter *waiter)
 {
 	char text[TICKET_MAX];
 	struct str issued = ticket_issue(node, entry->customer,
@@ -139,16 +140,16 @@
 	struct ticket ticket;
 
 	if (node->opt.off.no_ticket && ticket_parse(issued, &ticket)) {
-		run_here(node, &ticket, entry, body, false, waiter);
+		run_locally(node, &ticket, entry, body, false, waiter);
 		return;
 	}
-	once_tell_plain(node, waiter, entry->request_id, "not_run",
-			ERR_TICKET_REQUIRED, "an entry needs a ticket", 0,
-			issued);
+	once_reply_outcome(node, waiter, entry->request_id, "not_run",
+			   ERR_TICKET_REQUIRED, "an entry needs a ticket", 0,
+			   issued);
 }
 
-static void give_ticket(struct node *node, struct str body,
-			const struct waiter *waiter)
+static void reply_ticket(struct node *node, struct str body,
+			 const struct waiter *waiter)
 {
 	struct buf out = { 0 };
 	char text[TICKET_MAX];
@@ -158,11 +159,12 @@
 
 	apr_pool_create(&pool, node->once->pool);
 	if (entry_parse(body, true, pool, &entry, &err)) {
-		once_tell_plain(node, waiter, entry.request_id, "not_run",
-				err.code, err.text, 0, (struct str){ 0 });
+		once_reply_outcome(node, waiter, entry.request_id, "not_run",
+				   err.code, err.text, 0, (struct str){ 0 });
 	} else if (!lists_plan(node->lists, entry.customer)) {
-		once_tell_plain(node, waiter, entry.request_id, "not_run",
-				ERR_UNKNOWN_CUSTOMER, "", 0, (struct str){ 0 });
+		once_reply_outcome(node, waiter, entry.request_id, "not_run",
+				   ERR_UNKNOWN_CUSTOMER, "", 0,
+				   (struct str){ 0 });
 	} else {
 		buf_str_add(&out, STR("{\"request_id\":"));
 		buf_json_add(&out, entry.request_id);
@@ -170,20 +172,20 @@
 			     sizeof(text));
 		buf_printf(&out, ",\"ticket\":\"%s\",\"valid_ms\":%d}", text,
 			   TICKET_US / 1000);
-		once_tell(node, waiter, 200, buf_str(&out));
+		once_reply(node, waiter, 200, buf_str(&out));
 	}
 	buf_free(&out);
 	apr_pool_destroy(pool);
 }
 
-static bool pass_on(struct node *node, const struct waiter *waiter,
-		    enum forward_kind kind, struct str body)
+static bool try_forward(struct node *node, const struct waiter *waiter,
+			enum forward_kind kind, struct str body)
 {
 	struct vm *other;
 
 	if (may_issue(node) || waiter->addr.len)
 		return false;
-	other = another_issuer(node);
+	other = find_other_issuer(node);
 	if (!other)
 		return false;
 	once_forward_to(node, waiter->caller, other, kind, body);
@@ -194,8 +196,9 @@
 {
 	if (node->lists && node->fleet && member_state(node) != VM_STARTING)
 		return false;
-	once_tell_plain(node, waiter, (struct str){ 0 }, "not_run",
-			ERR_STARTING, "", ONCE_RETRY_US, (struct str){ 0 });
+	once_reply_outcome(node, waiter, (struct str){ 0 }, "not_run",
+			   ERR_STARTING, "", ONCE_RETRY_AFTER_US,
+			   (struct str){ 0 });
 	return true;
 }
 
@@ -204,9 +207,9 @@
 	struct waiter waiter = { .caller = caller };
 
 	if (refuse_starting(node, &waiter) ||
-	    pass_on(node, &waiter, FORWARD_TICKET, body))
+	    try_forward(node, &waiter, FORWARD_TICKET, body))
 		return;
-	give_ticket(node, body, &waiter);
+	reply_ticket(node, body, &waiter);
 }
 
 static void route(struct node *node, struct str body, bool lookup,
@@ -216,20 +219,20 @@
 	struct vm *issuer;
 
 	if (!entry->ticket.len && !lookup) {
-		if (!pass_on(node, waiter, FORWARD_ENTRY, body))
-			require_ticket(node, entry, body, waiter);
+		if (!try_forward(node, waiter, FORWARD_ENTRY, body))
+			reply_ticket_required(node, entry, body, waiter);
 		return;
 	}
 	if (!ticket_parse(entry->ticket, &ticket)) {
-		once_tell_plain(node, waiter, entry->request_id, "not_run",
-				ERR_TICKET_INVALID, "not a ticket", 0,
-				(struct str){ 0 });
+		once_reply_outcome(node, waiter, entry->request_id, "not_run",
+				   ERR_TICKET_INVALID, "not a ticket", 0,
+				   (struct str){ 0 });
 		return;
 	}
 	issuer = member_find(node, str_hash(ticket.addr));
 	if (str_eq(ticket.addr, node->opt.addr) &&
 	    ticket.incarnation == node->opt.incarnation) {
-		run_here(node, &ticket, entry, body, lookup, waiter);
+		run_locally(node, &ticket, entry, body, lookup, waiter);
 	} else if (issuer && issuer->incarnation == ticket.incarnation &&
 		   issuer->heard_at != INT64_MIN && !waiter->addr.len) {
 		once_forward_to(node, waiter->caller, issuer,
@@ -239,7 +242,7 @@
 		 * The issuer alone knows whether the entry ran. Running it
 		 * here could be the second run, so nobody else ever does.
 		 */
-		once_tell_plain(
+		once_reply_outcome(
 			node, waiter, entry->request_id, "unknown",
 			ERR_ISSUER_GONE,
 			"the VM that issued the ticket is gone or cut off", 0,
@@ -247,8 +250,8 @@
 	}
 }
 
-static void handle(struct node *node, struct str body, bool lookup,
-		   const struct waiter *waiter)
+static void handle_request(struct node *node, struct str body, bool lookup,
+			   const struct waiter *waiter)
 {
 	struct error err = { 0 };
 	struct entry entry;
@@ -256,8 +259,8 @@
 
 	apr_pool_create(&pool, node->once->pool);
 	if (entry_parse(body, lookup, pool, &entry, &err))
-		once_tell_plain(node, waiter, entry.request_id, "not_run",
-				err.code, err.text, 0, (struct str){ 0 });
+		once_reply_outcome(node, waiter, entry.request_id, "not_run",
+				   err.code, err.text, 0, (struct str){ 0 });
 	/*
 	 * What has a ticket may have run under it before: a node that has just
 	 * started cannot call it "not run", only its issuer can.
@@ -271,26 +274,26 @@
 {
 	struct waiter waiter = { .caller = caller };
 
-	handle(node, body, false, &waiter);
+	handle_request(node, body, false, &waiter);
 }
 
 void once_lookup(struct node *node, uint64_t caller, struct str body)
 {
 	struct waiter waiter = { .caller = caller };
 
-	handle(node, body, true, &waiter);
+	handle_request(node, body, true, &waiter);
 }
 
-void once_forwarded(struct node *node, struct str from, uint64_t incarnation,
-		    const struct msg *msg)
+void once_handle_forward(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg)
 {
 	struct waiter waiter = { .addr = from,
 				 .incarnation = incarnation,
 				 .forward = msg->id };
 
 	if (msg->attempt != FORWARD_TICKET)
-		handle(node, msg->body, msg->attempt == FORWARD_LOOKUP,
-		       &waiter);
+		handle_request(node, msg->body, msg->attempt == FORWARD_LOOKUP,
+			       &waiter);
 	else if (!refuse_starting(node, &waiter))
-		give_ticket(node, msg->body, &waiter);
+		reply_ticket(node, msg->body, &waiter);
 }
--- a/quota.c
+++ b/quota.c
@@ -7,17 +7,17 @@
 #include "xmalloc.h"
 
 enum {
-	LEASE_WAIT_US = 25000,
-	LEASE_LIFE_US = 1000000,
+	LEASE_TIMEOUT_US = 25000,
+	LEASE_DURATION_US = 1000000,
 	IDLE_US = 60000000,
-	US = 1000000,
+	US_PER_S = 1000000,
 	WAITERS_MAX = 4096,
 };
 
 /** A lease covers this much of a node's own recent rate, seconds. */
-#define LEASE_SPAN 0.1
+#define LEASE_SPAN_S 0.1
 /** A bucket that starts at a new owner holds this many seconds of rate. */
-#define OWNER_START 0.5
+#define OWNER_INITIAL_S 0.5
 
 /** struct bucket - tokens at a time, filled at a rate */
 struct bucket {
@@ -28,12 +28,13 @@
 /**
  * struct account - a customer on this node
  * @leased: tokens lent to this node, until @lease_end
- * @asked: a LEASE is under way since @asked_at; @round tells replies apart
- * @idle_at: when to look whether the account can be dropped
- * @own: the whole bucket, when this node owns the customer
- * @share: bucket of 1/n of the rate, for when no owner answers
+ * @lease_pending: a LEASE is under way since @lease_requested_at; @lease_round
+ * tells replies apart
+ * @idle_check_at: when to look whether the account can be dropped
+ * @owner_bucket: the whole bucket, when this node owns the customer
+ * @fallback_bucket: bucket of 1/n of the rate, for when no owner answers
  * @taken, @refused: requests let in and turned away by this node
- * @recent: smoothed requests a second on this node
+ * @recent_rate: smoothed requests a second on this node
  * @waiters: questions and records that wait for the lease
  */
 struct account {
@@ -41,19 +42,19 @@
 	struct str name;
 	double leased;
 	int64_t lease_end;
-	bool asked;
-	int64_t asked_at;
-	uint32_t round;
-	bool own_started;
-	struct bucket own;
-	bool share_started;
-	struct bucket share;
+	bool lease_pending;
+	int64_t lease_requested_at;
+	uint32_t lease_round;
+	bool owner_bucket_started;
+	struct bucket owner_bucket;
+	bool fallback_bucket_started;
+	struct bucket fallback_bucket;
 	uint64_t taken;
 	uint64_t refused;
-	double recent;
-	int64_t recent_at;
+	double recent_rate;
+	int64_t recent_rate_at;
 	int64_t used_at;
-	int64_t idle_at;
+	int64_t idle_check_at;
 	uint64_t *waiters;
 	size_t nwaiters;
 	size_t cap;
@@ -89,10 +90,11 @@
 	free(node->quota);
 }
 
-static void idle_check(struct node *node, struct account *account)
+static void schedule_idle_check(struct node *node, struct account *account)
 {
-	account->idle_at = node->now + IDLE_US;
-	timer_add(&node->timers, account->idle_at, TIMER_LEASE, account->key);
+	account->idle_check_at = node->now + IDLE_US;
+	timer_add(&node->timers, account->idle_check_at, TIMER_LEASE,
+		  account->key);
 }
 
 static struct account *account_get(struct node *node, struct str name)
@@ -105,90 +107,93 @@
 		account = xcalloc(1, sizeof(*account));
 		account->key = key;
 		account->name = str_keep(name);
-		account->recent_at = node->now;
+		account->recent_rate_at = node->now;
 		apr_hash_set(node->quota->customers, &account->key,
 			     sizeof(account->key), account);
-		idle_check(node, account);
+		schedule_idle_check(node, account);
 	}
 	account->used_at = node->now;
 	return account;
 }
 
-static void fill(struct bucket *bucket, double rate, double burst, int64_t now)
+static void refill(struct bucket *bucket, double rate, double burst,
+		   int64_t now)
 {
-	bucket->tokens += rate * (double)(now - bucket->at) / US;
+	bucket->tokens += rate * (double)(now - bucket->at) / US_PER_S;
 	if (bucket->tokens > burst)
 		bucket->tokens = burst;
 	bucket->at = now;
 }
 
-static int64_t time_to_one(const struct bucket *bucket, double rate)
+static int64_t time_to_token(const struct bucket *bucket, double rate)
 {
 	double missing = 1 - bucket->tokens;
 
-	return missing > 0 ? (int64_t)(missing / rate * US) + 1 : 0;
+	return missing > 0 ? (int64_t)(missing / rate * US_PER_S) + 1 : 0;
 }
 
-static struct bucket *own_bucket(struct node *node, struct account *account,
-				 const struct plan *plan)
+static struct bucket *get_owner_bucket(struct node *node,
+				       struct account *account,
+				       const struct plan *plan)
 {
-	if (!account->own_started) {
-		double start = plan->rate * OWNER_START;
+	if (!account->owner_bucket_started) {
+		double start = plan->rate * OWNER_INITIAL_S;
 
-		account->own_started = true;
-		account->own.at = node->now;
-		account->own.tokens = start < 1 ? 1 : start;
+		account->owner_bucket_started = true;
+		account->owner_bucket.at = node->now;
+		account->owner_bucket.tokens = start < 1 ? 1 : start;
 	}
-	fill(&account->own, plan->rate, plan->burst, node->now);
-	return &account->own;
+	refill(&account->owner_bucket, plan->rate, plan->burst, node->now);
+	return &account->owner_bucket;
 }
 
-static bool take_share(struct node *node, struct account *account,
-		       const struct plan *plan, int64_t *retry_us)
+static bool take_fallback(struct node *node, struct account *account,
+			  const struct plan *plan, int64_t *retry_us)
 {
 	double n = (double)member_count(node);
 	double burst = plan->burst / n;
 
 	if (burst < 1)
 		burst = 1;
-	if (!account->share_started) {
-		account->share_started = true;
-		account->share = (struct bucket){ burst, node->now };
+	if (!account->fallback_bucket_started) {
+		account->fallback_bucket_started = true;
+		account->fallback_bucket = (struct bucket){ burst, node->now };
 	}
-	fill(&account->share, plan->rate / n, burst, node->now);
-	*retry_us = time_to_one(&account->share, plan->rate / n);
-	if (account->share.tokens < 1)
+	refill(&account->fallback_bucket, plan->rate / n, burst, node->now);
+	*retry_us = time_to_token(&account->fallback_bucket, plan->rate / n);
+	if (account->fallback_bucket.tokens < 1)
 		return false;
-	account->share.tokens -= 1;
+	account->fallback_bucket.tokens -= 1;
 	return true;
 }
 
-static void note_recent(struct node *node, struct account *account)
+static void update_recent_rate(struct node *node, struct account *account)
 {
-	double gap = (double)(node->now - account->recent_at) / US;
+	double gap = (double)(node->now - account->recent_rate_at) / US_PER_S;
 	double keep = gap < 1 ? 1 - gap : 0;
 
-	account->recent = account->recent * keep + 1;
-	account->recent_at = node->now;
+	account->recent_rate = account->recent_rate * keep + 1;
+	account->recent_rate_at = node->now;
 }
 
-static void ask_owner(struct node *node, struct account *account,
-		      const struct vm *owner)
+static void request_lease(struct node *node, struct account *account,
+			  const struct vm *owner)
 {
-	double want = account->recent * LEASE_SPAN + (double)account->nwaiters;
+	double wanted =
+		account->recent_rate * LEASE_SPAN_S + (double)account->nwaiters;
 	struct msg msg = {
 		.kind = MSG_LEASE,
 		.id = account->key,
-		.attempt = ++account->round,
-		.amount = want < 1 ? 1 : want,
+		.attempt = ++account->lease_round,
+		.amount = wanted < 1 ? 1 : wanted,
 		.name = account->name,
 	};
 
-	account->asked = true;
-	account->asked_at = node->now;
+	account->lease_pending = true;
+	account->lease_requested_at = node->now;
 	node->counters[CNT_LEASES]++;
 	node_send(node, owner->addr, owner->incarnation, &msg);
-	timer_add(&node->timers, node->now + LEASE_WAIT_US, TIMER_LEASE,
+	timer_add(&node->timers, node->now + LEASE_TIMEOUT_US, TIMER_LEASE,
 		  account->key);
 }
 
@@ -202,24 +207,25 @@
 	account->waiters[account->nwaiters++] = waiter;
 }
 
-static enum quota_result take(struct node *node, struct account *account,
-			      const struct plan *plan, uint64_t waiter,
-			      int64_t *retry_us)
+static enum quota_result take_token(struct node *node, struct account *account,
+				    const struct plan *plan, uint64_t waiter,
+				    int64_t *retry_us)
 {
 	struct vm *owner = member_owner(node, account->key, (struct str){ 0 });
 
-	note_recent(node, account);
+	update_recent_rate(node, account);
 	if (!owner || node->quota->policy == QUOTA_SPLIT)
-		return take_share(node, account, plan, retry_us)
+		return take_fallback(node, account, plan, retry_us)
 			       ? QUOTA_TAKEN
 			       : QUOTA_REFUSED;
 	if (owner->key == node->key) {
-		struct bucket *own = own_bucket(node, account, plan);
+		struct bucket *owner_bucket =
+			get_owner_bucket(node, account, plan);
 
-		*retry_us = time_to_one(own, plan->rate);
-		if (own->tokens < 1)
+		*retry_us = time_to_token(owner_bucket, plan->rate);
+		if (owner_bucket->tokens < 1)
 			return QUOTA_REFUSED;
-		own->tokens -= 1;
+		owner_bucket->tokens -= 1;
 		return QUOTA_TAKEN;
 	}
 	if (node->now >= account->lease_end)
@@ -229,12 +235,12 @@
 		return QUOTA_TAKEN;
 	}
 	if (account->nwaiters >= WAITERS_MAX) {
-		*retry_us = LEASE_WAIT_US;
+		*retry_us = LEASE_TIMEOUT_US;
 		return QUOTA_REFUSED;
 	}
 	add_waiter(account, waiter);
-	if (!account->asked)
-		ask_owner(node, account, owner);
+	if (!account->lease_pending)
+		request_lease(node, account, owner);
 	return QUOTA_WAIT;
 }
 
@@ -243,7 +249,8 @@
 			     int64_t *retry_us)
 {
 	struct account *account = account_get(node, customer);
-	enum quota_result result = take(node, account, plan, waiter, retry_us);
+	enum quota_result result =
+		take_token(node, account, plan, waiter, retry_us);
 
 	if (result == QUOTA_TAKEN)
 		account->taken++;
@@ -264,33 +271,36 @@
 
 	if (plan && msg->name.len) {
 		struct account *account = account_get(node, msg->name);
-		struct bucket *own = own_bucket(node, account, plan);
-		double lend = (double)(int64_t)msg->amount;
-		double most = own->tokens > 2 ? own->tokens / 2 : own->tokens;
-
-		if (lend > most)
-			lend = (double)(int64_t)most;
-		if (lend < 0)
-			lend = 0;
-		own->tokens -= lend;
-		reply.amount = lend;
-		reply.remaining_us = time_to_one(own, plan->rate);
+		struct bucket *owner_bucket =
+			get_owner_bucket(node, account, plan);
+		double granted = (double)(int64_t)msg->amount;
+		double max_grant = owner_bucket->tokens > 2
+					   ? owner_bucket->tokens / 2
+					   : owner_bucket->tokens;
+
+		if (granted > max_grant)
+			granted = (double)(int64_t)max_grant;
+		if (granted < 0)
+			granted = 0;
+		owner_bucket->tokens -= granted;
+		reply.amount = granted;
+		reply.remaining_us = time_to_token(owner_bucket, plan->rate);
 	}
 	node_send(node, from, incarnation, &reply);
 }
 
-static void settle(struct node *node, struct account *account, uint64_t waiter,
-		   bool taken, int64_t retry_us)
+static void resolve_waiter(struct node *node, struct account *account,
+			   uint64_t waiter, bool taken, int64_t retry_us)
 {
 	if (taken)
 		account->taken++;
 	else
 		account->refused++;
-	front_quota(node, waiter, taken, retry_us);
-	once_quota(node, waiter, taken, retry_us);
+	front_quota_result(node, waiter, taken, retry_us);
+	once_quota_result(node, waiter, taken, retry_us);
 }
 
-static uint64_t *detach(struct account *account, size_t *count)
+static uint64_t *detach_waiters(struct account *account, size_t *count)
 {
 	uint64_t *waiters = account->waiters;
 
@@ -305,16 +315,17 @@
 {
 	const struct plan *plan = lists_plan(node->lists, account->name);
 	size_t count;
-	uint64_t *waiters = detach(account, &count);
+	uint64_t *waiters = detach_waiters(account, &count);
 
-	account->asked = false;
-	account->round++;
+	account->lease_pending = false;
+	account->lease_round++;
 	node->counters[CNT_LEASE_FALLBACKS]++;
 	for (size_t i = 0; i < count; i++) {
-		int64_t retry_us = LEASE_WAIT_US;
-		bool taken = plan && take_share(node, account, plan, &retry_us);
+		int64_t retry_us = LEASE_TIMEOUT_US;
+		bool taken =
+			plan && take_fallback(node, account, plan, &retry_us);
 
-		settle(node, account, waiters[i], taken, retry_us);
+		resolve_waiter(node, account, waiters[i], taken, retry_us);
 	}
 	free(waiters);
 }
@@ -325,16 +336,17 @@
 	struct account *account =
 		apr_hash_get(node->quota->customers, &key, sizeof(key));
 
-	if (!account || !account->asked || account->round != msg->attempt)
+	if (!account || !account->lease_pending ||
+	    account->lease_round != msg->attempt)
 		return;
-	account->asked = false;
+	account->lease_pending = false;
 	if (node->now >= account->lease_end)
 		account->leased = 0;
 	account->leased += msg->amount;
-	account->lease_end = node->now + LEASE_LIFE_US;
+	account->lease_end = node->now + LEASE_DURATION_US;
 
 	size_t count;
-	uint64_t *waiters = detach(account, &count);
+	uint64_t *waiters = detach_waiters(account, &count);
 
 	for (size_t i = 0; i < count; i++) {
 		bool taken = account->leased >= 1;
@@ -345,16 +357,16 @@
 		if (!taken && msg->amount >= 1)
 			add_waiter(account, waiters[i]);
 		else
-			settle(node, account, waiters[i], taken,
-			       msg->remaining_us);
+			resolve_waiter(node, account, waiters[i], taken,
+				       msg->remaining_us);
 	}
 	free(waiters);
 
 	struct vm *owner = member_owner(node, account->key, (struct str){ 0 });
 
-	if (account->nwaiters && owner && !account->asked)
-		ask_owner(node, account, owner);
-	else if (account->nwaiters && !account->asked)
+	if (account->nwaiters && owner && !account->lease_pending)
+		request_lease(node, account, owner);
+	else if (account->nwaiters && !account->lease_pending)
 		fall_back(node, account);
 }
 
@@ -365,12 +377,13 @@
 
 	if (!account)
 		return;
-	if (account->asked && node->now >= account->asked_at + LEASE_WAIT_US)
+	if (account->lease_pending &&
+	    node->now >= account->lease_requested_at + LEASE_TIMEOUT_US)
 		fall_back(node, account);
-	if (node->now < account->idle_at)
+	if (node->now < account->idle_check_at)
 		return;
-	if (account->asked || node->now - account->used_at < IDLE_US) {
-		idle_check(node, account);
+	if (account->lease_pending || node->now - account->used_at < IDLE_US) {
+		schedule_idle_check(node, account);
 		return;
 	}
 	apr_hash_set(node->quota->customers, &account->key,
--- a/serve.c
+++ b/serve.c
@@ -78,7 +78,7 @@
 	struct buf rows = { 0 };
 
 	if (reply->result == FETCH_OK)
-		target_reply(reply->body, reply->status, &got, &rows);
+		target_parse_reply(reply->body, reply->status, &got, &rows);
 	if (call->kind != FETCH_CANCEL)
 		feed(call->server, (struct event){ .type = EV_FETCHED,
 						   .id = id,
--- a/target.c
+++ b/target.c
@@ -34,7 +34,7 @@
 		add_param(out, "terms", fx->text);
 }
 
-static void take_value(json_t *value, struct buf *out)
+static void append_json(json_t *value, struct buf *out)
 {
 	size_t need = json_dumpb(value, NULL, 0, JSON_COMPACT);
 
@@ -43,12 +43,12 @@
 	out->len += need;
 }
 
-static uint64_t number(json_t *doc, const char *key)
+static uint64_t get_integer(json_t *doc, const char *key)
 {
 	return (uint64_t)json_integer_value(json_object_get(doc, key));
 }
 
-static void take_fields(json_t *doc, struct fetched *got)
+static void parse_fields(json_t *doc, struct fetched *got)
 {
 	json_t *boot = json_object_get(doc, "boot");
 	json_t *load = json_object_get(doc, "load");
@@ -58,13 +58,13 @@
 	if (json_is_integer(load))
 		got->load = (int)json_integer_value(load);
 	got->draining = json_is_true(json_object_get(doc, "draining"));
-	got->job = number(doc, "job");
-	got->shard = (uint32_t)number(doc, "shard");
-	got->version = number(doc, "version");
+	got->job = get_integer(doc, "job");
+	got->shard = (uint32_t)get_integer(doc, "shard");
+	got->version = get_integer(doc, "version");
 }
 
-void target_reply(struct str body, int status, struct fetched *got,
-		  struct buf *rows)
+void target_parse_reply(struct str body, int status, struct fetched *got,
+			struct buf *rows)
 {
 	json_t *doc = json_loadb(body.ptr ? body.ptr : "", body.len,
 				 JSON_REJECT_DUPLICATES, NULL);
@@ -76,15 +76,15 @@
 		json_decref(doc);
 		return;
 	}
-	take_fields(doc, got);
+	parse_fields(doc, got);
 
 	json_t *list = json_object_get(doc, "rows");
 	json_t *entry = json_object_get(doc, "entry");
 
 	if (json_is_array(list))
-		take_value(list, rows);
+		append_json(list, rows);
 	else if (json_is_object(entry))
-		take_value(entry, rows);
+		append_json(entry, rows);
 	else if (status == 200 && !json_object_get(doc, "health"))
 		got->result = FETCH_MALFORMED;
 	got->body = buf_str(rows);
--- a/target.h
+++ b/target.h
@@ -12,8 +12,8 @@
 /** target_url() - append the URL of the request that @fx describes. */
 void target_url(const struct effect *fx, struct buf *out);
 /**
- * target_reply() - judge a reply
+ * target_parse_reply() - judge a reply
  * @body: bytes as received; @rows gets the rows or the entry's result
  */
-void target_reply(struct str body, int status, struct fetched *got,
-		  struct buf *rows);
+void target_parse_reply(struct str body, int status, struct fetched *got,
+			struct buf *rows);
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -317,7 +317,7 @@
 	struct fetched got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
-	target_reply(str_of(in->body), in->status, &got, &rows);
+	target_parse_reply(str_of(in->body), in->status, &got, &rows);
 	ck_assert_int_eq(got.result, in->result);
 	ck_assert_int_eq(got.status, in->status);
 	buf_free(&rows);
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -62,7 +62,7 @@
 	struct fetched got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
-	target_reply(in, 200, &got, &rows);
+	target_parse_reply(in, 200, &got, &rows);
 	buf_free(&rows);
 }
 
--- a/ticket.c
+++ b/ticket.c
@@ -33,8 +33,8 @@
 		 STR_ARG(ticket.addr), ticket.incarnation, ticket.seq,
 		 (uint64_t)ticket.issued_at, ticket.check);
 	if (node->now - node->once->issued_at >= TICKET_US)
-		node->once->unused = 0;
-	node->once->unused++;
+		node->once->unused_tickets = 0;
+	node->once->unused_tickets++;
 	node->once->issued_at = node->now;
 	node->counters[CNT_TICKETS]++;
 	return str_of(text);
