--- a/front.c
+++ b/front.c
@@ -17,7 +17,7 @@
 	DELAYED_RETRIES_MAX = 4,
 	RETRY_DELAY_US = 20000,
 	RETRY_BACKOFF_FACTOR = 3,
-	/* A leaf that waits for the trial of its question looks again. */
+	/* How often a leaf of a suspect question checks if it may be sent. */
 	DEFER_US = 10000,
 	BUDGET_MAX = 256,
 	BUDGET_INITIAL = 32,
@@ -166,7 +166,7 @@
 	return true;
 }
 
-/* Budget is earned by merged leafs only, so it dries up under overload. */
+/* Only merged leaves earn budget, so that it runs out under overload. */
 static void earn_budget(struct node *node, double share)
 {
 	struct front *front = node->front;
@@ -189,8 +189,9 @@
 }
 
 /*
- * A snapshot that its targets no longer have cannot reach the floor. All of
- * the question starts once more on another one, never a part of it.
+ * A snapshot that the targets no longer have cannot reach the coverage floor.
+ * The whole question restarts on another snapshot, at most once; an answer
+ * never mixes snapshots.
  */
 static bool restart(struct node *node, struct question *q)
 {
@@ -229,7 +230,7 @@
 	       q->plan.floor - EPSILON;
 }
 
-/* Return: false when the question has started anew. */
+/* Return: false when the question has been restarted. */
 static bool set_missing(struct node *node, struct question *q,
 			struct leaf *leaf, int error_code)
 {
@@ -242,7 +243,7 @@
 	return true;
 }
 
-/* Until a target has answered it, or it is blocked. */
+/* A suspect question is checked again until it is answered or blocked. */
 static void defer_leaf(struct node *node, const struct question *q,
 		       struct leaf *leaf)
 {
@@ -250,7 +251,7 @@
 	timer_add(&node->timers, leaf->retry_at, TIMER_QUESTION, q->id);
 }
 
-/* Ends what must not be sent any more; its missing shards say why. */
+/* Finishes a blocked question; its open shards are missing as ERR_BLOCKED. */
 static bool stop_if_blocked(struct node *node, struct question *q)
 {
 	if (!front_question_blocked(node, q))
@@ -276,9 +277,9 @@
 }
 
 /*
- * All replicas were tried. A target that restarts is back before long, so the
- * leaf waits and asks again, each time longer, for as long as its question
- * has time: what is given up early is lost coverage.
+ * All replicas were tried. A restarting target is back soon, so the leaf is
+ * retried with increasing delays until the deadline of its question: giving up
+ * early would lose coverage.
  */
 static bool schedule_retry(struct node *node, struct question *q,
 			   struct leaf *leaf, int error_code)
@@ -296,8 +297,9 @@
 }
 
 /*
- * After a failure: @ran tells whether a target may have worked on it. What
- * never reached a target is sent elsewhere for free; the rest costs budget.
+ * Sends a failed leaf to another replica. @ran: a target may have executed the
+ * request, and the retry costs budget; a request that never reached a target
+ * is rerouted without cost.
  */
 static bool fail_over(struct node *node, struct question *q, struct leaf *leaf,
 		      int error_code, bool ran)
@@ -366,11 +368,11 @@
 /* Replies. */
 
 /*
- * A reply counts only for the attempt that it answers: question, shard,
- * attempt number, and the node and incarnation that carried it. Anything else
- * is the late reply of an attempt that was given up, or of another process
- * that reuses the numbers; taking it would put one caller's rows, or another
- * snapshot's, into this answer.
+ * A reply is accepted only for its own attempt: question, shard, attempt
+ * number, and the node and incarnation that forwarded it must match. Any other
+ * reply is late, for an attempt that was given up, or comes from another
+ * process that reuses the numbers. Accepting it would put the rows of another
+ * caller or another snapshot into this answer.
  */
 static struct attempt *find_attempt(struct question *q, struct str from,
 				    uint64_t incarnation, const struct msg *msg,
@@ -400,7 +402,7 @@
 	return attempt;
 }
 
-/* With the matching turned off (tests): any question with that shard. */
+/* For tests with attempt matching disabled: any question with the shard. */
 static struct attempt *find_attempt_by_shard(struct node *node,
 					     const struct msg *msg,
 					     struct question **q_out,
@@ -535,7 +537,7 @@
 		front_finish(node, q, 0);
 }
 
-/* Return: false when the budget is spent. */
+/* Return: false when the budget is exhausted. */
 static bool hedge_leaf(struct node *node, struct question *q, struct leaf *leaf,
 		       int64_t delay)
 {
@@ -549,7 +551,7 @@
 	    leaf->nattempts == HEDGE_MAX_ATTEMPTS)
 		return true;
 
-	/* A hedge can straggle too; the next may go to a replica once more. */
+	/* If the hedge is slow too, a replica may be used a second time. */
 	struct fleet_target *target =
 		replica_choose(node, q, leaf, !last->hedge);
 
--- a/front.h
+++ b/front.h
@@ -7,10 +7,10 @@
 /**
  * DOC: front
  *
- * Takes a question, admits it, pins one snapshot, sends a leaf request for
- * each shard to the gate of a replica, hedges and retries from a budget, and
- * merges what comes back. Coverage is the weight that was merged over the
- * weight of the snapshot's map for that question.
+ * Coordinates a question: admits it, pins one snapshot, sends a leaf request
+ * for each shard to the gate of a replica, hedges and retries within a budget,
+ * and merges the replies. Coverage is the merged weight divided by the total
+ * weight of the question's shards in the snapshot's map.
  */
 
 enum {
@@ -18,12 +18,12 @@
 };
 
 /**
- * struct attempt - one leaf request on its way
- * @gate, @incarnation: node that carries it
+ * struct attempt - one leaf request that was sent
+ * @gate, @incarnation: node that forwards it to the target
  * @sent_at: microseconds
  * @open: no reply yet
- * @hedge: sent beside an open one
- * @round: for evidence against the question
+ * @hedge: sent while another attempt of the leaf was open
+ * @round: round of evidence against the question, see poison_round()
  */
 struct attempt {
 	struct fleet_target *target;
@@ -45,8 +45,8 @@
  * struct leaf - one shard of one question
  * @error_code: last failure, reported when the shard is missing
  * @rows: merged rows, a JSON array
- * @retry_at: waits until then to be sent again, 0 when it does not
- * @delayed_retries: attempts that never reached a target
+ * @retry_at: time of the next retry, 0 when none is scheduled
+ * @delayed_retries: retries scheduled because all replicas had been tried
  */
 struct leaf {
 	const struct shard *shard;
@@ -61,21 +61,22 @@
 
 /**
  * struct question - an open question
- * @pool: owns all of it; destroyed with the answer
- * @fleet, @snapshot: pinned for its whole life
- * @plan: copy of the plan's figures at admission
- * @awaiting_lease: for a lease of the customer's plan
- * @soft_deadline, @deadline: answer from, answer by; microseconds
- * @merged_weight, @total_weight: weight merged, weight of the map for this
- * question
- * @open_leaves: leafs in state LEAF_OPEN
- * @attempt_base: attempt numbers of this run start here (restart on a new
- * snapshot)
+ * @pool: owns the question; destroyed after the answer
+ * @fleet, @snapshot: pinned while the question is open
+ * @plan: copy of the plan at admission
+ * @awaiting_lease: waits for a lease of the customer's quota
+ * @soft_deadline: from then on an answer at the coverage floor is sent
+ * @deadline: the answer is sent by then; both in microseconds
+ * @merged_weight: weight of the merged shards
+ * @total_weight: weight of the question's shards in the snapshot's map
+ * @open_leaves: leaves in state LEAF_OPEN
+ * @attempt_base: number of the first attempt on the current snapshot; a
+ *                restart on another snapshot raises it
  * @max_queue_wait: longest time in a gate's queue
- * @fingerprint: tells whether it has come before
- * @served: some target has answered a leaf request of it
- * @merged_bytes: rows merged so far; bounded, so that one question cannot take
- * the memory of all
+ * @fingerprint: identifies repeats of the same question
+ * @served: a target has answered a leaf request of the question
+ * @merged_bytes: size of the merged rows; limited, so that one question cannot
+ *                use up the memory
  */
 struct question {
 	apr_pool_t *pool;
@@ -105,10 +106,10 @@
 	uint32_t hedges;
 };
 
-/** struct front_config - the policy's knobs, set by benchmarks only */
+/** struct front_config - policy parameters, changed by benchmarks only */
 struct front_config {
 	bool hedge;
-	int64_t hedge_fixed_us; /* 0: the measured quantile */
+	int64_t hedge_fixed_us; /* 0: use the measured quantile */
 	double hedge_quantile;
 	bool admission;
 };
@@ -122,12 +123,12 @@
 	struct poison poison;
 	struct poison_news news;
 	size_t open;
-	double limit; /* questions open at a time, steered */
-	int64_t limit_lowered_at; /* last time that it was lowered */
-	double budget; /* extra leaf requests in hand */
+	double limit; /* adaptive limit on open questions */
+	int64_t limit_lowered_at;
+	double budget; /* hedges and retries that may be sent */
 	struct latency *latency; /* of leaf requests */
-	struct latency *ratio; /* the same over what the target usually
-				* takes, in thousandths */
+	struct latency *ratio; /* latency over the target's usual latency, in
+				* thousandths */
 };
 
 void front_init(struct node *node);
@@ -138,7 +139,7 @@
 			int64_t retry_us);
 void front_reply(struct node *node, struct str from, uint64_t incarnation,
 		 const struct msg *msg);
-/** front_gate_lost() - fail over what was sent to a gate that is gone. */
+/** front_gate_lost() - fail over the open attempts of a lost gate. */
 void front_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
 void front_timer(struct node *node, uint64_t id);
 void front_hedge_timer(struct node *node, uint64_t id);
@@ -147,7 +148,7 @@
 /* Shared with front_admit.c. */
 
 enum {
-	/* A hedge sooner than this would only double what is about to come. */
+	/* An earlier hedge would duplicate a reply that is about to arrive. */
 	FRONT_HEDGE_MIN_US = 1000,
 };
 
