--- a/front_admit.c
+++ b/front_admit.c
@@ -96,8 +96,8 @@
 	if (!q->snapshot) {
 		refuse_caller(
 			node, q->caller, ERR_NO_SNAPSHOT,
-			"no snapshot has all of the indexes and shards asked "
-			"for",
+			"no snapshot has all of the requested indexes and "
+			"shards",
 			STARTING_RETRY_US);
 		question_destroy(node, q);
 		return;
@@ -116,7 +116,7 @@
 			  TIMER_HEDGE, q->id);
 }
 
-/* What the targets are asked, and for whom; not the caller's own id. */
+/* Covers the request to the targets and the customer, not the request id. */
 static struct fingerprint question_fingerprint(const struct ask *ask)
 {
 	struct str parts[ASK_MAX_INDEXES + 2];
@@ -235,9 +235,9 @@
 }
 
 /*
- * The limit on open questions follows the gates' queues: a long wait there
- * means that the fleet as a whole has more than its slots carry, and a
- * question that is admitted now would be answered late or in part.
+ * Adapts the limit on open questions to the waits in the gates' queues. Long
+ * waits mean that the load exceeds the slots of the whole fleet, so a question
+ * admitted now would be answered late or partially.
  */
 static void adjust_limit(struct node *node, const struct question *q)
 {
--- a/front_poison.c
+++ b/front_poison.c
@@ -3,7 +3,7 @@
 #include "poison_news.h"
 #include "replica.h"
 
-/* Other nodes. */
+/* Exchange of evidence. */
 
 static void send_to_node(void *ctx, struct str addr, const struct msg *msg)
 {
@@ -11,12 +11,12 @@
 }
 
 enum {
-	/* More nodes are told by some that pass it on. */
+	/* With more peers than this, some receive and relay the message. */
 	BROADCAST_MAX = 32,
 	RELAY_FANOUT = 8,
 };
 
-/* From a place that is drawn on, each at most once. */
+/* Sends to consecutive peers from a random start, to each at most once. */
 static void send_to_nodes(void *ctx, const struct msg *msg, bool near)
 {
 	struct node *node = ctx;
@@ -25,7 +25,7 @@
 	size_t send_count = others > BROADCAST_MAX ? RELAY_FANOUT : others;
 	struct msg copy = *msg;
 
-	/* Nodes know no failure domains here: all are told alike. */
+	/* Failure domains are not considered: peers of all are selected. */
 	(void)near;
 	copy.ran = others > BROADCAST_MAX;
 	for (size_t i = 0; i < send_count; i++)
@@ -34,7 +34,7 @@
 			     &copy);
 }
 
-/* The same process has answered since. */
+/* Whether the same process has answered since its connection broke. */
 static bool has_answered(const void *ctx, const struct poison_crash *crash)
 {
 	const struct node *node = ctx;
