--- a/gate.c
+++ b/gate.c
@@ -16,7 +16,7 @@
 	ENTRY_RETRY_US = 1000000,
 };
 
-/* Part of struct job that replies and cancels name. */
+/* Identifies a job in messages of its sender. */
 struct job_key {
 	uint64_t origin;
 	uint64_t incarnation;
@@ -212,9 +212,9 @@
 }
 
 /*
- * Whether the target may get new work now; the answer to "why not" goes to
- * the front. Checked at arrival and again at the start of each job, since a
- * domain, a VM list or an owner can change while a job waits in the queue.
+ * Returns 0 if the target may get new jobs now, else the error for the sender.
+ * Checked on arrival and again at the start of each job, because the domain,
+ * the VM list or the owner can change while a job is queued.
  */
 static int refusal_reason(const struct node *node, const struct target *target)
 {
@@ -259,9 +259,9 @@
 	struct target *target = job->target;
 
 	/*
-	 * A target can restart while nothing is sent to it, and nothing tells.
-	 * The symptom would be all of its slots filled at once while it is
-	 * cold. One request goes first; its reply names the boot id.
+	 * A restart of an idle target goes unnoticed, and all of its slots
+	 * would be filled at once while it is cold. So one request is sent
+	 * first; its reply has the boot id.
 	 */
 	if (!target->busy && !node->opt.off.no_ramp &&
 	    node->now - target->replied_at > VERIFY_IDLE_US)
@@ -276,7 +276,7 @@
 		return;
 	}
 	job->state = JOB_GRANTED;
-	/* The grant ends by this node's own clock, wherever the issuer is. */
+	/* The grant expires by this node's clock, independent of the issuer. */
 	job->deadline = node->now + GRANT_TIMEOUT_US;
 	timer_add(&node->timers, job->deadline, TIMER_JOB, job->number);
 
@@ -298,7 +298,7 @@
 		gate_refuse_queued(node, target, reason);
 		return;
 	}
-	/* After a pause nothing starts on the old view; gate_resume() pumps. */
+	/* After a pause, jobs wait for a confirmed view and gate_resume(). */
 	if (!member_view_ok(node) && !node->opt.off.no_pause_check)
 		return;
 	if (node->now < target->start_after)
@@ -315,7 +315,7 @@
 	}
 }
 
-/* To the next gate, once this one has nothing at the target any more. */
+/* Sends the state to the next gate once no job is in progress here. */
 void gate_send_handover(struct node *node, struct target *target)
 {
 	struct vm *owner;
@@ -386,8 +386,8 @@
 }
 
 /*
- * The shortest queue that keeps the slots busy: a request that would wait
- * past its deadline is refused on arrival, while its front can still go to
+ * Keeps the queue just long enough to keep the slots busy: a request that would
+ * miss its deadline is refused on arrival, while its front can still use
  * another replica.
  */
 static bool would_miss_deadline(const struct target *target,
@@ -432,7 +432,7 @@
 	}
 	struct job *job = job_create(node, target, from, incarnation, msg);
 
-	/* Its question waits for little else than this one. */
+	/* A hedge or retry is likely the last reply its question waits for. */
 	if (msg->kind == MSG_LEAF && msg->state)
 		enqueue_first(target, job);
 	else
@@ -452,7 +452,7 @@
 	accept_job(node, from, incarnation, msg);
 }
 
-/* An entry's job stays as a tombstone, so that a second GO finds it. */
+/* A finished entry stays as a tombstone, so that a repeated GO finds it. */
 static void keep_tombstone(struct node *node, struct job *job)
 {
 	job->state = JOB_TOMBSTONE;
@@ -462,7 +462,7 @@
 		  job->number);
 }
 
-/* With the grant's end turned off (tests): take the slot again. */
+/* For tests with grant expiry disabled: take the slot again. */
 static void reclaim_slot(struct job *job)
 {
 	if (job->state == JOB_TOMBSTONE && !job->started_at) {
@@ -482,9 +482,9 @@
 	if (job && job->state != JOB_GRANTED)
 		return;
 	/*
-	 * A GO can lie in the socket while this process is paused. By the time
-	 * that it is read, the issuer may have told its caller that the entry
-	 * did not run. The grant's own deadline stops it here.
+	 * A GO can wait in the socket while this process is paused. When it is
+	 * read, the issuer may already have reported to its caller that the
+	 * entry did not run. The deadline of the grant prevents a run here.
 	 */
 	if (!job || node->now >= job->deadline) {
 		struct msg refusal = { .kind = MSG_GO_REPLY,
@@ -514,8 +514,10 @@
 	timer_add(&node->timers, job->deadline, TIMER_JOB, job->number);
 }
 
-/* A cancel call frees the slot soon and keeps the connection, where closing
- * it would cost the target and the next request a new one. */
+/*
+ * A cancel request frees the slot soon and keeps the connection. Closing it
+ * would cost the target and the next request a new connection.
+ */
 static void cancel_running(struct node *node, struct job *job)
 {
 	if (job->cancelled)
@@ -549,7 +551,7 @@
 		release_slot(node, target);
 		return;
 	case JOB_RUNNING:
-		/* An entry that has begun goes on: its outcome is wanted. */
+		/* A started entry continues: its outcome is needed. */
 		if (job->is_entry)
 			return;
 		job->replied = true;
@@ -637,7 +639,7 @@
 
 	node->counters[CNT_TARGET_RESENT] += (uint64_t)got->resent;
 	if (!job) {
-		/* A probe is numbered by its target's key. */
+		/* The number of a probe is the key of its target. */
 		struct target *target =
 			apr_hash_get(gate->targets, &number, sizeof(number));
 
--- a/gate.h
+++ b/gate.h
@@ -5,28 +5,31 @@
 /**
  * DOC: gate
  *
- * The node that owns a target is the one place that sends it work. It meters
- * the target's slots, starts it as cold, raises the limit on timely answers
- * only, queues no longer than a request can wait, and refuses the rest at
- * once with a reason and whether the target may have seen the request.
+ * The gate of a target is the node that owns it, the only one that sends it
+ * requests. It limits the requests in progress to the target's slots, treats a
+ * new target as cold, raises the limit only on timely replies, and queues a
+ * request no longer than its deadline allows. Other requests are refused at
+ * once, with a reason and whether the target may have received the request.
  */
 
 enum job_state {
 	JOB_QUEUED,
-	JOB_GRANTED, /* an entry holds a slot, its body has not come yet */
+	JOB_GRANTED, /* an entry holds a slot, its body has not arrived */
 	JOB_RUNNING,
-	JOB_TOMBSTONE, /* an entry's tombstone */
+	JOB_TOMBSTONE, /* a finished entry, kept to detect repeats */
 };
 
 /**
- * struct job - one request of a front, from its arrival to its reply
+ * struct job - one request of another node, from arrival to reply
  * @number: number of the fetch, echoed by the target
- * @origin, @incarnation, @id, @attempt: who asked, as a key for replies
- * @is_entry: runs in two steps and never twice
- * @deadline: no start after this time, microseconds
- * @boot: id of the process that it was sent to, 0 when it is not known
- * @cancelled: the front gave up; the slot stays taken until the target ends
- * @replied: the front has its reply
+ * @origin, @incarnation, @id, @attempt: sender and request, the key of the job
+ * @addr: address of the sender
+ * @is_entry: reserved and sent in two steps, runs at most once
+ * @deadline: end of the current state, microseconds; a queued job does not
+ *            start later
+ * @boot: boot id of the target process it was sent to, 0 when not known
+ * @cancelled: no longer wanted; keeps its slot until the target is done
+ * @replied: the reply was sent, or none is wanted
  */
 struct job {
 	struct job *next;
@@ -51,7 +54,7 @@
 	bool replied;
 };
 
-/** struct handover - what the gate before knew of a target, @at a time */
+/** struct handover - state of a target from its previous gate, received @at */
 struct handover {
 	int64_t at;
 	int limit;
@@ -61,27 +64,30 @@
 };
 
 /**
- * struct target - a target as its gate sees it
- * @owned: this node is its gate; @owner: its gate at the last review
- * @handover_due: a handover to the next gate, once no job is in progress
- * @start_after: no start before, unless the gate before has handed over
- * @handover: the last handover
- * @limit: requests that may be in progress, 1 to slots
- * @busy: slots taken, by running and granted jobs
- * @foreign_load: requests of others that the target reported
+ * struct target - state of a target at its gate
+ * @owned: this node is its gate
+ * @owner: its gate in the last view
+ * @handover_due: send a handover to the next gate once no job is in progress
+ * @start_after: start no job before this time, or before a handover arrives
+ * @handover: the last handover received
+ * @limit: requests that may be in progress, 1 to @slots
+ * @busy: slots taken by running and granted jobs
+ * @foreign_load: requests of other senders, from the load the target reported
  * @boot: boot id of its last reply
  * @replied_at: time of its last reply
- * @unverified: idle for so long that it may have restarted unseen
- * @ramp_streak: timely answers since the last step of the ramp
- * @limit_changed_at: time of the last step or fall
- * @step_interval_us: shortest time between steps; grows with each relapse
- * @ramp_service_us: sum of their service times
+ * @unverified: was idle so long that it may have restarted unnoticed
+ * @ramp_streak: timely replies counted towards the next raise of @limit
+ * @limit_changed_at: time of the last raise or cut of @limit
+ * @step_interval_us: minimum time between raises; doubles with each relapse
+ * @ramp_service_us: sum of the service times counted in @ramp_streak
  * @service_us: smoothed service time
- * @baseline_us: the same while warm, 0 when not known
- * @slow_streak: answers in a row far over the baseline
- * @shed_streak: shedding replies in a row
- * @jobs: jobs that point here, tombstones too
- * @down: unreachable; @draining: says that it leaves. Probed, not used.
+ * @baseline_us: smoothed service time while warm, 0 when not known
+ * @slow_streak: consecutive replies far above the baseline
+ * @shed_streak: consecutive replies that shed load
+ * @failure_streak: consecutive broken connections and timeouts
+ * @down: unreachable, gets only probes
+ * @draining: reported that it is leaving, gets only probes
+ * @jobs: jobs of this target, including tombstones
  */
 struct target {
 	uint64_t key;
@@ -142,27 +148,30 @@
 		  const struct msg *msg);
 void gate_go(struct node *node, struct str from, uint64_t incarnation,
 	     const struct msg *msg);
-/** gate_cancel() - CANCEL of a leaf request or RELEASE of a reservation. */
+/** gate_cancel() - handle CANCEL (leaf requests) and RELEASE (reservations). */
 void gate_cancel(struct node *node, struct str from, uint64_t incarnation,
 		 const struct msg *msg);
-/** gate_handover() - the gate before this one is done with a target. */
+/** gate_handover() - handle HANDOVER from the previous gate of a target. */
 void gate_handover(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
 void gate_handover_timer(struct node *node, uint64_t key);
 void gate_fetch_done(struct node *node, uint64_t number,
 		     const struct fetched *fetched);
 void gate_job_timer(struct node *node, uint64_t number);
-/** gate_origin_lost() - a front is gone: drop what it waits for. */
+/** gate_origin_lost() - cancel the jobs of a node that is gone. */
 void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation);
-/** gate_resume() - the view is confirmed again: start what waits. */
+/** gate_resume() - start queued jobs after the view is confirmed again. */
 void gate_resume(struct node *node);
-/** gate_target_in_service() - target in service by the current documents, or
- * NULL. */
+/**
+ * gate_target_in_service() - look up a target
+ *
+ * Return: the target if the current documents have it in service, else NULL.
+ */
 const struct target *gate_target_in_service(const struct node *node,
 					    uint64_t key);
-/** gate_has_target() - the target is listed or has jobs here. */
+/** gate_has_target() - whether the target is listed or has jobs here. */
 bool gate_has_target(const struct node *node, uint64_t key);
-/** gate_refuse_queued() - refuse all that is queued for @target. */
+/** gate_refuse_queued() - refuse all queued jobs of @target. */
 void gate_refuse_queued(struct node *node, struct target *target, int status);
 size_t gate_open(const struct node *node);
 
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -11,7 +11,7 @@
 
 /* Ownership. */
 
-/* What is known of a warm target stays known when its gate moves. */
+/* A new gate keeps the limit and baseline of a warm target. */
 static void apply_handover(struct node *node, struct target *target)
 {
 	const struct handover *handover = &target->handover;
@@ -29,9 +29,9 @@
 }
 
 /*
- * The gate before may have requests in progress. A cold target would get this
- * gate's first one beside them. So the next gate waits for its word, for a
- * while, if that node is still heard.
+ * The previous gate may have requests in progress, to which this gate's first
+ * one would be added at a cold target. So while heartbeats of that node arrive,
+ * the new gate waits for its handover, up to HANDOVER_WAIT_US.
  */
 static bool previous_gate_alive(const struct node *node,
 				const struct target *target)
@@ -44,7 +44,7 @@
 		vm = member_find(node, target->owner);
 		return vm && member_hears(node, vm);
 	}
-	/* This node has just joined: somebody else was the gate. */
+	/* This node has just joined: another node was the gate. */
 	return member_count(node) > 1;
 }
 
@@ -105,9 +105,9 @@
 	target->ramp_streak = 0;
 	target->ramp_service_us = 0;
 	/*
-	 * Another gate may still send to the target for as long as the views
-	 * differ, and nothing is known of its state. One request at a time
-	 * bounds what the overlap can add to the other gate's work.
+	 * While views differ, another gate may still send to the target, and
+	 * the state of the target is not known. One request at a time bounds
+	 * the load that the overlap adds.
 	 */
 	target->limit =
 		node->opt.off.no_ramp ? target->slots : TARGET_LIMIT_MIN;
@@ -194,9 +194,11 @@
 	target->listed = true;
 	target->listed_leaving = listed->leaving;
 	target->domain_out = listed->domain->out;
-	/* A domain that returns has lost its caches: all of it is cold. */
+	/* Targets of a returning domain have lost their caches: all are cold.
+	 */
 	if (was_out && !target->domain_out && target->owned)
-		health_set_cold(node, target, "its failure domain returned");
+		health_set_cold(node, target,
+				"its failure domain is back in service");
 }
 
 static void for_each_target(struct node *node,
