--- a/health.c
+++ b/health.c
@@ -38,10 +38,10 @@
 }
 
 /*
- * Any sign of a cold start takes the target to its floor at once: reports
- * lag, and a cold target that gets its full load falls over again. A relapse
- * soon after a step doubles the time that steps take, so a target whose start
- * is longer than expected is not pushed over time and again.
+ * Any sign of a cold start cuts the limit to the minimum at once: load reports
+ * lag, and a cold target fails again under its full load. A relapse soon after
+ * a step doubles the time between steps, so that a target with a longer warm-up
+ * than expected is not overloaded repeatedly.
  */
 void health_set_cold(struct node *node, struct target *target,
 		     const char *reason)
@@ -49,7 +49,7 @@
 	int64_t since = node->now - target->limit_changed_at;
 
 	node->counters[CNT_TARGET_COLD]++;
-	/* Several requests break in one fall: it counts once. */
+	/* One failure breaks several requests; it counts as one cold start. */
 	if (target->cold_starts && target->limit == TARGET_LIMIT_MIN &&
 	    since < COLD_DEDUP_US)
 		return;
@@ -86,7 +86,8 @@
 {
 	if (target->draining)
 		return;
-	audit_target(node, target, "draining", "the target says so");
+	audit_target(node, target, "draining",
+		     "the target reports that it is draining");
 	target->draining = true;
 	target->probe_interval_us = PROBE_MAX_US;
 	if (!node->opt.off.no_leaving_check)
@@ -107,7 +108,7 @@
 	target->boot = boot;
 }
 
-/* A report can lower the limit: others' work counts against the slots. */
+/* Requests of other senders, from the reported load, reduce the limit. */
 static void update_foreign_load(struct target *target, int load)
 {
 	if (load < 0)
@@ -127,10 +128,10 @@
 }
 
 /*
- * Whether the answers since the last step allow one more slot. A cold target
- * answers, but slowly: its answers have to be about as fast as they were when
- * it was warm. Where that is not known, because the gate is new, or no longer
- * true, time decides.
+ * Whether the replies since the last step allow one more slot. A cold target
+ * replies, but slowly, so its replies must be about as fast as when it was
+ * warm. If the baseline is not known, at a new gate, or no longer holds, the
+ * limit is raised after a longer time instead.
  */
 static bool may_raise_limit(const struct node *node,
 			    const struct target *target)
@@ -163,8 +164,10 @@
 	target->ramp_service_us = 0;
 }
 
-/* Quickly down and slowly up: a cold start that went unseen, or a busy hour,
- * must not pass for what the target does when it is warm. */
+/*
+ * The baseline follows decreases quickly and increases slowly, so that an
+ * undetected cold start or a busy hour is not taken for the latency when warm.
+ */
 static void update_baseline(struct target *target, int64_t service)
 {
 	int64_t off = service - target->baseline_us;
@@ -185,7 +188,9 @@
 	if (target->baseline_us && service > SLOW_MIN_US &&
 	    service > target->baseline_us * SLOW_FACTOR) {
 		if (++target->slow_streak >= SLOW_STREAK)
-			health_set_cold(node, target, "latency jumped");
+			health_set_cold(
+				node, target,
+				"its latency rose far above the baseline");
 		return;
 	}
 	target->slow_streak = 0;
@@ -209,15 +214,17 @@
 		set_down(node, target, "it refused a connection");
 		return;
 	case FETCH_BROKEN:
-		health_set_cold(node, target, "it closed without a reply");
+		health_set_cold(node, target,
+				"it closed the connection without a reply");
 		if (++target->failure_streak >= FAILURE_STREAK)
-			set_down(node, target, "it closes without a reply");
+			set_down(node, target,
+				 "it closes connections without a reply");
 		return;
 	case FETCH_TIMEOUT:
 		if (++target->failure_streak < FAILURE_STREAK)
 			return;
-		health_set_cold(node, target, "it does not answer");
-		set_down(node, target, "it does not answer");
+		health_set_cold(node, target, "it does not reply in time");
+		set_down(node, target, "it does not reply in time");
 		return;
 	case FETCH_MALFORMED:
 		return;
@@ -228,15 +235,16 @@
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
 		if (++target->shed_streak >= SHED_STREAK)
-			health_set_cold(node, target, "it sheds in a row");
+			health_set_cold(node, target,
+					"it shed several requests in a row");
 		else if (target->limit > TARGET_LIMIT_MIN)
 			target->limit--;
 		target->limit_changed_at = node->now;
 		return;
 	}
 	/*
-	 * Those that a front gave up on were the slow ones: without them the
-	 * rest of a cold target's answers would look as fast as warm ones.
+	 * Cancelled requests were the slow ones: without them, the remaining
+	 * replies of a cold target would look as fast as those of a warm one.
 	 */
 	if (job->cancelled) {
 		target->ramp_streak = 0;
@@ -257,7 +265,7 @@
 
 	if (!answers && target->draining && !target->down) {
 		target->draining = false;
-		set_down(node, target, "it left");
+		set_down(node, target, "it stopped answering while draining");
 		return;
 	}
 	if (!answers || got->draining) {
@@ -268,7 +276,7 @@
 	target->down = false;
 	target->draining = false;
 	target->failure_streak = 0;
-	health_set_cold(node, target, "it answers again");
+	health_set_cold(node, target, "it answers probes again");
 }
 
 void health_timer(struct node *node, uint64_t key)
--- a/health.h
+++ b/health.h
@@ -5,8 +5,8 @@
 /**
  * DOC: health of targets
  *
- * How many requests a target gets at a time: its floor when it is cold, more
- * by timely answers only, none when it is down or leaving.
+ * Limits the requests in progress at a target: TARGET_LIMIT_MIN when it is
+ * cold, more only after timely replies, none when it is down or leaving.
  */
 
 enum {
@@ -15,17 +15,17 @@
 	PROBE_MIN_US = 100000,
 };
 
-/** health_set_cold() - back to the floor. */
+/** health_set_cold() - cut the limit to TARGET_LIMIT_MIN. */
 void health_set_cold(struct node *node, struct target *target,
 		     const char *reason);
-/** health_limit() - requests that may be in progress now. */
+/** health_limit() - number of requests that may be in progress now. */
 int health_limit(const struct target *target);
-/** health_record_reply() - learn from the reply to @job. */
+/** health_record_reply() - update the state with the result of @job. */
 void health_record_reply(struct node *node, struct target *target,
 			 const struct job *job, const struct fetched *got,
 			 int status);
-/** health_record_probe() - learn from the reply to a probe. */
+/** health_record_probe() - update the state with the result of a probe. */
 void health_record_probe(struct node *node, struct target *target,
 			 const struct fetched *got);
-/** health_timer() - a probe of the target with @key is due. */
+/** health_timer() - send the probe that is due to the target with @key. */
 void health_timer(struct node *node, uint64_t key);
