--- a/once.c
+++ b/once.c
@@ -17,7 +17,7 @@
 	FORWARD_GRACE_US = 250000,
 };
 
-/** struct forward - a caller's request that another node answers */
+/** struct forward - a caller's request that was forwarded to its issuer */
 struct forward {
 	uint64_t id;
 	uint64_t caller;
@@ -91,8 +91,8 @@
 	}
 
 	bool not_run = record->state == RECORD_NOT_RUN;
-	const char *text = not_run ? "it did not run and never will under "
-				     "this ticket"
+	const char *text = not_run ? "the entry did not run and will not run "
+				     "under this ticket"
 				   : "it may have run";
 	struct buf error = { 0 };
 
@@ -176,8 +176,9 @@
 }
 
 /*
- * Records are bounded, since a VM's memory is. A ticket whose record may have
- * been dropped is answered "unknown": saying "not run" for it could be false.
+ * The number of records is limited, because the memory of a VM is. A ticket
+ * whose record may be evicted is answered "unknown", since "not run" could be
+ * false.
  */
 static void evict(struct node *node)
 {
@@ -285,7 +286,7 @@
 	set_outcome(node, record, RECORD_NOT_RUN, code, (struct str){ 0 });
 }
 
-/* Two steps: a slot first, then the body. */
+/* Reservation of a slot, then sending of the body. */
 
 static const struct shard *find_shard(const struct fleet *fleet,
 				      const struct entry *entry,
@@ -305,7 +306,7 @@
 	return NULL;
 }
 
-/* The @n-th replica that is in service, counting around. */
+/* The @n-th replica in service, modulo their number. */
 static struct fleet_target *nth_usable_replica(const struct node *node,
 					       const struct shard *shard,
 					       uint32_t n)
@@ -362,9 +363,9 @@
 }
 
 /*
- * Nothing was sent, so another attempt is safe. A moment later: when nodes
- * come or go the views of who owns the target differ for a while, and all of
- * the attempts would be spent within it.
+ * The body was not sent, so another attempt is safe. It is delayed, because
+ * after a membership change the views of the target's owner differ for a while,
+ * and all attempts would be used up in that time.
  */
 static void schedule_reserve(struct node *node, struct record *record,
 			     int error_code)
@@ -406,7 +407,7 @@
 		once_set_not_run(node, record, ERR_DEADLINE);
 		return;
 	}
-	/* The only place that lets a body out, and only from this state. */
+	/* The body is sent only here, and only from RECORD_RESERVING. */
 	record->state = RECORD_SENT;
 
 	struct msg go = {
@@ -431,7 +432,7 @@
 		schedule_reserve(node, record, msg->status);
 		return;
 	}
-	/* A late word can settle an "unknown"; only "done" is beyond doubt. */
+	/* A late reply can resolve "unknown", but only "done" is certain. */
 	if (record->state == RECORD_UNKNOWN && !msg->status) {
 		set_outcome(node, record, RECORD_DONE, 0, msg->body);
 		return;
--- a/once.h
+++ b/once.h
@@ -7,22 +7,23 @@
  * DOC: entries that run at most once
  *
  * An entry needs a ticket, which names the node incarnation that issued it.
- * Only that process runs the entry; any other node forwards to it, or answers
- * "unknown" when it is gone. So two nodes can never both run one entry, also
- * not while they cannot hear each other. The outcome is done, not run (never
- * sent and never will be) or unknown, and stays so.
+ * Only that process runs the entry; other nodes forward the entry to it, or
+ * answer "unknown" if it is gone. So two nodes never both run an entry, not
+ * even during a network partition. The outcome is done, not run (was never sent
+ * and never will be) or unknown. It is final, except that a late reply can
+ * change unknown to done.
  */
 
 enum record_state {
-	RECORD_AWAIT_QUOTA, /* waits for a lease of the plan */
-	RECORD_RESERVING, /* a gate was asked for a slot; no body sent */
-	RECORD_SENT, /* the body is on its way: it may run */
+	RECORD_AWAIT_QUOTA, /* waits for a lease of the customer's quota */
+	RECORD_RESERVING, /* a slot was requested; the body is not sent */
+	RECORD_SENT, /* the body was sent: the entry may run */
 	RECORD_DONE,
 	RECORD_NOT_RUN,
 	RECORD_UNKNOWN,
 };
 
-/** struct waiter - who gets the outcome: a caller here, or another node */
+/** struct waiter - receiver of an outcome: a local caller or another node */
 struct waiter {
 	struct waiter *next;
 	uint64_t caller;
@@ -32,14 +33,14 @@
 };
 
 /**
- * struct record - one used ticket
- * @pool: owns the entry and the waiters; gone once the outcome is final, so
- *        that the many records that are kept stay small
- * @seq: number of the ticket
- * @attempt: reservations tried
+ * struct record - state of one used ticket
+ * @pool: owns the entry and the waiters; destroyed once the outcome is final,
+ * to keep the many stored records small
+ * @seq: sequence number of the ticket
+ * @attempt: number of reservations tried
  * @gate, @gate_incarnation: gate of the current attempt
- * @retry_at: next reservation, 0 when none waits
- * @code: why it did not run or is unknown
+ * @retry_at: time of the next reservation, 0 when none is scheduled
+ * @code: error if the entry did not run or the outcome is unknown
  */
 struct record {
 	apr_pool_t *pool;
@@ -70,10 +71,10 @@
 	struct record *newest;
 	size_t count;
 	size_t open;
-	size_t unused_tickets; /* tickets issued and not used yet */
-	int64_t issued_at; /* last issue */
+	size_t unused_tickets; /* issued and not used yet */
+	int64_t issued_at; /* time of the last ticket */
 
-	uint64_t evicted_seq; /* records up to here may have been dropped */
+	uint64_t evicted_seq; /* records up to here may be evicted */
 	uint64_t secret;
 };
 
@@ -96,18 +97,17 @@
 		       int64_t retry_us);
 void once_timer(struct node *node, uint64_t seq);
 void once_forward_timer(struct node *node, uint64_t id);
-/** once_open() - records, forwards and tickets that a stop has to wait for. */
+/** once_open() - records, forwards and tickets that delay a planned stop. */
 size_t once_open(const struct node *node);
 
 /* Shared with once_entry.c. */
 
 enum {
-	/* Told to callers whose entry did not run for want of a slot or node.
-	 */
+	/* Default retry delay for callers whose entry did not run. */
 	ONCE_RETRY_AFTER_US = 500000,
 };
 
-/** enum forward_kind - what the issuer is asked for */
+/** enum forward_kind - request that is forwarded to the issuer */
 enum forward_kind {
 	FORWARD_ENTRY,
 	FORWARD_LOOKUP,
--- a/once_entry.c
+++ b/once_entry.c
@@ -88,8 +88,8 @@
 		once_reply_outcome(
 			node, waiter, entry->request_id, "not_run",
 			ERR_TICKET_INVALID,
-			"the ticket does not fit request id and customer", 0,
-			(struct str){ 0 });
+			"the ticket does not match the request id and customer",
+			0, (struct str){ 0 });
 		return;
 	}
 	if (record) {
@@ -106,8 +106,9 @@
 		once_reply_outcome(
 			node, waiter, entry->request_id,
 			code == ERR_ISSUER_GONE ? "unknown" : "not_run", code,
-			code == ERR_NOT_FOUND ? "the ticket was not used yet"
-					      : "",
+			code == ERR_NOT_FOUND
+				? "the ticket has not been used yet"
+				: "",
 			0, (struct str){ 0 });
 		return;
 	}
@@ -125,7 +126,7 @@
 	return NULL;
 }
 
-/* Whether this node must not issue: a ticket would outlive it. */
+/* A leaving node issues no tickets: they would outlive it. */
 static bool may_issue(const struct node *node)
 {
 	return member_state(node) == VM_LIVE && !member_isolated(node);
@@ -144,7 +145,7 @@
 		return;
 	}
 	once_reply_outcome(node, waiter, entry->request_id, "not_run",
-			   ERR_TICKET_REQUIRED, "an entry needs a ticket", 0,
+			   ERR_TICKET_REQUIRED, "an entry requires a ticket", 0,
 			   issued);
 }
 
@@ -225,8 +226,8 @@
 	}
 	if (!ticket_parse(entry->ticket, &ticket)) {
 		once_reply_outcome(node, waiter, entry->request_id, "not_run",
-				   ERR_TICKET_INVALID, "not a ticket", 0,
-				   (struct str){ 0 });
+				   ERR_TICKET_INVALID, "invalid ticket format",
+				   0, (struct str){ 0 });
 		return;
 	}
 	issuer = member_find(node, str_hash(ticket.addr));
@@ -239,14 +240,14 @@
 				lookup ? FORWARD_LOOKUP : FORWARD_ENTRY, body);
 	} else {
 		/*
-		 * The issuer alone knows whether the entry ran. Running it
-		 * here could be the second run, so nobody else ever does.
+		 * Only the issuer has the record of whether the entry ran, so
+		 * no other node runs it: that could be the second run.
 		 */
 		once_reply_outcome(
 			node, waiter, entry->request_id, "unknown",
 			ERR_ISSUER_GONE,
-			"the VM that issued the ticket is gone or cut off", 0,
-			(struct str){ 0 });
+			"the VM that issued the ticket is gone or unreachable",
+			0, (struct str){ 0 });
 	}
 }
 
@@ -262,8 +263,8 @@
 		once_reply_outcome(node, waiter, entry.request_id, "not_run",
 				   err.code, err.text, 0, (struct str){ 0 });
 	/*
-	 * What has a ticket may have run under it before: a node that has just
-	 * started cannot call it "not run", only its issuer can.
+	 * An entry with a ticket may already have run. A node that has just
+	 * started cannot answer "not run" for it; only the issuer can.
 	 */
 	else if (entry.ticket.len || !refuse_starting(node, waiter))
 		route(node, body, lookup, waiter, &entry);
