--- a/quota.c
+++ b/quota.c
@@ -14,12 +14,12 @@
 	WAITERS_MAX = 4096,
 };
 
-/** A lease covers this much of a node's own recent rate, seconds. */
+/** A lease covers this many seconds of a node's own recent rate. */
 #define LEASE_SPAN_S 0.1
-/** A bucket that starts at a new owner holds this many seconds of rate. */
+/** Initial fill of a bucket at a new owner, in seconds of its rate. */
 #define OWNER_INITIAL_S 0.5
 
-/** struct bucket - tokens at a time, filled at a rate */
+/** struct bucket - token bucket: @tokens at the time @at */
 struct bucket {
 	double tokens;
 	int64_t at;
@@ -27,14 +27,14 @@
 
 /**
  * struct account - a customer on this node
- * @leased: tokens lent to this node, until @lease_end
- * @lease_pending: a LEASE is under way since @lease_requested_at; @lease_round
- * tells replies apart
- * @idle_check_at: when to look whether the account can be dropped
- * @owner_bucket: the whole bucket, when this node owns the customer
- * @fallback_bucket: bucket of 1/n of the rate, for when no owner answers
- * @taken, @refused: requests let in and turned away by this node
- * @recent_rate: smoothed requests a second on this node
+ * @leased: tokens leased to this node until @lease_end
+ * @lease_pending: a LEASE was sent at @lease_requested_at and not answered yet
+ * @lease_round: number of the last LEASE, to match its reply
+ * @owner_bucket: the customer's bucket, if this node owns the customer
+ * @fallback_bucket: bucket with 1/n of the rate, for when no owner answers
+ * @taken, @refused: requests admitted and refused by this node
+ * @recent_rate: smoothed requests per second on this node
+ * @idle_check_at: time of the next check whether the account is idle
  * @waiters: questions and records that wait for the lease
  */
 struct account {
@@ -353,7 +353,8 @@
 
 		if (taken)
 			account->leased -= 1;
-		/* Some came after the lease was asked for: ask once more. */
+		/* Some arrived after the lease was requested: request another.
+		 */
 		if (!taken && msg->amount >= 1)
 			add_waiter(account, waiters[i]);
 		else
--- a/quota.h
+++ b/quota.h
@@ -3,21 +3,22 @@
 #include "member.h"
 
 /**
- * DOC: plans' limits
+ * DOC: rate limits of plans
  *
- * One node, by rendezvous of the customer's name, holds the customer's token
- * bucket and lends tokens in small leases; a question that finds none waits
- * for one. Without an owner that answers, a node falls back to 1/n of the
- * rate. docs/DESIGN.md compares this with the split alone.
+ * The owner of a customer, by rendezvous hashing of its name, holds the
+ * customer's token bucket and grants tokens to the other nodes in small leases.
+ * A request for which no token is left waits for a lease. If no owner answers,
+ * a node falls back to 1/n of the rate. docs/DESIGN.md compares this with a
+ * plain split.
  */
 
 enum quota_result {
 	QUOTA_TAKEN,
-	QUOTA_WAIT, /* quota_granted() or quota_denied() follows */
+	QUOTA_WAIT, /* front_quota_result() or once_quota_result() follows */
 	QUOTA_REFUSED,
 };
 
-/** enum quota_policy - for benchmarks; nodes use leases */
+/** enum quota_policy - nodes use leases; the split is for benchmarks */
 enum quota_policy {
 	QUOTA_LEASES,
 	QUOTA_SPLIT,
@@ -32,9 +33,9 @@
 void quota_init(struct node *node);
 void quota_destroy(struct node *node);
 /**
- * quota_take() - one token for @customer
- * @waiter: question or record id, passed back when the result is QUOTA_WAIT
- * @retry_us: when to come back, set with QUOTA_REFUSED
+ * quota_take() - take one token of @customer
+ * @waiter: question or record id, passed back after QUOTA_WAIT
+ * @retry_us: retry delay, set with QUOTA_REFUSED
  */
 enum quota_result quota_take(struct node *node, struct str customer,
 			     const struct plan *plan, uint64_t waiter,
@@ -43,5 +44,5 @@
 		 const struct msg *msg);
 void quota_lease_reply(struct node *node, const struct msg *msg);
 void quota_timer(struct node *node, uint64_t key);
-/** quota_json() - append an array with the customers seen of late. */
+/** quota_json() - append an array with the recently active customers. */
 void quota_json(const struct node *node, struct buf *out);
--- a/replica.c
+++ b/replica.c
@@ -60,7 +60,7 @@
 	       has_version(node, target, version);
 }
 
-/* Whether an attempt of @leaf went to @target, and one is still open. */
+/* Whether an attempt of @leaf went to @target; @same_domain: to its domain. */
 static bool was_tried(const struct leaf *leaf,
 		      const struct fleet_target *target, bool *same_domain)
 {
@@ -79,9 +79,9 @@
 }
 
 /*
- * The replica with the least expected time. A failed one goes last, and so
- * does one in a failure domain that was tried before: what made the first
- * attempt slow or lost is likely to be shared within the domain.
+ * Chooses the replica with the lowest expected latency. Penalties rank failed
+ * replicas last, and those in a failure domain that was tried before: the cause
+ * of a slow or lost attempt is likely shared within the domain.
  */
 struct fleet_target *replica_choose(struct node *node, const struct question *q,
 				    const struct leaf *leaf, bool untried_only)
@@ -116,7 +116,7 @@
 	return best;
 }
 
-/* Targets are replaced day by day; their records must not pile up. */
+/* Targets are replaced daily; their state must not accumulate. */
 void replica_remove_unlisted(struct node *node)
 {
 	apr_hash_t *replicas = node->front->replicas;
--- a/replica.h
+++ b/replica.h
@@ -3,20 +3,20 @@
 #include "front.h"
 
 /**
- * DOC: replicas as a front sees them
+ * DOC: choice of replicas
  *
- * What a front learns of each target from its own leaf requests, and which
- * replica of a shard it asks next.
+ * State of each target as measured by a front's own leaf requests, and the
+ * choice of the replica for the next attempt.
  */
 
 /**
- * struct replica - what this front knows of a target from its own requests
+ * struct replica - state of a target at this front
  * @latency_us: smoothed time from sending to reply
- * @outstanding: leaf requests under way
- * @avoid_until: after a failure
- * @missing_version, @missing_until: snapshot that it did not have
- * @gate, @epoch: its gate in the current view
- * @boot, @boot_seen_at: id of the process that answered last, and when
+ * @outstanding: open leaf requests
+ * @avoid_until: penalized until then, after a failure
+ * @missing_version: snapshot that it does not have until @missing_until
+ * @gate: its gate in the view with the number @epoch
+ * @boot, @boot_seen_at: boot id of the last reply, and its time
  */
 struct replica {
 	uint64_t key;
@@ -35,13 +35,16 @@
 /** replica_gate() - gate of @target in the current view, NULL if none. */
 struct vm *replica_gate(struct node *node, struct replica *replica,
 			const struct fleet_target *target);
-/** replica_usable() - in service, and has the snapshot for all we know. */
+/** replica_usable() - in service, and not known to lack the snapshot. */
 bool replica_usable(struct node *node, const struct fleet_target *target,
 		    uint64_t version);
-/** replica_choose() - replica to ask next; @untried_only: one that was not. */
+/**
+ * replica_choose() - replica for the next attempt, NULL if none
+ * @untried_only: exclude replicas of earlier attempts
+ */
 struct fleet_target *replica_choose(struct node *node, const struct question *q,
 				    const struct leaf *leaf, bool untried_only);
-/** replica_remove_unlisted() - drop what is known of targets that are gone. */
+/** replica_remove_unlisted() - free the state of targets that are gone. */
 void replica_remove_unlisted(struct node *node);
 void replica_record_reply(struct node *node, const struct attempt *attempt);
 void replica_record_failure(struct node *node, const struct question *q,
--- a/snapshot.c
+++ b/snapshot.c
@@ -31,7 +31,7 @@
 	return low < ask->nshards && ask->shards[low] == id;
 }
 
-/* Shards of the question in @snap, their weight, and the weight at hand. */
+/* Counts the question's shards in @snap and sums total and available weight. */
 static size_t measure_coverage(struct node *node, const struct ask *ask,
 			       const struct snapshot *snap,
 			       double *total_weight, double *available)
@@ -60,8 +60,9 @@
 }
 
 /*
- * The newest snapshot that promises the coverage that the plan wants; if none
- * does, the one that promises most. Chosen once for the whole question.
+ * Chooses the newest snapshot with the coverage that the plan requires, or the
+ * one with the highest coverage if none has it. All shards of the question use
+ * the same snapshot.
  */
 const struct snapshot *snapshot_choose(struct node *node, const struct ask *ask,
 				       const struct fleet *fleet, double floor,
--- a/snapshot.h
+++ b/snapshot.h
@@ -3,15 +3,18 @@
 #include "ask.h"
 #include "node.h"
 
-/** DOC: choice of the one snapshot that a question is answered from */
+/** DOC: choice of the snapshot from which a question is answered */
 
-/** snapshot_selects() - whether the question asks for the shard @id. */
+/** snapshot_selects() - whether the question includes the shard @id. */
 bool snapshot_selects(const struct ask *ask, uint32_t id);
 /**
- * snapshot_choose() - the snapshot for @ask, NULL when none has all of it
- * @floor: coverage that the plan wants
- * @excluded: left out, may be NULL
- * @count: shards of the question in its map; @total_weight: their weight
+ * snapshot_choose() - choose the snapshot for @ask
+ * @floor: coverage that the plan requires
+ * @excluded: snapshot not to choose, may be NULL
+ * @count: number of the question's shards in the map of the snapshot
+ * @total_weight: their weight
+ *
+ * Return: NULL if no snapshot has all indexes and shards of @ask.
  */
 const struct snapshot *snapshot_choose(struct node *node, const struct ask *ask,
 				       const struct fleet *fleet, double floor,
--- a/ticket.h
+++ b/ticket.h
@@ -5,8 +5,8 @@
 /**
  * DOC: tickets
  *
- * Text "address/incarnation/number/issued/check": any node can tell the
- * issuer, and the issuer needs no memory of a ticket before its first use.
+ * A ticket is the text "address/incarnation/number/issued/check". Any node can
+ * read the issuer from it, and the issuer stores nothing before its first use.
  */
 
 enum {
@@ -14,7 +14,7 @@
 	TICKET_MAX = 128,
 };
 
-/** struct ticket - the parts of a ticket's text */
+/** struct ticket - parsed form of a ticket's text */
 struct ticket {
 	struct str addr;
 	uint64_t incarnation;
@@ -23,11 +23,12 @@
 	uint64_t check;
 };
 
-/** ticket_check() - binds the ticket to a customer and a request id. */
+/** ticket_check() - keyed hash that binds a ticket to customer and request id.
+ */
 uint64_t ticket_check(const struct node *node, const struct ticket *ticket,
 		      struct str customer, struct str request_id);
-/** ticket_issue() - a new ticket as text, in @text of @size bytes. */
+/** ticket_issue() - issue a ticket, written to @text of @size bytes. */
 struct str ticket_issue(struct node *node, struct str customer,
 			struct str request_id, char *text, size_t size);
-/** ticket_parse() - false when @text is no ticket. */
+/** ticket_parse() - parse a ticket; false if @text is not one. */
 bool ticket_parse(struct str text, struct ticket *ticket);
