--- a/front_admit.c
+++ b/front_admit.c
@@ -15,8 +15,8 @@
 	LIMIT_MIN = 4,
 	LIMIT_CUT_INTERVAL_US = 100000,
 	QUEUE_WAIT_DIVISOR = 4,
-	RETRY_AFTER_US = 250000,
-	STARTING_RETRY_US = 1000000,
+	OVERLOADED_RETRY_AFTER_US = 250000,
+	STARTING_RETRY_AFTER_US = 1000000,
 };
 
 #define LIMIT_CUT_FACTOR 0.9
@@ -98,7 +98,7 @@
 			node, q->caller, ERR_NO_SNAPSHOT,
 			"no snapshot has all of the requested indexes and "
 			"shards",
-			STARTING_RETRY_US);
+			STARTING_RETRY_AFTER_US);
 		question_destroy(node, q);
 		return;
 	}
@@ -177,7 +177,7 @@
 	const struct plan *plan = NULL;
 	apr_pool_t *pool;
 	struct ask ask;
-	int64_t retry_us = STARTING_RETRY_US;
+	int64_t retry_us = STARTING_RETRY_AFTER_US;
 	int code;
 
 	node->counters[CNT_QUESTIONS]++;
@@ -186,7 +186,7 @@
 	if (!code)
 		code = admit(node, &ask, &plan, err.text, sizeof(err.text));
 	if (code == ERR_OVERLOADED)
-		retry_us = RETRY_AFTER_US;
+		retry_us = OVERLOADED_RETRY_AFTER_US;
 	else if (code != ERR_STARTING && code != ERR_ISOLATED)
 		retry_us = 0;
 	if (code) {
--- a/gate.c
+++ b/gate.c
@@ -596,11 +596,11 @@
 
 /* Results. */
 
-static int leaf_status(const struct node *node, const struct job *job,
-		       const struct fetched *got, bool *ran)
+static int fetch_status(const struct node *node, const struct job *job,
+			const struct fetched *fetched, bool *ran)
 {
 	*ran = true;
-	switch (got->result) {
+	switch (fetched->result) {
 	case FETCH_REFUSED:
 		*ran = false;
 		return ERR_TARGET_DOWN;
@@ -613,38 +613,38 @@
 	case FETCH_OK:
 		break;
 	}
-	if (got->status == 503) {
+	if (fetched->status == 503) {
 		*ran = false;
-		return got->draining ? ERR_TARGET_LEAVING : ERR_TARGET_SHED;
+		return fetched->draining ? ERR_TARGET_LEAVING : ERR_TARGET_SHED;
 	}
-	if (got->status == 409)
+	if (fetched->status == 409)
 		return ERR_WRONG_VERSION;
-	if (got->status != 200 || got->job != job->number)
+	if (fetched->status != 200 || fetched->job != job->number)
 		return ERR_MALFORMED;
 	if (job->is_entry)
 		return 0;
-	if (got->shard != job->shard)
+	if (fetched->shard != job->shard)
 		return ERR_MALFORMED;
-	if (got->version != job->version && !node->opt.off.no_version_check)
+	if (fetched->version != job->version && !node->opt.off.no_version_check)
 		return ERR_WRONG_VERSION;
 	return 0;
 }
 
 void gate_fetch_done(struct node *node, uint64_t number,
-		     const struct fetched *got)
+		     const struct fetched *fetched)
 {
 	struct gate *gate = node->gate;
 	struct job *job =
 		apr_hash_get(gate->jobs_by_number, &number, sizeof(number));
 
-	node->counters[CNT_TARGET_RESENT] += (uint64_t)got->resent;
+	node->counters[CNT_TARGET_RESENT] += (uint64_t)fetched->resent;
 	if (!job) {
 		/* The number of a probe is the key of its target. */
 		struct target *target =
 			apr_hash_get(gate->targets, &number, sizeof(number));
 
 		if (target && target->probing)
-			health_record_probe(node, target, got);
+			health_record_probe(node, target, fetched);
 		return;
 	}
 	if (job->state != JOB_RUNNING)
@@ -652,10 +652,10 @@
 
 	struct target *target = job->target;
 	bool ran;
-	int status = leaf_status(node, job, got, &ran);
+	int status = fetch_status(node, job, fetched, &ran);
 
-	health_record_reply(node, target, job, got, status);
-	reply(node, job, status, ran, got->body);
+	health_record_reply(node, target, job, fetched, status);
+	reply(node, job, status, ran, fetched->body);
 	if (job->is_entry)
 		keep_tombstone(node, job);
 	else
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -99,7 +99,7 @@
 	target->unverified = false;
 	target->failure_streak = 0;
 	target->step_interval_us = STEP_INTERVAL_MIN_US;
-	target->probe_interval_us = PROBE_MIN_US;
+	target->probe_interval_us = PROBE_INTERVAL_MIN_US;
 	target->cold_starts = 0;
 	target->baseline_us = 0;
 	target->ramp_streak = 0;
--- a/health.c
+++ b/health.c
@@ -16,7 +16,7 @@
 	BASELINE_DOWN_SHIFT = 3,
 	BASELINE_UP_SHIFT = 7,
 	WARM_FACTOR = 2,
-	PROBE_MAX_US = 1000000,
+	PROBE_INTERVAL_MAX_US = 1000000,
 	PROBE_TIMEOUT_US = 500000,
 };
 
@@ -27,7 +27,7 @@
 	target->probing = true;
 	timer_add(&node->timers, node->now + target->probe_interval_us,
 		  TIMER_TARGET, target->key);
-	if (target->probe_interval_us < PROBE_MAX_US)
+	if (target->probe_interval_us < PROBE_INTERVAL_MAX_US)
 		target->probe_interval_us *= 2;
 }
 
@@ -77,7 +77,7 @@
 	node->counters[CNT_TARGET_DOWN]++;
 	audit_target(node, target, "down", reason);
 	target->down = true;
-	target->probe_interval_us = PROBE_MIN_US;
+	target->probe_interval_us = PROBE_INTERVAL_MIN_US;
 	gate_refuse_queued(node, target, ERR_TARGET_DOWN);
 	schedule_probe(node, target);
 }
@@ -89,7 +89,7 @@
 	audit_target(node, target, "draining",
 		     "the target reports that it is draining");
 	target->draining = true;
-	target->probe_interval_us = PROBE_MAX_US;
+	target->probe_interval_us = PROBE_INTERVAL_MAX_US;
 	if (!node->opt.off.no_leaving_check)
 		gate_refuse_queued(node, target, ERR_TARGET_LEAVING);
 	schedule_probe(node, target);
@@ -170,10 +170,10 @@
  */
 static void update_baseline(struct target *target, int64_t service)
 {
-	int64_t off = service - target->baseline_us;
+	int64_t diff = service - target->baseline_us;
 
 	target->baseline_us +=
-		off >> (off < 0 ? BASELINE_DOWN_SHIFT : BASELINE_UP_SHIFT);
+		diff >> (diff < 0 ? BASELINE_DOWN_SHIFT : BASELINE_UP_SHIFT);
 }
 
 static void record_timely_reply(struct node *node, struct target *target,
@@ -203,12 +203,12 @@
 }
 
 void health_record_reply(struct node *node, struct target *target,
-			 const struct job *job, const struct fetched *got,
+			 const struct job *job, const struct fetched *fetched,
 			 int status)
 {
-	update_boot(node, target, got->boot);
-	update_foreign_load(target, got->load);
-	switch (got->result) {
+	update_boot(node, target, fetched->boot);
+	update_foreign_load(target, fetched->load);
+	switch (fetched->result) {
 	case FETCH_REFUSED:
 		health_set_cold(node, target, "it refused a connection");
 		set_down(node, target, "it refused a connection");
@@ -231,7 +231,7 @@
 	case FETCH_OK:
 		break;
 	}
-	if (got->draining)
+	if (fetched->draining)
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
 		if (++target->shed_streak >= SHED_STREAK)
@@ -255,24 +255,24 @@
 }
 
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetched *got)
+			 const struct fetched *fetched)
 {
 	target->probing = false;
 	if (!target->owned || (!target->down && !target->draining))
 		return;
 
-	bool answers = got->result == FETCH_OK && got->status == 200;
+	bool answers = fetched->result == FETCH_OK && fetched->status == 200;
 
 	if (!answers && target->draining && !target->down) {
 		target->draining = false;
 		set_down(node, target, "it stopped answering while draining");
 		return;
 	}
-	if (!answers || got->draining) {
+	if (!answers || fetched->draining) {
 		schedule_probe(node, target);
 		return;
 	}
-	update_boot(node, target, got->boot);
+	update_boot(node, target, fetched->boot);
 	target->down = false;
 	target->draining = false;
 	target->failure_streak = 0;
--- a/health.h
+++ b/health.h
@@ -12,7 +12,7 @@
 enum {
 	TARGET_LIMIT_MIN = 1,
 	STEP_INTERVAL_MIN_US = 500000,
-	PROBE_MIN_US = 100000,
+	PROBE_INTERVAL_MIN_US = 100000,
 };
 
 /** health_set_cold() - cut the limit to TARGET_LIMIT_MIN. */
@@ -22,10 +22,10 @@
 int health_limit(const struct target *target);
 /** health_record_reply() - update the state with the result of @job. */
 void health_record_reply(struct node *node, struct target *target,
-			 const struct job *job, const struct fetched *got,
+			 const struct job *job, const struct fetched *fetched,
 			 int status);
 /** health_record_probe() - update the state with the result of a probe. */
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetched *got);
+			 const struct fetched *fetched);
 /** health_timer() - send the probe that is due to the target with @key. */
 void health_timer(struct node *node, uint64_t key);
--- a/quota.c
+++ b/quota.c
@@ -170,9 +170,9 @@
 static void update_recent_rate(struct node *node, struct account *account)
 {
 	double gap = (double)(node->now - account->recent_rate_at) / US_PER_S;
-	double keep = gap < 1 ? 1 - gap : 0;
+	double decay = gap < 1 ? 1 - gap : 0;
 
-	account->recent_rate = account->recent_rate * keep + 1;
+	account->recent_rate = account->recent_rate * decay + 1;
 	account->recent_rate_at = node->now;
 }
 
--- a/replica.c
+++ b/replica.c
@@ -140,12 +140,12 @@
 void replica_record_reply(struct node *node, const struct attempt *attempt)
 {
 	struct replica *replica = replica_get(node, attempt->target->key);
-	int64_t took = node->now - attempt->sent_at;
+	int64_t elapsed_us = node->now - attempt->sent_at;
 
-	replica->latency_us += (took - replica->latency_us) >> EWMA_SHIFT;
+	replica->latency_us += (elapsed_us - replica->latency_us) >> EWMA_SHIFT;
 	if (replica->latency_us < 1)
 		replica->latency_us = 1;
-	latency_add(node->front->latency, took);
+	latency_add(node->front->latency, elapsed_us);
 }
 
 void replica_record_failure(struct node *node, const struct question *q,
--- a/target.c
+++ b/target.c
@@ -36,11 +36,11 @@
 
 static void append_json(json_t *value, struct buf *out)
 {
-	size_t need = json_dumpb(value, NULL, 0, JSON_COMPACT);
+	size_t size = json_dumpb(value, NULL, 0, JSON_COMPACT);
 
-	buf_reserve(out, need);
-	json_dumpb(value, out->ptr + out->len, need, JSON_COMPACT);
-	out->len += need;
+	buf_reserve(out, size);
+	json_dumpb(value, out->ptr + out->len, size, JSON_COMPACT);
+	out->len += size;
 }
 
 static uint64_t get_integer(json_t *doc, const char *key)
@@ -48,35 +48,35 @@
 	return (uint64_t)json_integer_value(json_object_get(doc, key));
 }
 
-static void parse_fields(json_t *doc, struct fetched *got)
+static void parse_fields(json_t *doc, struct fetched *fetched)
 {
 	json_t *boot = json_object_get(doc, "boot");
 	json_t *load = json_object_get(doc, "load");
 
 	if (json_is_string(boot))
-		got->boot = str_hash(str_of(json_string_value(boot)));
+		fetched->boot = str_hash(str_of(json_string_value(boot)));
 	if (json_is_integer(load))
-		got->load = (int)json_integer_value(load);
-	got->draining = json_is_true(json_object_get(doc, "draining"));
-	got->job = get_integer(doc, "job");
-	got->shard = (uint32_t)get_integer(doc, "shard");
-	got->version = get_integer(doc, "version");
+		fetched->load = (int)json_integer_value(load);
+	fetched->draining = json_is_true(json_object_get(doc, "draining"));
+	fetched->job = get_integer(doc, "job");
+	fetched->shard = (uint32_t)get_integer(doc, "shard");
+	fetched->version = get_integer(doc, "version");
 }
 
-void target_parse_reply(struct str body, int status, struct fetched *got,
+void target_parse_reply(struct str body, int status, struct fetched *fetched,
 			struct buf *rows)
 {
 	json_t *doc = json_loadb(body.ptr ? body.ptr : "", body.len,
 				 JSON_REJECT_DUPLICATES, NULL);
 
-	got->status = status;
-	got->load = -1;
+	fetched->status = status;
+	fetched->load = -1;
 	if (!json_is_object(doc)) {
-		got->result = FETCH_MALFORMED;
+		fetched->result = FETCH_MALFORMED;
 		json_decref(doc);
 		return;
 	}
-	parse_fields(doc, got);
+	parse_fields(doc, fetched);
 
 	json_t *list = json_object_get(doc, "rows");
 	json_t *entry = json_object_get(doc, "entry");
@@ -86,7 +86,7 @@
 	else if (json_is_object(entry))
 		append_json(entry, rows);
 	else if (status == 200 && !json_object_get(doc, "health"))
-		got->result = FETCH_MALFORMED;
-	got->body = buf_str(rows);
+		fetched->result = FETCH_MALFORMED;
+	fetched->body = buf_str(rows);
 	json_decref(doc);
 }
--- a/target.h
+++ b/target.h
@@ -17,5 +17,5 @@
  * @status: HTTP status
  * @rows: receives the rows or the entry's result
  */
-void target_parse_reply(struct str body, int status, struct fetched *got,
+void target_parse_reply(struct str body, int status, struct fetched *fetched,
 			struct buf *rows);
