--- a/front.c
+++ b/front.c
@@ -17,7 +17,7 @@
 	DELAYED_RETRIES_MAX = 4,
 	RETRY_DELAY_US = 20000,
 	RETRY_BACKOFF_FACTOR = 3,
-	/* How often a leaf of a suspect question checks if it may be sent. */
+	/* Interval at which a deferred leaf checks if it may be sent. */
 	DEFER_US = 10000,
 	BUDGET_MAX = 256,
 	BUDGET_INITIAL = 32,
@@ -251,7 +251,7 @@
 	timer_add(&node->timers, leaf->retry_at, TIMER_QUESTION, q->id);
 }
 
-/* Finishes a blocked question; its open shards are missing as ERR_BLOCKED. */
+/* Finishes a blocked question; its open shards are reported missing. */
 static bool stop_if_blocked(struct node *node, struct question *q)
 {
 	if (!front_question_blocked(node, q))
@@ -278,8 +278,8 @@
 
 /*
  * All replicas were tried. A restarting target is back soon, so the leaf is
- * retried with increasing delays until the deadline of its question: giving up
- * early would lose coverage.
+ * retried with increasing delays, up to DELAYED_RETRIES_MAX times and until the
+ * deadline of its question: giving up early would lose coverage.
  */
 static bool schedule_retry(struct node *node, struct question *q,
 			   struct leaf *leaf, int error_code)
--- a/front_poison.c
+++ b/front_poison.c
@@ -11,7 +11,7 @@
 }
 
 enum {
-	/* With more peers than this, some receive and relay the message. */
+	/* With more peers, RELAY_FANOUT of them get messages and relay them. */
 	BROADCAST_MAX = 32,
 	RELAY_FANOUT = 8,
 };
--- a/gate.c
+++ b/gate.c
@@ -432,7 +432,7 @@
 	}
 	struct job *job = job_create(node, target, from, incarnation, msg);
 
-	/* A hedge or retry is likely the last reply its question waits for. */
+	/* The question of a hedge or retry waits for few other replies. */
 	if (msg->kind == MSG_LEAF && msg->state)
 		enqueue_first(target, job);
 	else
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -29,9 +29,9 @@
 }
 
 /*
- * The previous gate may have requests in progress, to which this gate's first
- * one would be added at a cold target. So while heartbeats of that node arrive,
- * the new gate waits for its handover, up to HANDOVER_WAIT_US.
+ * The previous gate may have requests in progress, and a cold target would get
+ * the first one of this gate in addition. So while heartbeats of that node
+ * arrive, the new gate waits for its handover, up to HANDOVER_WAIT_US.
  */
 static bool previous_gate_alive(const struct node *node,
 				const struct target *target)
@@ -194,8 +194,7 @@
 	target->listed = true;
 	target->listed_leaving = listed->leaving;
 	target->domain_out = listed->domain->out;
-	/* Targets of a returning domain have lost their caches: all are cold.
-	 */
+	/* Targets of a returning domain have lost their caches and are cold. */
 	if (was_out && !target->domain_out && target->owned)
 		health_set_cold(node, target,
 				"its failure domain is back in service");
--- a/once.c
+++ b/once.c
@@ -177,8 +177,8 @@
 
 /*
  * The number of records is limited, because the memory of a VM is. A ticket
- * whose record may be evicted is answered "unknown", since "not run" could be
- * false.
+ * whose record may have been evicted is answered "unknown", since "not run"
+ * could be false.
  */
 static void evict(struct node *node)
 {
--- a/once.h
+++ b/once.h
@@ -35,7 +35,7 @@
 /**
  * struct record - state of one used ticket
  * @pool: owns the entry and the waiters; destroyed once the outcome is final,
- * to keep the many stored records small
+ * so that stored records stay small
  * @seq: sequence number of the ticket
  * @attempt: number of reservations tried
  * @gate, @gate_incarnation: gate of the current attempt
@@ -74,7 +74,7 @@
 	size_t unused_tickets; /* issued and not used yet */
 	int64_t issued_at; /* time of the last ticket */
 
-	uint64_t evicted_seq; /* records up to here may be evicted */
+	uint64_t evicted_seq; /* records up to here may have been evicted */
 	uint64_t secret;
 };
 
--- a/ticket.h
+++ b/ticket.h
@@ -23,8 +23,7 @@
 	uint64_t check;
 };
 
-/** ticket_check() - keyed hash that binds a ticket to customer and request id.
- */
+/** ticket_check() - keyed hash over ticket, customer and request id. */
 uint64_t ticket_check(const struct node *node, const struct ticket *ticket,
 		      struct str customer, struct str request_id);
 /** ticket_issue() - issue a ticket, written to @text of @size bytes. */
