--- a/once.h
+++ b/once.h
@@ -34,8 +34,8 @@
 
 /**
  * struct record - state of one used ticket
- * @pool: owns the entry and the waiters; destroyed once the outcome is final,
- * so that stored records stay small
+ * @pool: owns the entry and the waiters; destroyed once the outcome is final
+ *        to keep stored records small
  * @seq: sequence number of the ticket
  * @attempt: number of reservations tried
  * @gate, @gate_incarnation: gate of the current attempt
