--- a/front.h
+++ b/front.h
@@ -7,23 +7,23 @@
 /**
  * DOC: front
  *
- * Takes a question, admits it, pins one snapshot, sends a leaf request for
- * each shard to the gate of a replica, hedges and retries from a budget, and
- * merges what comes back. Coverage is the weight that was merged over the
- * weight of the snapshot's map for that question.
+ * Coordinates a question: admits it, pins one snapshot, sends a leaf request
+ * for each shard to the gate of a replica, hedges and retries within a budget,
+ * and merges the replies. Coverage is the merged weight divided by the total
+ * weight of the question's shards in the snapshot's map.
  */
 
 enum {
-	LEAF_ATTEMPTS = 6,
+	LEAF_MAX_ATTEMPTS = 6,
 };
 
 /**
- * struct attempt - one leaf request on its way
- * @gate, @incarnation: node that carries it
+ * struct attempt - one leaf request that was sent
+ * @gate, @incarnation: node that forwards it to the target
  * @sent_at: microseconds
  * @open: no reply yet
- * @hedge: sent beside an open one
- * @round: for evidence against the question
+ * @hedge: sent while another attempt of the leaf was open
+ * @round: round of evidence against the question, see poison_round()
  */
 struct attempt {
 	struct fleet_target *target;
@@ -43,37 +43,40 @@
 
 /**
  * struct leaf - one shard of one question
- * @why: last failure, reported when the shard is missing
+ * @error_code: last failure, reported when the shard is missing
  * @rows: merged rows, a JSON array
- * @retry_at: waits until then to be sent again, 0 when it does not
- * @reroutes: attempts that never reached a target
+ * @retry_at: time of the next retry, 0 when none is scheduled
+ * @delayed_retries: retries scheduled because all replicas had been tried
  */
 struct leaf {
 	const struct shard *shard;
 	enum leaf_state state;
-	int why;
-	struct attempt attempts[LEAF_ATTEMPTS];
+	int error_code;
+	struct attempt attempts[LEAF_MAX_ATTEMPTS];
 	uint32_t nattempts;
 	struct str rows;
 	int64_t retry_at;
-	int reroutes;
+	int delayed_retries;
 };
 
 /**
  * struct question - an open question
- * @pool: owns all of it; destroyed with the answer
- * @fleet, @snapshot: pinned for its whole life
- * @plan: copy of the plan's figures at admission
- * @waiting: for a lease of the customer's plan
- * @soft_at, @hard_at: answer from, answer by; microseconds
- * @covered, @total: weight merged, weight of the map for this question
- * @open_leafs: leafs in state LEAF_OPEN
- * @base: attempt numbers of this run start here (restart on a new snapshot)
- * @worst_wait: longest time in a gate's queue
- * @print: tells whether it has come before
- * @served: some target has answered a leaf request of it
- * @bytes: rows merged so far; bounded, so that one question cannot take the
- *         memory of all
+ * @pool: owns the question; destroyed after the answer
+ * @fleet, @snapshot: pinned while the question is open
+ * @plan: copy of the plan at admission
+ * @awaiting_lease: waits for a lease of the customer's quota
+ * @soft_deadline: from then on an answer at the coverage floor is sent
+ * @deadline: the answer is sent by then; both in microseconds
+ * @merged_weight: weight of the merged shards
+ * @total_weight: weight of the question's shards in the snapshot's map
+ * @open_leaves: leaves in state LEAF_OPEN
+ * @attempt_base: number of the first attempt on the current snapshot; a
+ *                restart on another snapshot raises it
+ * @max_queue_wait: longest time in a gate's queue
+ * @fingerprint: identifies repeats of the same question
+ * @served: a target has answered a leaf request of the question
+ * @merged_bytes: size of the merged rows; limited, so that one question cannot
+ *                use up the memory
  */
 struct question {
 	apr_pool_t *pool;
@@ -81,32 +84,32 @@
 	uint64_t caller;
 	struct ask ask;
 	struct plan plan;
-	bool waiting;
+	bool awaiting_lease;
 	struct fleet *fleet;
 	const struct snapshot *snapshot;
-	struct leaf *leafs;
-	size_t nleafs;
-	size_t open_leafs;
+	struct leaf *leaves;
+	size_t nleaves;
+	size_t open_leaves;
 	int64_t start;
-	int64_t soft_at;
-	int64_t hard_at;
-	double covered;
-	double total;
-	uint32_t base;
+	int64_t soft_deadline;
+	int64_t deadline;
+	double merged_weight;
+	double total_weight;
+	uint32_t attempt_base;
 	bool restarted;
 	bool soft_passed;
-	int64_t worst_wait;
-	struct fingerprint print;
+	int64_t max_queue_wait;
+	struct fingerprint fingerprint;
 	bool served;
-	size_t bytes;
+	size_t merged_bytes;
 	uint32_t sent;
 	uint32_t hedges;
 };
 
-/** struct front_config - the policy's knobs, set by benchmarks only */
+/** struct front_config - policy parameters, changed by benchmarks only */
 struct front_config {
 	bool hedge;
-	int64_t hedge_fixed_us; /* 0: the measured quantile */
+	int64_t hedge_fixed_us; /* 0: use the measured quantile */
 	double hedge_quantile;
 	bool admission;
 };
@@ -116,26 +119,27 @@
 	struct front_config config;
 	apr_hash_t *questions; /* id -> struct question */
 	apr_hash_t *callers; /* caller -> struct question */
-	apr_hash_t *targets; /* key -> struct replica */
+	apr_hash_t *replicas; /* key -> struct replica */
 	struct poison poison;
 	struct poison_news news;
 	size_t open;
-	double limit; /* questions open at a time, steered */
-	int64_t limit_at; /* last time that it was lowered */
-	double budget; /* extra leaf requests in hand */
+	double limit; /* adaptive limit on open questions */
+	int64_t limit_lowered_at;
+	double budget; /* hedges and retries that may be sent */
 	struct latency *latency; /* of leaf requests */
-	struct latency *ratio; /* the same over what the target usually
-				* takes, in thousandths */
+	struct latency *ratio; /* latency over the target's usual latency, in
+				* thousandths */
 };
 
 void front_init(struct node *node);
 void front_destroy(struct node *node);
 void front_ask(struct node *node, uint64_t caller, struct str body);
 void front_caller_gone(struct node *node, uint64_t caller);
-void front_quota(struct node *node, uint64_t id, bool taken, int64_t retry_us);
+void front_quota_result(struct node *node, uint64_t id, bool taken,
+			int64_t retry_us);
 void front_reply(struct node *node, struct str from, uint64_t incarnation,
 		 const struct msg *msg);
-/** front_gate_lost() - fail over what was sent to a gate that is gone. */
+/** front_gate_lost() - fail over the open attempts of a lost gate. */
 void front_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
 void front_timer(struct node *node, uint64_t id);
 void front_hedge_timer(struct node *node, uint64_t id);
@@ -144,12 +148,13 @@
 /* Shared with front_admit.c. */
 
 enum {
-	/* A hedge sooner than this would only double what is about to come. */
+	/* An earlier hedge would duplicate a reply that is about to arrive. */
 	FRONT_HEDGE_MIN_US = 1000,
 };
 
 bool front_is_done(const struct question *q);
-void front_start_leafs(struct node *node, struct question *q);
-void front_close_all(struct node *node, struct question *q, struct leaf *leaf);
+void front_send_leaves(struct node *node, struct question *q);
+void front_cancel_attempts(struct node *node, struct question *q,
+			   struct leaf *leaf);
 void front_finish(struct node *node, struct question *q, int code);
 int64_t front_hedge_delay(const struct node *node);
--- a/node.c
+++ b/node.c
@@ -270,12 +270,12 @@
 	[MSG_GO] = { gate_go },
 	[MSG_GO_REPLY] = { once_go_reply },
 	[MSG_RELEASE] = { gate_cancel },
-	[MSG_FORWARD] = { once_forwarded },
+	[MSG_FORWARD] = { once_handle_forward },
 	[MSG_FORWARD_REPLY] = { once_forward_reply },
 	[MSG_LEASE] = { quota_lease },
 	[MSG_LEASE_REPLY] = { on_lease_reply },
 	[MSG_HANDOVER] = { gate_handover },
-	[MSG_SUSPECTS] = { front_suspects },
+	[MSG_SUSPECTS] = { front_poison_handle_msg },
 };
 
 static void on_msg(struct node *node, struct str from, uint64_t incarnation,
@@ -329,7 +329,7 @@
 		member_lost(node, event->from);
 		break;
 	case EV_FETCHED:
-		gate_fetched(node, event->id, event->fetched);
+		gate_fetch_done(node, event->id, event->fetched);
 		break;
 	case EV_DOC:
 		conf_platform_doc(node, event->doc, event->body);
--- a/once.h
+++ b/once.h
@@ -7,22 +7,23 @@
  * DOC: entries that run at most once
  *
  * An entry needs a ticket, which names the node incarnation that issued it.
- * Only that process runs the entry; any other node forwards to it, or answers
- * "unknown" when it is gone. So two nodes can never both run one entry, also
- * not while they cannot hear each other. The outcome is done, not run (never
- * sent and never will be) or unknown, and stays so.
+ * Only that process runs the entry; other nodes forward the entry to it, or
+ * answer "unknown" if it is gone. So two nodes never both run an entry, not
+ * even during a network partition. The outcome is done, not run (was never sent
+ * and never will be) or unknown. It is final, except that a late reply can
+ * change unknown to done.
  */
 
 enum record_state {
-	RECORD_QUOTA, /* waits for a lease of the plan */
-	RECORD_RESERVE, /* a gate was asked for a slot; no body sent */
-	RECORD_SENT, /* the body is on its way: it may run */
+	RECORD_AWAIT_QUOTA, /* waits for a lease of the customer's quota */
+	RECORD_RESERVING, /* a slot was requested; the body is not sent */
+	RECORD_SENT, /* the body was sent: the entry may run */
 	RECORD_DONE,
 	RECORD_NOT_RUN,
 	RECORD_UNKNOWN,
 };
 
-/** struct waiter - who gets the outcome: a caller here, or another node */
+/** struct waiter - receiver of an outcome: a local caller or another node */
 struct waiter {
 	struct waiter *next;
 	uint64_t caller;
@@ -32,14 +33,14 @@
 };
 
 /**
- * struct record - one used ticket
- * @pool: owns the entry and the waiters; gone once the outcome is final, so
- *        that the many records that are kept stay small
- * @seq: number of the ticket
- * @attempt: reservations tried
+ * struct record - state of one used ticket
+ * @pool: owns the entry and the waiters; destroyed once the outcome is final
+ *        to keep stored records small
+ * @seq: sequence number of the ticket
+ * @attempt: number of reservations tried
  * @gate, @gate_incarnation: gate of the current attempt
- * @retry_at: next reservation, 0 when none waits
- * @code: why it did not run or is unknown
+ * @retry_at: time of the next reservation, 0 when none is scheduled
+ * @code: error if the entry did not run or the outcome is unknown
  */
 struct record {
 	apr_pool_t *pool;
@@ -70,10 +71,10 @@
 	struct record *newest;
 	size_t count;
 	size_t open;
-	size_t unused; /* tickets issued and not used yet */
-	int64_t issued_at; /* last issue */
+	size_t unused_tickets; /* issued and not used yet */
+	int64_t issued_at; /* time of the last ticket */
 
-	uint64_t evicted; /* records up to here may have been dropped */
+	uint64_t evicted_seq; /* records up to here may have been evicted */
 	uint64_t secret;
 };
 
@@ -83,8 +84,8 @@
 void once_entry(struct node *node, uint64_t caller, struct str body);
 void once_lookup(struct node *node, uint64_t caller, struct str body);
 void once_caller_gone(struct node *node, uint64_t caller);
-void once_forwarded(struct node *node, struct str from, uint64_t incarnation,
-		    const struct msg *msg);
+void once_handle_forward(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
 void once_forward_reply(struct node *node, struct str from,
 			uint64_t incarnation, const struct msg *msg);
 void once_grant(struct node *node, struct str from, uint64_t incarnation,
@@ -92,21 +93,21 @@
 void once_go_reply(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
 void once_peer_lost(struct node *node, uint64_t key, uint64_t incarnation);
-void once_quota(struct node *node, uint64_t seq, bool taken, int64_t retry_us);
+void once_quota_result(struct node *node, uint64_t seq, bool taken,
+		       int64_t retry_us);
 void once_timer(struct node *node, uint64_t seq);
 void once_forward_timer(struct node *node, uint64_t id);
-/** once_open() - records, forwards and tickets that a stop has to wait for. */
+/** once_open() - records, forwards and tickets that delay a planned stop. */
 size_t once_open(const struct node *node);
 
 /* Shared with once_entry.c. */
 
 enum {
-	/* Told to callers whose entry did not run for want of a slot or node.
-	 */
-	ONCE_RETRY_US = 500000,
+	/* Default retry delay for callers whose entry did not run. */
+	ONCE_RETRY_AFTER_US = 500000,
 };
 
-/** enum forward_kind - what the issuer is asked for */
+/** enum forward_kind - request that is forwarded to the issuer */
 enum forward_kind {
 	FORWARD_ENTRY,
 	FORWARD_LOOKUP,
@@ -120,12 +121,12 @@
 struct record *once_record_create(struct node *node, uint64_t seq,
 				  struct str body);
 struct record *once_record_find(const struct node *node, uint64_t seq);
-void once_reserve(struct node *node, struct record *record, int why);
+void once_reserve(struct node *node, struct record *record, int error_code);
 void once_set_not_run(struct node *node, struct record *record, int code);
-void once_tell(struct node *node, const struct waiter *waiter, int status,
-	       struct str body);
-void once_tell_plain(struct node *node, const struct waiter *waiter,
-		     struct str request_id, const char *outcome, int code,
-		     const char *text, int64_t retry_us, struct str ticket);
-void once_tell_record(struct node *node, const struct record *record,
-		      const struct waiter *waiter);
+void once_reply(struct node *node, const struct waiter *waiter, int status,
+		struct str body);
+void once_reply_outcome(struct node *node, const struct waiter *waiter,
+			struct str request_id, const char *outcome, int code,
+			const char *text, int64_t retry_us, struct str ticket);
+void once_reply_record(struct node *node, const struct record *record,
+		       const struct waiter *waiter);
