--- a/batch.c
+++ b/batch.c
@@ -8,28 +8,29 @@
 
 enum {
 	/* The way to the other node and back, and its wait for a processor. */
-	HOP_US = 3000,
+	HOP_RTT_US = 3000,
 	/* A node that did not answer gets no shards for this long. */
-	REST_US = 500000,
+	BACKOFF_US = 500000,
 	/* Time for the first word of a node that was asked as the second. */
-	SILENT_LEAST_US = 25000,
+	SILENT_MIN_US = 25000,
 	/* Without any word this long after a question its connection is dead.
 	 */
-	SILENT_US = 150000,
+	CONN_DEAD_US = 150000,
 };
 
 /* Ids of calls that other nodes asked for; those of callers are smaller. */
-static const uint64_t asked_bit = 1ULL << 62;
+static const uint64_t peer_call_bit = 1ULL << 62;
 
-void batch_book_init(struct batch_book *book, apr_pool_t *pool,
-		     struct gossip *gossip, struct spread *spread)
+void batch_table_init(struct batch_table *table, apr_pool_t *pool,
+		      struct gossip *gossip, struct placement *placement)
 {
-	*book = (struct batch_book){ .gossip = gossip, .spread = spread };
-	book->open = hash_make(pool);
+	*table = (struct batch_table){ .gossip = gossip,
+				       .placement = placement };
+	table->open = hash_make(pool);
 }
 
-static struct flow_effect *tell(struct calls *calls, struct str addr,
-				uint64_t incarnation, uint32_t kind)
+static struct flow_effect *queue_msg(struct calls *calls, struct str addr,
+				     uint64_t incarnation, uint32_t kind)
 {
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_PEER_SEND);
 
@@ -43,8 +44,8 @@
  * Between nodes shards are named by their place in the route. A call for
  * another node has places of its own, as it may be for a few of them only.
  */
-static uint16_t *name_shards(const struct call *call, const uint16_t *parts,
-			     size_t nparts)
+static uint16_t *shard_indexes(const struct call *call, const uint16_t *parts,
+			       size_t nparts)
 {
 	uint16_t *shards =
 		apr_palloc(call->pool, (nparts + 1) * sizeof(*shards));
@@ -79,7 +80,7 @@
 		struct member_info *member, const uint16_t *parts,
 		size_t nparts, bool may_hand_on, size_t tried)
 {
-	struct flow_effect *fx = tell(calls, member->addr, 0, MSG_ASK);
+	struct flow_effect *fx = queue_msg(calls, member->addr, 0, MSG_ASK);
 	struct batch *batch = apr_pcalloc(call->pool, sizeof(*batch));
 	struct buf body = { 0 };
 
@@ -105,13 +106,13 @@
 	fx->msg.state = may_hand_on;
 	fx->msg.attempt = (uint32_t)tried;
 	fx->msg.remaining_us = call->give_up_at - calls->now;
-	fx->msg.wait_us = calls->now - call->start + HOP_US;
+	fx->msg.wait_us = calls->now - call->start + HOP_RTT_US;
 	fx->msg.hash = call->print.content[0];
 	fx->msg.hash2 = call->print.content[1];
 	fx->msg.key = call->print.caller;
 	fx->msg.body = str_dup(calls->fx->pool, buf_str(&body));
 	fx->msg.name =
-		pack_parts(calls, name_shards(call, parts, nparts), nparts);
+		pack_parts(calls, shard_indexes(call, parts, nparts), nparts);
 	buf_free(&body);
 }
 
@@ -131,7 +132,7 @@
 
 static void batch_cancel(struct calls *calls, struct batch *batch)
 {
-	tell(calls, batch->addr, 0, MSG_ASK_CANCEL)->msg.id = batch->id;
+	queue_msg(calls, batch->addr, 0, MSG_ASK_CANCEL)->msg.id = batch->id;
 	batch_close(calls, batch);
 }
 
@@ -146,22 +147,22 @@
  * nothing at all has come from a node since it was first asked, both are opened
  * anew; a node that is merely slow keeps them, with what is under way there.
  */
-static void rest(struct calls *calls, struct str addr)
+static void back_off(struct calls *calls, struct str addr)
 {
 	struct member_info *member = gossip_find(calls->batches->gossip, addr);
 	struct flow_effect *fx;
 
 	if (!member || calls->now < member->rest_until)
 		return;
-	member->rest_until = calls->now + REST_US;
+	member->rest_until = calls->now + BACKOFF_US;
 	if (!member->unheard_since ||
-	    calls->now - member->unheard_since < SILENT_US)
+	    calls->now - member->unheard_since < CONN_DEAD_US)
 		return;
 	note_belief(calls->notes, calls->now, "node is late", addr,
 		    "it has not answered for its shards", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
-	tell(calls, addr, 0, MSG_RELINK);
+	queue_msg(calls, addr, 0, MSG_RELINK);
 }
 
 /*
@@ -177,7 +178,7 @@
 		   why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
-			       batch->tried + (batch->go ? 2 : 1));
+			       batch->tried + (batch->granted ? 2 : 1));
 }
 
 /*
@@ -189,7 +190,7 @@
 	const struct member_info *member =
 		gossip_find(calls->batches->gossip, batch->addr);
 
-	if (batch->replied || calls->now - batch->sent_at < SILENT_LEAST_US)
+	if (batch->replied || calls->now - batch->sent_at < SILENT_MIN_US)
 		return false;
 	return !member || (member->unheard_since &&
 			   member->unheard_since <= batch->sent_at);
@@ -203,13 +204,13 @@
 	return NULL;
 }
 
-void batch_overdue(struct calls *calls, struct call *call)
+void batch_fail_overdue(struct calls *calls, struct call *call)
 {
 	struct batch *batch;
 
 	for (batch = call->batches; batch; batch = batch->next)
 		if (!batch->replied)
-			rest(calls, batch->addr);
+			back_off(calls, batch->addr);
 	/* Failing one may end the call, and with it all the others. */
 	while ((batch = find_silent(calls, call)))
 		batch_fail(calls, batch, "no word of it in time");
@@ -238,13 +239,13 @@
  */
 static void grant(struct calls *calls, struct batch *batch)
 {
-	if (batch->go)
+	if (batch->granted)
 		return;
-	batch->wants_go = true;
+	batch->wants_grant = true;
 	if (batch->call->asker.len && !batch->call->go)
 		return;
-	batch->go = true;
-	tell(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
+	batch->granted = true;
+	queue_msg(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
 }
 
 /* Every part of a reply must be one that this batch still waits for. */
@@ -313,7 +314,7 @@
 }
 
 /* Finds one open batch at @addr, as failing one may change the table. */
-static struct batch *find_at(struct calls *calls, struct str addr)
+static struct batch *find_batch_to(struct calls *calls, struct str addr)
 {
 	apr_hash_index_t *it;
 
@@ -330,29 +331,30 @@
 void batch_on_lost(struct calls *calls, struct str addr)
 {
 	struct member_info *member = gossip_find(calls->batches->gossip, addr);
-	struct batch *batch = find_at(calls, addr);
+	struct batch *batch = find_batch_to(calls, addr);
 
 	if (member)
-		member->rest_until = calls->now + REST_US;
-	for (; batch; batch = find_at(calls, addr))
+		member->rest_until = calls->now + BACKOFF_US;
+	for (; batch; batch = find_batch_to(calls, addr))
 		batch_fail(calls, batch, "its connection broke");
 }
 
 /* Asked. */
 
-static void refuse(struct calls *calls, struct str from, uint64_t incarnation,
-		   uint64_t id)
+static void send_refusal(struct calls *calls, struct str from,
+			 uint64_t incarnation, uint64_t id)
 {
-	struct flow_effect *fx = tell(calls, from, incarnation, MSG_ASK_REPLY);
+	struct flow_effect *fx =
+		queue_msg(calls, from, incarnation, MSG_ASK_REPLY);
 
 	fx->msg.id = id;
 	fx->msg.state = 1;
 }
 
-static const struct route *route_of(struct catalog *catalog,
-				    const struct msg *msg,
-				    struct flow_request *request,
-				    apr_pool_t *pool)
+static const struct route *resolve_route(struct catalog *catalog,
+					 const struct msg *msg,
+					 struct flow_request *request,
+					 apr_pool_t *pool)
 {
 	size_t nparts = msg->name.len / sizeof(uint16_t);
 	const struct route *route;
@@ -374,18 +376,19 @@
 	return route;
 }
 
-void batch_asked(struct calls *calls, struct catalog *catalog, struct str from,
-		 uint64_t incarnation, const struct msg *msg, int64_t late_us)
+void batch_on_request(struct calls *calls, struct catalog *catalog,
+		      struct str from, uint64_t incarnation,
+		      const struct msg *msg, int64_t delay_us)
 {
 	struct fingerprint print = { { msg->hash, msg->hash2 }, msg->key };
-	int64_t remaining_us = msg->remaining_us - late_us;
+	int64_t remaining_us = msg->remaining_us - delay_us;
 	struct flow_request request;
 	const struct route *route;
 	struct call *call;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, calls->pool);
-	route = route_of(catalog, msg, &request, pool);
+	route = resolve_route(catalog, msg, &request, pool);
 	/*
 	 * A connection that was cut, or a node that was frozen, brings
 	 * questions of seconds ago: nobody waits for them, and targets must not
@@ -394,15 +397,15 @@
 	 */
 	if (!route || remaining_us <= 0 ||
 	    poison_verdict(calls->poison, &print) != POISON_NONE) {
-		refuse(calls, from, incarnation, msg->id);
+		send_refusal(calls, from, incarnation, msg->id);
 		apr_pool_destroy(pool);
 		return;
 	}
 	request.time_left_us = remaining_us;
-	call = call_create(calls, asked_bit | ++calls->next_id, &request,
+	call = call_create(calls, peer_call_bit | ++calls->next_id, &request,
 			   catalog, route);
 	call->print = print;
-	call->start -= msg->wait_us + late_us;
+	call->start -= msg->wait_us + delay_us;
 	call->give_up_at = calls->now + remaining_us;
 	call->asker = str_dup(call->pool, from);
 	call->asker_incarnation = incarnation;
@@ -419,8 +422,8 @@
 }
 
 /* The call that the node at @from knows by @id, or NULL. */
-static struct call *find_asked(struct calls *calls, struct str from,
-			       uint64_t id)
+static struct call *find_peer_call(struct calls *calls, struct str from,
+				   uint64_t id)
 {
 	apr_hash_index_t *it;
 
@@ -434,24 +437,24 @@
 	return NULL;
 }
 
-void batch_cancelled(struct calls *calls, struct str from,
+void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg)
 {
-	struct call *call = find_asked(calls, from, msg->id);
+	struct call *call = find_peer_call(calls, from, msg->id);
 
 	if (call)
 		call_abandon(calls, call);
 }
 
-void batch_on_go(struct calls *calls, struct str from, const struct msg *msg)
+void batch_on_grant(struct calls *calls, struct str from, const struct msg *msg)
 {
-	struct call *call = find_asked(calls, from, msg->id);
+	struct call *call = find_peer_call(calls, from, msg->id);
 
 	if (!call || call->go)
 		return;
 	call->go = true;
 	for (struct batch *batch = call->batches; batch; batch = batch->next)
-		if (batch->wants_go)
+		if (batch->wants_grant)
 			grant(calls, batch);
 	call->kind->review(calls, call);
 }
@@ -460,7 +463,8 @@
  * A suspect request goes back to the node that has its caller before all tries
  * are used: were it harmless, that node can go on with it after a trial.
  */
-static uint32_t tries_told(const struct calls *calls, const struct call *call)
+static uint32_t tries_to_report(const struct calls *calls,
+				const struct call *call)
 {
 	size_t most = call->tried + 1;
 
@@ -472,17 +476,17 @@
 	return (uint32_t)(most - call->tried);
 }
 
-void batch_tell(struct calls *calls, const struct call *call,
-		const uint16_t *parts, size_t nparts, struct str records,
-		struct str signatures, bool last)
+void batch_send_reply(struct calls *calls, const struct call *call,
+		      const uint16_t *parts, size_t nparts, struct str records,
+		      struct str signatures, bool last)
 {
-	struct flow_effect *fx = tell(calls, call->asker,
-				      call->asker_incarnation, MSG_ASK_REPLY);
+	struct flow_effect *fx = queue_msg(
+		calls, call->asker, call->asker_incarnation, MSG_ASK_REPLY);
 
 	fx->msg.id = call->asker_id;
 	fx->msg.state = last;
 	fx->msg.ran = true;
-	fx->msg.attempt = last ? tries_told(calls, call) : 0;
+	fx->msg.attempt = last ? tries_to_report(calls, call) : 0;
 	fx->msg.name = pack_parts(calls, parts, nparts);
 	fx->msg.body = str_dup(calls->fx->pool, records);
 	fx->msg.text = str_dup(calls->fx->pool, signatures);
--- a/batch.h
+++ b/batch.h
@@ -20,8 +20,8 @@
  * @parts: indexes of the shards that it has not answered for
  * @tried: targets of each that may have been asked before
  * @replied: something has come back
- * @wants_go, @go: the node asked to ask further targets, and was told that it
- * may
+ * @wants_grant, @granted: the node asked to ask further targets, and was told
+ * that it may
  */
 struct batch {
 	uint64_t id;
@@ -32,21 +32,21 @@
 	size_t nparts;
 	size_t tried;
 	bool replied;
-	bool wants_go;
-	bool go;
+	bool wants_grant;
+	bool granted;
 	struct batch *next;
 };
 
 /**
- * struct batch_book - batches of this node
+ * struct batch_table - batches of this node
  * @open: id -> struct batch
  * @replied: some shards came back; @msg: records and signatures of @parts
  * @failed: the node will not answer for @parts; @tried: how many targets each
  *          of them may have been sent to already
  */
-struct batch_book {
+struct batch_table {
 	struct gossip *gossip;
-	struct spread *spread;
+	struct placement *placement;
 	apr_hash_t *open;
 	void (*replied)(struct calls *calls, struct call *call,
 			const uint16_t *parts, size_t nparts,
@@ -55,8 +55,8 @@
 		       const uint16_t *parts, size_t nparts, size_t tried);
 };
 
-void batch_book_init(struct batch_book *book, apr_pool_t *pool,
-		     struct gossip *gossip, struct spread *spread);
+void batch_table_init(struct batch_table *table, apr_pool_t *pool,
+		      struct gossip *gossip, struct placement *placement);
 /**
  * batch_send() - hand @nparts shards of @call to @member
  * @may_hand_on: it may in turn hand on those that are far from it
@@ -67,26 +67,31 @@
 		size_t nparts, bool may_hand_on, size_t tried);
 /** batch_cancel_all() - the call wants none of its batches any more. */
 void batch_cancel_all(struct calls *calls, struct call *call);
-/** batch_overdue() - give up on those of the call that have not replied. */
-void batch_overdue(struct calls *calls, struct call *call);
+/** batch_fail_overdue() - give up on those of the call that have not replied.
+ */
+void batch_fail_overdue(struct calls *calls, struct call *call);
 /** batch_on_reply(), batch_on_lost() - from the node at @from. */
 void batch_on_reply(struct calls *calls, struct str from,
 		    const struct msg *msg);
 void batch_on_lost(struct calls *calls, struct str addr);
 
-/** batch_on_go() - the node at @from knows that further targets are asked. */
-void batch_on_go(struct calls *calls, struct str from, const struct msg *msg);
+/** batch_on_grant() - the node at @from knows that further targets are asked.
+ */
+void batch_on_grant(struct calls *calls, struct str from,
+		    const struct msg *msg);
 
 /**
- * batch_asked() - another node hands shards to this one
- * @late_us: how long the message was held up on its way
+ * batch_on_request() - another node hands shards to this one
+ * @delay_us: how long the message was held up on its way
  */
-void batch_asked(struct calls *calls, struct catalog *catalog, struct str from,
-		 uint64_t incarnation, const struct msg *msg, int64_t late_us);
-/** batch_cancelled() - it does not want them any more. */
-void batch_cancelled(struct calls *calls, struct str from,
+void batch_on_request(struct calls *calls, struct catalog *catalog,
+		      struct str from, uint64_t incarnation,
+		      const struct msg *msg, int64_t delay_us);
+/** batch_on_cancel() - it does not want them any more. */
+void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg);
-/** batch_tell() - send what is there of a call that another node asked for. */
-void batch_tell(struct calls *calls, const struct call *call,
-		const uint16_t *parts, size_t nparts, struct str records,
-		struct str signatures, bool last);
+/** batch_send_reply() - send what is there of a call that another node asked
+ * for. */
+void batch_send_reply(struct calls *calls, const struct call *call,
+		      const uint16_t *parts, size_t nparts, struct str records,
+		      struct str signatures, bool last);
--- a/call.c
+++ b/call.c
@@ -26,7 +26,7 @@
 
 bool call_has(const struct calls *calls, enum mechanism mechanism)
 {
-	return mechanism_on(calls->without, mechanism);
+	return mechanism_enabled(calls->without, mechanism);
 }
 
 void calls_init(struct calls *calls, apr_pool_t *pool, uint64_t seed)
@@ -368,9 +368,9 @@
 void call_served(struct calls *calls, struct call *call)
 {
 	call->served = true;
-	if (poison_served(calls->poison, &call->print, calls->now))
+	if (poison_answered(calls->poison, &call->print, calls->now))
 		note_cleared(calls->notes, calls->now, &call->print);
-	poison_news_send(calls->news, calls->now);
+	poison_sync_send(calls->news, calls->now);
 }
 
 /* What a reply, or a broken connection, says of its request. */
@@ -389,13 +389,13 @@
 	    reply->result != FETCH_BROKEN ||
 	    (call ? call->served : attempt->served))
 		return;
-	entry = poison_broke(calls->poison, &attempt->print, attempt->round,
-			     &crash);
+	entry = poison_crashed(calls->poison, &attempt->print, attempt->round,
+			       &crash);
 	if (!entry)
 		return;
 	note_suspect(calls->notes, calls->now, calls->poison, entry,
 		     attempt->target->id);
-	poison_news_send(calls->news, calls->now);
+	poison_sync_send(calls->news, calls->now);
 }
 
 static void take_reply(struct calls *calls, uint64_t id,
@@ -485,8 +485,8 @@
 {
 	if (call->served || (call->asker.len && call->abandoned))
 		return;
-	poison_unserved(calls->poison, &call->print);
-	poison_news_send(calls->news, calls->now);
+	poison_unanswered(calls->poison, &call->print);
+	poison_sync_send(calls->news, calls->now);
 }
 
 static void call_end(struct calls *calls, struct call *call)
--- a/call.h
+++ b/call.h
@@ -22,7 +22,7 @@
 struct calls;
 struct call;
 struct gossip;
-struct poison_news;
+struct poison_sync;
 
 /**
  * struct attempt - a request under way to a target
@@ -223,8 +223,8 @@
 	struct note_book *notes;
 	struct gossip *gossip;
 	struct poison *poison;
-	struct poison_news *news;
-	struct batch_book *batches;
+	struct poison_sync *news;
+	struct batch_table *batches;
 	const struct call_kind *shards_kind;
 };
 
--- a/command.c
+++ b/command.c
@@ -112,9 +112,9 @@
 
 static int list_mechanisms(void)
 {
-	for (int i = 0; i < MECHANISMS; i++)
+	for (int i = 0; i < MECHANISM_COUNT; i++)
 		printf("%-16s %s\n", mechanism_info(i)->name,
-		       mechanism_info(i)->what);
+		       mechanism_info(i)->description);
 	return EXIT_OK;
 }
 
@@ -123,7 +123,7 @@
 	struct error err = { 0 };
 
 	for (int i = 0; i < names->count; i++) {
-		if (!mechanism_off(str_of(names->sval[i]), without, &err))
+		if (!mechanism_disable(str_of(names->sval[i]), without, &err))
 			continue;
 		print_error(&err);
 		return EXIT_USAGE;
@@ -138,7 +138,7 @@
 	struct arg_str *level = arg_str0("l", "log-level", "LEVEL",
 					 "error, warn, info or debug");
 	struct arg_str *names =
-		arg_strn(NULL, "without", "NAME", 0, MECHANISMS,
+		arg_strn(NULL, "without", "NAME", 0, MECHANISM_COUNT,
 			 "switch a mechanism off, to measure it");
 	struct arg_lit *list = arg_lit0(NULL, "list-mechanisms",
 					"name those that can be switched off");
--- a/fingerprint.c
+++ b/fingerprint.c
@@ -2,7 +2,7 @@
 
 #include <apr_sha1.h>
 
-static void add(struct apr_sha1_ctx_t *sha, struct str part)
+static void hash_part(struct apr_sha1_ctx_t *sha, struct str part)
 {
 	uint64_t len = part.len;
 
@@ -25,7 +25,7 @@
 
 	apr_sha1_init(&sha);
 	for (size_t i = 0; i < count; i++)
-		add(&sha, parts[i]);
+		hash_part(&sha, parts[i]);
 	apr_sha1_final(digest, &sha);
 	memcpy(print.content, digest, sizeof(print.content));
 	print.caller = str_hash(caller);
--- a/forward.c
+++ b/forward.c
@@ -7,7 +7,7 @@
 
 enum {
 	/* A target that is needed may be free again after about this time. */
-	LOOK_AGAIN_US = 10000,
+	RECHECK_US = 10000,
 	RETRY_AFTER_US = 300000,
 };
 
@@ -15,12 +15,12 @@
  * A hedge goes out at this part of the goal: the work of a single
  * request spreads widely, so sooner would double the work of many.
  */
-static const double HEDGE_GOAL_PART = 0.55;
+static const double HEDGE_GOAL_FRACTION = 0.55;
 /* Waiting for a target that may be asked ends at this part of the goal. */
-static const double WAIT_GOAL_PART = 0.25;
+static const double WAIT_GOAL_FRACTION = 0.25;
 
 /* By a draw, as the weights are: nodes need not agree on whose turn it is. */
-uint64_t forward_share(struct calls *calls, const struct route *route)
+uint64_t forward_pick_service(struct calls *calls, const struct route *route)
 {
 	double total = 0;
 	double draw;
@@ -42,7 +42,7 @@
 	const struct part *part = &call->parts[0];
 	int64_t retry_us = RETRY_AFTER_US;
 
-	trial_excuse(calls, call, &why, &retry_us);
+	trial_refusal_reason(calls, call, &why, &retry_us);
 	if (!part->ran && !part->open)
 		call_refuse(calls, call, 503, why, retry_us);
 	else if (calls->now >= call->give_up_at)
@@ -52,7 +52,7 @@
 }
 
 /* Targets that rejected it may be asked again, and still be full. */
-static const char *why_held(const struct call *call)
+static const char *held_reason(const struct call *call)
 {
 	return call->parts[0].rejected ? "the target is full"
 				       : "no target may be asked";
@@ -61,30 +61,31 @@
 static int64_t wait_until(const struct call *call)
 {
 	return call->start +
-	       (int64_t)((double)call->route->goal_us * WAIT_GOAL_PART);
+	       (int64_t)((double)call->route->goal_us * WAIT_GOAL_FRACTION);
 }
 
 static int64_t hedge_at(const struct call *call)
 {
 	return call->start +
-	       (int64_t)((double)call->route->goal_us * HEDGE_GOAL_PART);
+	       (int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 }
 
 /* Sends once more where that is allowed; ends the call where it is not. */
-static void try_again(struct calls *calls, struct call *call, const char *why)
+static void send_or_give_up(struct calls *calls, struct call *call,
+			    const char *why)
 {
 	switch (call_send(calls, call, 0)) {
 	case SEND_DONE:
 		return;
 	case SEND_NO_TARGET:
 	case SEND_NO_BUDGET:
-		if (calls->now + LOOK_AGAIN_US < wait_until(call)) {
-			call_review_at(calls, call, calls->now + LOOK_AGAIN_US);
+		if (calls->now + RECHECK_US < wait_until(call)) {
+			call_review_at(calls, call, calls->now + RECHECK_US);
 			return;
 		}
 		break;
 	case SEND_HELD:
-		call_review_at(calls, call, calls->now + LOOK_AGAIN_US);
+		call_review_at(calls, call, calls->now + RECHECK_US);
 		return;
 	case SEND_NO_TRIES:
 	case SEND_BLOCKED:
@@ -97,13 +98,13 @@
 {
 	call->nparts = 1;
 	call->parts = apr_pcalloc(call->pool, sizeof(*call->parts));
-	call->parts[0].service = forward_share(calls, call->route);
+	call->parts[0].service = forward_pick_service(calls, call->route);
 	if (!roster_first(calls->roster, call->parts[0].service)) {
 		call_refuse(calls, call, 503, "no target of the service",
 			    RETRY_AFTER_US);
 		return;
 	}
-	try_again(calls, call, "no target may be asked");
+	send_or_give_up(calls, call, "no target may be asked");
 	if (call->attempts)
 		call_review_at(calls, call,
 			       call->route->repeatable ? hedge_at(call)
@@ -116,12 +117,12 @@
 		give_up(calls, call, "out of time");
 		return;
 	}
-	if (call->route->repeatable && trial_hopeless(calls, call)) {
+	if (call->route->repeatable && trial_exhausted(calls, call)) {
 		give_up(calls, call, "no target may have it");
 		return;
 	}
 	if (!call->parts[0].open) {
-		try_again(calls, call, why_held(call));
+		send_or_give_up(calls, call, held_reason(call));
 		if (!call->attempts)
 			return;
 	} else if (call->route->repeatable && call->parts[0].open == 1 &&
@@ -131,8 +132,8 @@
 	call_review_at(calls, call, call->give_up_at);
 }
 
-static void pass_on(struct calls *calls, struct call *call,
-		    const struct flow_reply *reply)
+static void relay_reply(struct calls *calls, struct call *call,
+			const struct flow_reply *reply)
 {
 	struct final final = { .status = reply->status,
 			       .headers = reply->headers,
@@ -147,7 +148,7 @@
  * A status that promises "not run" may come from a target that did run the
  * request and does not say otherwise; it must not reach the caller as it is.
  */
-static bool promises_not_run(int status)
+static bool implies_not_run(int status)
 {
 	return status == 429 || status == 503 || status == 408 || status == 421;
 }
@@ -159,7 +160,7 @@
 		return false;
 	if (reply->status / 100 == 2)
 		return reply->signature.len > 0;
-	if (promises_not_run(reply->status))
+	if (implies_not_run(reply->status))
 		return false;
 	return reply->status < 500 || !call->route->repeatable;
 }
@@ -173,7 +174,7 @@
 
 	(void)attempt;
 	if (is_final(call, reply)) {
-		pass_on(calls, call, reply);
+		relay_reply(calls, call, reply);
 		return;
 	}
 	if (part->open)
@@ -185,7 +186,7 @@
 		give_up(calls, call, why);
 		return;
 	}
-	try_again(calls, call, why);
+	send_or_give_up(calls, call, why);
 	if (call->attempts)
 		call_review_at(calls, call, call->give_up_at);
 }
--- a/forward.h
+++ b/forward.h
@@ -11,5 +11,6 @@
  */
 extern const struct call_kind forward_kind;
 
-/** forward_share() - the service whose turn it is, by the route's weights. */
-uint64_t forward_share(struct calls *calls, const struct route *route);
+/** forward_pick_service() - the service whose turn it is, by the route's
+ * weights. */
+uint64_t forward_pick_service(struct calls *calls, const struct route *route);
--- a/front.h
+++ b/front.h
@@ -118,7 +118,7 @@
 	apr_hash_t *callers; /* caller -> struct question */
 	apr_hash_t *targets; /* key -> struct replica */
 	struct poison poison;
-	struct poison_news news;
+	struct poison_sync news;
 	size_t open;
 	double limit; /* questions open at a time, steered */
 	int64_t limit_at; /* last time that it was lowered */
--- a/front_admit.c
+++ b/front_admit.c
@@ -196,7 +196,7 @@
 
 	struct question *q = question_create(node, caller, pool, &ask, plan);
 
-	poison_asked(&node->front->poison, &q->print, node->now);
+	poison_touch(&node->front->poison, &q->print, node->now);
 	if (front_blocked(node, q)) {
 		refuse(node, caller, ERR_BLOCKED,
 		       "it crashes the targets that run it", 0);
--- a/front_poison.c
+++ b/front_poison.c
@@ -51,9 +51,9 @@
 
 	poison_init(&front->poison, front->pool,
 		    (struct poison_targets){ has_answered, node });
-	front->news = (struct poison_news){
+	front->news = (struct poison_sync){
 		.poison = &front->poison,
-		.links = { spread_news, send_news, node },
+		.transport = { spread_news, send_news, node },
 		.pool = front->pool,
 	};
 }
@@ -71,20 +71,21 @@
 void front_poison_heard(struct node *node, struct str from, uint64_t digest)
 {
 	if (node->front)
-		poison_news_digest(&node->front->news, from, digest, node->now);
+		poison_sync_on_digest(&node->front->news, from, digest,
+				      node->now);
 }
 
 void front_poison_sweep(struct node *node)
 {
 	if (node->front)
-		poison_settle(&node->front->poison, true, node->now);
+		poison_sweep(&node->front->poison, true, node->now);
 }
 
 void front_suspects(struct node *node, struct str from, uint64_t incarnation,
 		    const struct msg *msg)
 {
 	(void)incarnation;
-	poison_news_msg(&node->front->news, from, msg, true, node->now);
+	poison_sync_on_msg(&node->front->news, from, msg, true, node->now);
 }
 
 /* Questions. */
@@ -138,8 +139,8 @@
 
 	if (q->served)
 		return;
-	poison_broke(&front->poison, &q->print, attempt->round, &crash);
-	poison_news_send(&front->news, node->now);
+	poison_crashed(&front->poison, &q->print, attempt->round, &crash);
+	poison_sync_send(&front->news, node->now);
 	if (!was_blocked && front_blocked(node, q))
 		node_audit(node, "question", STR("suspect"), STR("blocked"),
 			   "it crashes the targets that run it",
@@ -154,14 +155,14 @@
 	q->served = true;
 	replica->boot = msg->hash;
 	replica->boot_at = node->now;
-	poison_served(&node->front->poison, &q->print, node->now);
-	poison_news_send(&node->front->news, node->now);
+	poison_answered(&node->front->poison, &q->print, node->now);
+	poison_sync_send(&node->front->news, node->now);
 }
 
 void front_unserved(struct node *node, const struct question *q)
 {
 	if (q->served)
 		return;
-	poison_unserved(&node->front->poison, &q->print);
-	poison_news_send(&node->front->news, node->now);
+	poison_unanswered(&node->front->poison, &q->print);
+	poison_sync_send(&node->front->news, node->now);
 }
--- a/mechanism.c
+++ b/mechanism.c
@@ -1,6 +1,6 @@
 #include "mechanism.h"
 
-static const struct mechanism_info infos[MECHANISMS] = {
+static const struct mechanism_info infos[MECHANISM_COUNT] = {
 	[MECHANISM_HEDGES] = { "hedges", "a late reply is asked for at another "
 					 "target too, within the retry bound" },
 	[MECHANISM_SOFT_DEADLINE] = { "soft-deadline",
@@ -60,9 +60,9 @@
 	return &infos[mechanism];
 }
 
-int mechanism_off(struct str name, uint32_t *without, struct error *err)
+int mechanism_disable(struct str name, uint32_t *without, struct error *err)
 {
-	for (int i = 0; i < MECHANISMS; i++) {
+	for (int i = 0; i < MECHANISM_COUNT; i++) {
 		if (!str_eq(name, str_of(infos[i].name)))
 			continue;
 		*without |= 1U << i;
--- a/mechanism.h
+++ b/mechanism.h
@@ -34,27 +34,27 @@
 	MECHANISM_COLD_BOUND,
 	MECHANISM_QUICK_START,
 	MECHANISM_POISON,
-	MECHANISMS,
+	MECHANISM_COUNT,
 };
 
 /**
- * struct mechanism_info - @name: as it is switched off; @what: it protects or
- * buys
+ * struct mechanism_info - @name: as it is switched off; @description: it
+ * protects or buys
  */
 struct mechanism_info {
 	const char *name;
-	const char *what;
+	const char *description;
 };
 
 const struct mechanism_info *mechanism_info(enum mechanism mechanism);
 /**
- * mechanism_off() - add the one called @name to the set @without
+ * mechanism_disable() - add the one called @name to the set @without
  *
  * Return: 0, or ERR_USAGE when there is none of that name.
  */
-int mechanism_off(struct str name, uint32_t *without, struct error *err);
+int mechanism_disable(struct str name, uint32_t *without, struct error *err);
 
-static inline bool mechanism_on(uint32_t without, enum mechanism mechanism)
+static inline bool mechanism_enabled(uint32_t without, enum mechanism mechanism)
 {
 	return !(without & 1U << mechanism);
 }
--- a/merge.c
+++ b/merge.c
@@ -139,7 +139,7 @@
 {
 	int64_t retry_us = RETRY_AFTER_US;
 
-	trial_excuse(calls, call, &why, &retry_us);
+	trial_refusal_reason(calls, call, &why, &retry_us);
 	if (calls->now >= call->give_up_at)
 		call_refuse(calls, call, 504, why, 0);
 	else if (any_ran(call))
@@ -160,7 +160,7 @@
 {
 	bool waits = (call_has(calls, MECHANISM_LATE_ANSWERS) ||
 		      calls->now < call->soft_at) &&
-		     !trial_hopeless(calls, call);
+		     !trial_exhausted(calls, call);
 	size_t possible = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
@@ -184,7 +184,7 @@
 		answer(calls, call, "complete");
 		return true;
 	}
-	if (!call->ndone && trial_hopeless(calls, call)) {
+	if (!call->ndone && trial_exhausted(calls, call)) {
 		give_up(calls, call, "no target may have it");
 		return true;
 	}
@@ -208,9 +208,9 @@
 {
 	struct merge_state *state = call->state;
 
-	batch_tell(calls, call, state->fresh, state->nfresh,
-		   records_str(&state->records), buf_str(&state->signatures),
-		   last);
+	batch_send_reply(calls, call, state->fresh, state->nfresh,
+			 records_str(&state->records),
+			 buf_str(&state->signatures), last);
 	state->told = true;
 	state->nfresh = 0;
 	state->records.count = 0;
@@ -228,7 +228,7 @@
 	bool late = calls->now >= call->soft_at;
 	bool last = count_possible(calls, call) == call->ndone ||
 		    calls->now >= call->give_up_at ||
-		    trial_hopeless(calls, call);
+		    trial_exhausted(calls, call);
 
 	if (last || (late && state->nfresh) ||
 	    (!state->told && calls->now >= merge_tell_at(call)))
@@ -315,10 +315,10 @@
 	if (settle(calls, call))
 		return;
 	if (calls->now >= merge_batch_at(call))
-		batch_overdue(calls, call);
+		batch_fail_overdue(calls, call);
 	if (call->over)
 		return;
-	trial_over(calls, call);
+	trial_clear(calls, call);
 	hedge(calls, call);
 	plan_review(calls, call);
 }
@@ -338,9 +338,10 @@
 		      struct member_info *member, const uint16_t *parts,
 		      size_t nparts, size_t tried)
 {
-	bool whole = !call->asker.len &&
-		     !spread_here(calls->batches->spread, call->catalog,
-				  call->route, calls->now);
+	bool whole =
+		!call->asker.len &&
+		!placement_is_local(calls->batches->placement, call->catalog,
+				    call->route, calls->now);
 
 	call->handed += whole;
 	for (size_t i = 0; i < nparts; i++)
@@ -370,9 +371,9 @@
 static uint64_t best_domain(struct calls *calls, const struct call *call,
 			    uint16_t *parts)
 {
-	const struct spread *spread = calls->batches->spread;
-	uint64_t domains[SPREAD_DOMAINS_MAX];
-	size_t count = spread_domains(spread, domains);
+	const struct placement *placement = calls->batches->placement;
+	uint64_t domains[PLACEMENT_DOMAINS_MAX];
+	size_t count = placement_domains(placement, domains);
 	uint64_t best = 0;
 	size_t most = BATCH_LEAST - 1;
 
@@ -390,12 +391,12 @@
 /* Shards without a good target in this failure domain go to nodes elsewhere. */
 static void send_far(struct calls *calls, struct call *call)
 {
-	struct spread *spread = calls->batches->spread;
+	struct placement *placement = calls->batches->placement;
 	uint16_t *parts =
 		apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 
 	for (int i = 0;
-	     i < SPREAD_DOMAINS_MAX && call_has(calls, MECHANISM_BATCHES) &&
+	     i < PLACEMENT_DOMAINS_MAX && call_has(calls, MECHANISM_BATCHES) &&
 	     !is_suspect(calls, call);
 	     i++) {
 		uint64_t domain = best_domain(calls, call, parts);
@@ -404,8 +405,8 @@
 
 		if (!domain)
 			return;
-		member = spread_choose(spread, call->catalog, call->route,
-				       domain, calls->now);
+		member = placement_choose(placement, call->catalog, call->route,
+					  domain, calls->now);
 		if (!member)
 			return;
 		count = collect(calls, call, domain, parts);
@@ -445,14 +446,15 @@
 /* Return: true if another node was asked for the whole question. */
 static bool send_whole(struct calls *calls, struct call *call)
 {
-	struct spread *spread = calls->batches->spread;
+	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
 	uint16_t *parts;
 
-	if (spread_here(spread, call->catalog, call->route, calls->now))
+	if (placement_is_local(placement, call->catalog, call->route,
+			       calls->now))
 		return false;
-	member = spread_choose(spread, call->catalog, call->route, 0,
-			       calls->now);
+	member = placement_choose(placement, call->catalog, call->route, 0,
+				  calls->now);
 	if (!member)
 		return false;
 	parts = apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
@@ -486,8 +488,8 @@
 	call->soft_at = call_has(calls, MECHANISM_SOFT_DEADLINE)
 				? merge_soft_at(call)
 				: call->give_up_at;
-	call->retry_share = spread_share(calls->batches->spread, call->catalog,
-					 route, calls->now);
+	call->retry_share = placement_retry_share(
+		calls->batches->placement, call->catalog, route, calls->now);
 	call->nparts = call->wanted ? call->nwanted : route->nshards;
 	call->parts = apr_pcalloc(call->pool,
 				  (call->nparts + 1) * sizeof(*call->parts));
@@ -560,7 +562,7 @@
 	} else if (!call->parts[attempt->part].open) {
 		send_again(calls, call, attempt->part);
 	}
-	if (trial_over(calls, call))
+	if (trial_clear(calls, call))
 		send_all(calls, call, call->may_hand_on || !call->asker.len);
 	if (!settle(calls, call) && !is_part(reply))
 		plan_review(calls, call);
@@ -591,16 +593,17 @@
 static bool hand_over_again(struct calls *calls, struct call *call,
 			    const uint16_t *parts, size_t nparts, size_t tried)
 {
-	struct spread *spread = calls->batches->spread;
+	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
 
 	if (call->asker.len || nparts < BATCH_LEAST ||
 	    call->handed >= HANDED_MOST ||
 	    (int)tried >= call->route->attempts || is_suspect(calls, call) ||
-	    spread_here(spread, call->catalog, call->route, calls->now))
+	    placement_is_local(placement, call->catalog, call->route,
+			       calls->now))
 		return false;
-	member = spread_choose(spread, call->catalog, call->route, 0,
-			       calls->now);
+	member = placement_choose(placement, call->catalog, call->route, 0,
+				  calls->now);
 	if (!member)
 		return false;
 	hand_over(calls, call, member, parts, nparts, tried);
@@ -626,7 +629,7 @@
 	batch_cancel_all(calls, call);
 }
 
-void merge_init(struct calls *calls, struct batch_book *batches)
+void merge_init(struct calls *calls, struct batch_table *batches)
 {
 	batches->replied = batch_replied;
 	batches->failed = batch_failed;
--- a/merge.h
+++ b/merge.h
@@ -11,10 +11,10 @@
  */
 extern const struct call_kind merge_kind;
 
-struct batch_book;
+struct batch_table;
 
 /** merge_init() - take replies of other nodes, and questions of theirs. */
-void merge_init(struct calls *calls, struct batch_book *batches);
+void merge_init(struct calls *calls, struct batch_table *batches);
 /** merge_soft_at() - when what is there is answered if it is enough. */
 int64_t merge_soft_at(const struct call *call);
 /** merge_enough() - the share of shards that are in makes an answer. */
--- a/poison.c
+++ b/poison.c
@@ -24,27 +24,28 @@
 	 * A target that ended is no longer published by then: entries last
 	 * three heartbeats of silence, of a second or so each.
 	 */
-	SETTLE_US = 10000000,
+	CONFIRM_US = 10000000,
 	/*
 	 * A request that is asked often is under way at each crash, and breaks
 	 * at many targets while replies are lost. It is answered all the time
 	 * too.
 	 */
-	SERVED_US = 10000000,
+	ANSWERED_RETENTION_US = 10000000,
 	/* News has reached all nodes by then. */
-	SHARED_US = 3000000,
-	HARMLESS_KEPT_US = 60000000,
-	SUSPECT_KEPT_S = 3600,
+	PROPAGATION_US = 3000000,
+	HARMLESS_RETENTION_US = 60000000,
+	SUSPECT_RETENTION_S = 3600,
 };
 
-static const int64_t SUSPECT_KEPT_US = SUSPECT_KEPT_S * 1000000LL;
+static const int64_t SUSPECT_RETENTION_US = SUSPECT_RETENTION_S * 1000000LL;
 
 void poison_init(struct poison *poison, apr_pool_t *pool,
 		 struct poison_targets targets)
 {
 	*poison = (struct poison){ .entries = hash_make(pool),
 				   .targets = targets };
-	poison->served = xcalloc(POISON_SERVED_MAX, sizeof(*poison->served));
+	poison->answered =
+		xcalloc(POISON_ANSWERED_MAX, sizeof(*poison->answered));
 }
 
 void poison_destroy(struct poison *poison)
@@ -62,13 +63,13 @@
 			entry = next;
 		}
 	}
-	free(poison->served);
+	free(poison->answered);
 }
 
 /* Table. */
 
-static struct poison_entry *first_of(const struct poison *poison,
-				     const struct fingerprint *print)
+static struct poison_entry *find_content(const struct poison *poison,
+					 const struct fingerprint *print)
 {
 	if (!poison->count)
 		return NULL;
@@ -76,10 +77,10 @@
 			    sizeof(print->content));
 }
 
-static struct poison_entry *find(const struct poison *poison,
-				 const struct fingerprint *print)
+static struct poison_entry *find_entry(const struct poison *poison,
+				       const struct fingerprint *print)
 {
-	struct poison_entry *entry = first_of(poison, print);
+	struct poison_entry *entry = find_content(poison, print);
 
 	while (entry && entry->print.caller != print->caller)
 		entry = entry->next;
@@ -89,7 +90,7 @@
 /* The table's key lives in the first entry of its content. */
 static void link_entry(struct poison *poison, struct poison_entry *entry)
 {
-	struct poison_entry *first = first_of(poison, &entry->print);
+	struct poison_entry *first = find_content(poison, &entry->print);
 
 	if (first) {
 		entry->next = first->next;
@@ -101,9 +102,9 @@
 	poison->count++;
 }
 
-static void drop(struct poison *poison, struct poison_entry *entry)
+static void remove_entry(struct poison *poison, struct poison_entry *entry)
 {
-	struct poison_entry *first = first_of(poison, &entry->print);
+	struct poison_entry *first = find_content(poison, &entry->print);
 	struct poison_entry *before = first;
 
 	if (first == entry) {
@@ -123,8 +124,8 @@
 	free(entry);
 }
 
-/** struct chain - what is known of a content, over all its callers */
-struct chain {
+/** struct evidence - what is known of a content, over all its callers */
+struct evidence {
 	int rounds;
 	size_t crashes;
 	int callers; /* with enough evidence to be suspect */
@@ -137,23 +138,24 @@
 	       entry->ncrashes >= SUSPECT_CRASHES && crashes >= BLOCKED_CRASHES;
 }
 
-static struct chain sum_up(const struct poison_entry *first)
+static struct evidence sum_evidence(const struct poison_entry *first)
 {
-	struct chain chain = { 0 };
+	struct evidence evidence = { 0 };
 
 	for (const struct poison_entry *at = first; at; at = at->next) {
-		if (at->rounds > chain.rounds)
-			chain.rounds = at->rounds;
-		chain.crashes += at->ncrashes;
-		chain.callers += at->ncrashes >= SUSPECT_CRASHES;
+		if (at->rounds > evidence.rounds)
+			evidence.rounds = at->rounds;
+		evidence.crashes += at->ncrashes;
+		evidence.callers += at->ncrashes >= SUSPECT_CRASHES;
 	}
 	for (const struct poison_entry *at = first; at; at = at->next)
-		chain.blocked = chain.blocked || is_blocked(at, chain.crashes);
-	return chain;
+		evidence.blocked =
+			evidence.blocked || is_blocked(at, evidence.crashes);
+	return evidence;
 }
 
 /* Return: what to give up for a new entry: the blocked ones last. */
-static struct poison_entry *least_wanted(const struct poison *poison)
+static struct poison_entry *eviction_candidate(const struct poison *poison)
 {
 	struct poison_entry *least = NULL;
 	bool least_blocked = true;
@@ -162,12 +164,13 @@
 	for (it = apr_hash_first(NULL, poison->entries); it;
 	     it = apr_hash_next(it)) {
 		struct poison_entry *first = hash_value(it);
-		bool blocked = sum_up(first).blocked;
+		bool blocked = sum_evidence(first).blocked;
 
 		for (struct poison_entry *at = first; at; at = at->next) {
-			if (least && (blocked > least_blocked ||
-				      (blocked == least_blocked &&
-				       at->asked_at >= least->asked_at)))
+			if (least &&
+			    (blocked > least_blocked ||
+			     (blocked == least_blocked &&
+			      at->requested_at >= least->requested_at)))
 				continue;
 			least = at;
 			least_blocked = blocked;
@@ -176,26 +179,27 @@
 	return least;
 }
 
-static struct poison_entry *get(struct poison *poison,
-				const struct fingerprint *print, int64_t now)
+static struct poison_entry *get_or_create(struct poison *poison,
+					  const struct fingerprint *print,
+					  int64_t now)
 {
-	struct poison_entry *entry = find(poison, print);
+	struct poison_entry *entry = find_entry(poison, print);
 
 	if (entry)
 		return entry;
 	if (poison->count >= POISON_ENTRIES_MAX)
-		drop(poison, least_wanted(poison));
+		remove_entry(poison, eviction_candidate(poison));
 	entry = xcalloc(1, sizeof(*entry));
 	entry->print = *print;
-	entry->asked_at = now;
+	entry->requested_at = now;
 	link_entry(poison, entry);
 	return entry;
 }
 
-static void set_news(struct poison *poison, struct poison_entry *entry)
+static void mark_pending(struct poison *poison, struct poison_entry *entry)
 {
-	entry->news = true;
-	poison->has_news = true;
+	entry->pending = true;
+	poison->has_pending = true;
 }
 
 /* Verdict. */
@@ -203,67 +207,68 @@
 enum poison_verdict poison_verdict(const struct poison *poison,
 				   const struct fingerprint *print)
 {
-	const struct poison_entry *first = first_of(poison, print);
+	const struct poison_entry *first = find_content(poison, print);
 	const struct poison_entry *own;
-	struct chain chain;
+	struct evidence evidence;
 
 	if (!first)
 		return POISON_NONE;
-	chain = sum_up(first);
-	own = find(poison, print);
+	evidence = sum_evidence(first);
+	own = find_entry(poison, print);
 	if (own && own->harmless)
 		return POISON_NONE;
-	if (own && is_blocked(own, chain.crashes))
+	if (own && is_blocked(own, evidence.crashes))
 		return POISON_BLOCKED;
-	if (chain.blocked && chain.callers > 1)
+	if (evidence.blocked && evidence.callers > 1)
 		return POISON_BLOCKED;
-	return chain.callers ? POISON_SUSPECT : POISON_NONE;
+	return evidence.callers ? POISON_SUSPECT : POISON_NONE;
 }
 
-void poison_asked(struct poison *poison, const struct fingerprint *print,
+void poison_touch(struct poison *poison, const struct fingerprint *print,
 		  int64_t now)
 {
-	struct poison_entry *entry = first_of(poison, print);
+	struct poison_entry *entry = find_content(poison, print);
 
 	for (; entry; entry = entry->next)
-		entry->asked_at = now;
+		entry->requested_at = now;
 }
 
 int poison_round(const struct poison *poison, const struct fingerprint *print)
 {
-	return sum_up(first_of(poison, print)).rounds + 1;
+	return sum_evidence(find_content(poison, print)).rounds + 1;
 }
 
 /* Requests that were answered. */
 
-static uint64_t served_key(const struct fingerprint *print)
+static uint64_t answered_key(const struct fingerprint *print)
 {
 	return str_hash((struct str){ (const char *)print, sizeof(*print) });
 }
 
-static void note_served(struct poison *poison, const struct fingerprint *print,
-			int64_t now)
+static void record_answered(struct poison *poison,
+			    const struct fingerprint *print, int64_t now)
 {
-	uint64_t key = served_key(print);
+	uint64_t key = answered_key(print);
 
-	poison->served[key % POISON_SERVED_MAX] =
-		(struct poison_served){ key, now };
+	poison->answered[key % POISON_ANSWERED_MAX] =
+		(struct poison_answered){ key, now };
 }
 
-static bool was_served(const struct poison *poison,
-		       const struct fingerprint *print, int64_t now)
+static bool was_answered(const struct poison *poison,
+			 const struct fingerprint *print, int64_t now)
 {
-	uint64_t key = served_key(print);
-	const struct poison_served *served =
-		&poison->served[key % POISON_SERVED_MAX];
+	uint64_t key = answered_key(print);
+	const struct poison_answered *answered =
+		&poison->answered[key % POISON_ANSWERED_MAX];
 
-	return served->key == key && now - served->at < SERVED_US;
+	return answered->key == key &&
+	       now - answered->at < ANSWERED_RETENTION_US;
 }
 
 /* Evidence. */
 
-static bool knows_crash(const struct poison_entry *entry,
-			const struct poison_crash *crash)
+static bool has_crash(const struct poison_entry *entry,
+		      const struct poison_crash *crash)
 {
 	for (size_t i = 0; i < entry->ncrashes; i++)
 		if (entry->crashes[i].key == crash->key &&
@@ -276,7 +281,7 @@
 static bool add_crash(struct poison_entry *entry,
 		      const struct poison_crash *crash)
 {
-	if (knows_crash(entry, crash))
+	if (has_crash(entry, crash))
 		return false;
 	if (entry->ncrashes < POISON_TARGETS_MAX)
 		entry->ncrashes++;
@@ -292,17 +297,17 @@
 	       entry->rounds > before->rounds;
 }
 
-const struct poison_entry *poison_broke(struct poison *poison,
-					const struct fingerprint *print,
-					int round,
-					const struct poison_crash *crash)
+const struct poison_entry *poison_crashed(struct poison *poison,
+					  const struct fingerprint *print,
+					  int round,
+					  const struct poison_crash *crash)
 {
 	struct poison_entry *entry;
 	struct poison_entry before;
 
-	if (was_served(poison, print, crash->at))
+	if (was_answered(poison, print, crash->at))
 		return NULL;
-	entry = get(poison, print, crash->at);
+	entry = get_or_create(poison, print, crash->at);
 	before = *entry;
 	entry->harmless = false;
 	if (add_crash(entry, crash) && round > entry->rounds)
@@ -312,23 +317,23 @@
 		return NULL;
 	/* The first round is told when its request has ended. */
 	if (entry->rounds > 1 && entry->rounds > before.rounds)
-		set_news(poison, entry);
+		mark_pending(poison, entry);
 	return entry;
 }
 
-void poison_unserved(struct poison *poison, const struct fingerprint *print)
+void poison_unanswered(struct poison *poison, const struct fingerprint *print)
 {
-	struct poison_entry *entry = find(poison, print);
+	struct poison_entry *entry = find_entry(poison, print);
 
-	if (entry && entry->ncrashes && !entry->told)
-		set_news(poison, entry);
+	if (entry && entry->ncrashes && !entry->announced)
+		mark_pending(poison, entry);
 }
 
 /* Return: another caller has sent the same, and targets broke under it. */
-static bool others_suspect(const struct poison *poison,
-			   const struct fingerprint *print)
+static bool other_callers_suspect(const struct poison *poison,
+				  const struct fingerprint *print)
 {
-	const struct poison_entry *at = first_of(poison, print);
+	const struct poison_entry *at = find_content(poison, print);
 
 	for (; at; at = at->next)
 		if (at->print.caller != print->caller && at->ncrashes)
@@ -336,7 +341,7 @@
 	return false;
 }
 
-static void clear(struct poison_entry *entry)
+static void clear_evidence(struct poison_entry *entry)
 {
 	entry->rounds = 0;
 	entry->ncrashes = 0;
@@ -349,38 +354,38 @@
 					 const struct fingerprint *print,
 					 int64_t now)
 {
-	struct poison_entry *entry = find(poison, print);
+	struct poison_entry *entry = find_entry(poison, print);
 
-	note_served(poison, print, now);
-	if (!entry && !others_suspect(poison, print))
+	record_answered(poison, print, now);
+	if (!entry && !other_callers_suspect(poison, print))
 		return NULL;
-	entry = get(poison, print, now);
+	entry = get_or_create(poison, print, now);
 	if (entry->harmless)
 		return NULL;
-	clear(entry);
+	clear_evidence(entry);
 	return entry;
 }
 
-bool poison_served(struct poison *poison, const struct fingerprint *print,
-		   int64_t now)
+bool poison_answered(struct poison *poison, const struct fingerprint *print,
+		     int64_t now)
 {
 	bool was_suspect = poison_verdict(poison, print) != POISON_NONE;
 	struct poison_entry *entry = set_harmless(poison, print, now);
 
-	if (entry && entry->told)
-		set_news(poison, entry);
+	if (entry && entry->announced)
+		mark_pending(poison, entry);
 	return was_suspect;
 }
 
 bool poison_lease(struct poison *poison, const struct fingerprint *print,
 		  int64_t now)
 {
-	const struct poison_entry *at = first_of(poison, print);
+	const struct poison_entry *at = find_content(poison, print);
 
 	for (; at; at = at->next)
 		if (at->leased_until > now)
 			return false;
-	get(poison, print, now)->leased_until = now + LEASE_US;
+	get_or_create(poison, print, now)->leased_until = now + LEASE_US;
 	return true;
 }
 
@@ -391,8 +396,8 @@
 static bool is_refuted(const struct poison *poison,
 		       const struct poison_crash *crash, int64_t now)
 {
-	return now - crash->at > SETTLE_US &&
-	       poison->targets.lives(poison->targets.ctx, crash);
+	return now - crash->at > CONFIRM_US &&
+	       poison->targets.is_live(poison->targets.ctx, crash);
 }
 
 /* Return: the entry if @from brought something new, else NULL. */
@@ -400,17 +405,17 @@
 					  const struct poison_entry *from,
 					  bool store_fresh, int64_t now)
 {
-	struct poison_entry *entry = find(poison, &from->print);
+	struct poison_entry *entry = find_entry(poison, &from->print);
 	struct poison_entry before = { 0 };
 
 	if (entry)
 		before = *entry;
-	if (was_served(poison, &from->print, now))
+	if (was_answered(poison, &from->print, now))
 		return NULL;
 	for (size_t i = 0; i < from->ncrashes; i++) {
 		if (store_fresh && is_refuted(poison, &from->crashes[i], now))
 			continue;
-		entry = get(poison, &from->print, now);
+		entry = get_or_create(poison, &from->print, now);
 		entry->harmless = false;
 		add_crash(entry, &from->crashes[i]);
 	}
@@ -421,8 +426,8 @@
 	return has_grown(entry, &before) ? entry : NULL;
 }
 
-void poison_take(struct poison *poison, const struct poison_entry *from,
-		 bool relay, bool store_fresh, int64_t now)
+void poison_merge(struct poison *poison, const struct poison_entry *from,
+		  bool relay, bool store_fresh, int64_t now)
 {
 	struct poison_entry *entry =
 		from->harmless ? set_harmless(poison, &from->print, now)
@@ -430,13 +435,13 @@
 
 	if (!entry)
 		return;
-	entry->told = true;
+	entry->announced = true;
 	if (relay)
-		set_news(poison, entry);
+		mark_pending(poison, entry);
 }
 
-static void settle_crashes(struct poison *poison, struct poison_entry *entry,
-			   int64_t now)
+static void check_crashes(struct poison *poison, struct poison_entry *entry,
+			  int64_t now)
 {
 	size_t had = entry->ncrashes;
 	size_t kept = 0;
@@ -444,10 +449,10 @@
 	for (size_t i = 0; i < entry->ncrashes; i++) {
 		struct poison_crash crash = entry->crashes[i];
 
-		if (!crash.settled && is_refuted(poison, &crash, now))
+		if (!crash.confirmed && is_refuted(poison, &crash, now))
 			continue;
-		if (now - crash.at > SETTLE_US)
-			crash.settled = true;
+		if (now - crash.at > CONFIRM_US)
+			crash.confirmed = true;
 		entry->crashes[kept++] = crash;
 	}
 	entry->ncrashes = kept;
@@ -455,50 +460,52 @@
 		entry->rounds = (int)kept;
 }
 
-static bool is_old(const struct poison_entry *entry, bool blocked, int64_t now)
+static bool is_expired(const struct poison_entry *entry, bool blocked,
+		       int64_t now)
 {
-	int64_t age = now - entry->asked_at;
+	int64_t age = now - entry->requested_at;
 
 	if (entry->harmless || !entry->ncrashes)
-		return age > HARMLESS_KEPT_US;
-	return !blocked && age > SUSPECT_KEPT_US;
+		return age > HARMLESS_RETENTION_US;
+	return !blocked && age > SUSPECT_RETENTION_US;
 }
 
 /* Return: one to be dropped, or NULL. */
-static struct poison_entry *find_old(const struct poison *poison, int64_t now)
+static struct poison_entry *find_expired(const struct poison *poison,
+					 int64_t now)
 {
 	apr_hash_index_t *it;
 
 	for (it = apr_hash_first(NULL, poison->entries); it;
 	     it = apr_hash_next(it)) {
 		struct poison_entry *first = hash_value(it);
-		bool blocked = sum_up(first).blocked;
+		bool blocked = sum_evidence(first).blocked;
 
 		for (struct poison_entry *at = first; at; at = at->next)
-			if (is_old(at, blocked, now))
+			if (is_expired(at, blocked, now))
 				return at;
 	}
 	return NULL;
 }
 
-void poison_settle(struct poison *poison, bool store_fresh, int64_t now)
+void poison_sweep(struct poison *poison, bool store_fresh, int64_t now)
 {
-	struct poison_entry *old;
+	struct poison_entry *expired;
 	apr_hash_index_t *it;
 
 	for (it = store_fresh ? apr_hash_first(NULL, poison->entries) : NULL;
 	     it; it = apr_hash_next(it))
 		for (struct poison_entry *at = hash_value(it); at;
 		     at = at->next)
-			settle_crashes(poison, at, now);
-	while ((old = find_old(poison, now)))
-		drop(poison, old);
+			check_crashes(poison, at, now);
+	while ((expired = find_expired(poison, now)))
+		remove_entry(poison, expired);
 }
 
 bool poison_is_shared(const struct poison_entry *entry, int64_t now)
 {
 	return entry->ncrashes >= SUSPECT_CRASHES &&
-	       now - entry->crashes[0].at > SHARED_US;
+	       now - entry->crashes[0].at > PROPAGATION_US;
 }
 
 static uint64_t entry_digest(const struct poison_entry *entry)
@@ -530,10 +537,10 @@
 
 	for (it = apr_hash_first(NULL, poison->entries); it;
 	     it = apr_hash_next(it)) {
-		struct chain chain = sum_up(hash_value(it));
+		struct evidence evidence = sum_evidence(hash_value(it));
 
-		counts.blocked += chain.blocked;
-		counts.suspect += !chain.blocked && chain.callers;
+		counts.blocked += evidence.blocked;
+		counts.suspect += !evidence.blocked && evidence.callers;
 	}
 	return counts;
 }
--- a/poison.h
+++ b/poison.h
@@ -22,7 +22,7 @@
 	/* Requests that there is evidence against; some 200 bytes each. */
 	POISON_ENTRIES_MAX = 1024,
 	/* Requests of which it is remembered that they were just answered. */
-	POISON_SERVED_MAX = 4096,
+	POISON_ANSWERED_MAX = 4096,
 };
 
 /** enum poison_verdict - what may be done with a request */
@@ -36,33 +36,33 @@
  * struct poison_crash - a target that broke off under a request
  * @key, @born_ms: of that start of it
  * @at: when its connection broke
- * @settled: its entry is gone since, so it did end
+ * @confirmed: its entry is gone since, so it did end
  */
 struct poison_crash {
 	uint64_t key;
 	int64_t born_ms;
 	int64_t at;
-	bool settled;
+	bool confirmed;
 };
 
 /**
  * struct poison_targets - what is known of targets
- * @lives: the one of @crash has not ended; asked long after its connection
+ * @is_live: the one of @crash has not ended; asked long after its connection
  *         broke
  */
 struct poison_targets {
-	bool (*lives)(const void *ctx, const struct poison_crash *crash);
+	bool (*is_live)(const void *ctx, const struct poison_crash *crash);
 	const void *ctx;
 };
 
 /**
  * struct poison_entry - evidence against a request of one caller
  * @rounds: breaks of sends that were made after the round before had broken
- * @asked_at: when it came last
+ * @requested_at: when it came last
  * @leased_until: it is tried by some node until then
  * @harmless: a target answered it; kept as others send the same content
- * @news: to be sent to other nodes at once
- * @told: other nodes have been sent it, or have sent it
+ * @pending: to be sent to other nodes at once
+ * @announced: other nodes have been sent it, or have sent it
  * @next: the same content of another caller
  */
 struct poison_entry {
@@ -70,16 +70,16 @@
 	int rounds;
 	struct poison_crash crashes[POISON_TARGETS_MAX];
 	size_t ncrashes;
-	int64_t asked_at;
+	int64_t requested_at;
 	int64_t leased_until;
 	bool harmless;
-	bool news;
-	bool told;
+	bool pending;
+	bool announced;
 	struct poison_entry *next;
 };
 
-/** struct poison_served - a request, by its hash, and when it was answered */
-struct poison_served {
+/** struct poison_answered - a request, by its hash, and when it was answered */
+struct poison_answered {
 	uint64_t key;
 	int64_t at;
 };
@@ -87,17 +87,17 @@
 /**
  * struct poison - all evidence that this node knows
  * @entries: content -> struct poison_entry, linked by next
- * @served: answered lately, by their keys; a newer one takes an older one's
+ * @answered: answered lately, by their keys; a newer one takes an older one's
  *          place
  * @count: entries in all
- * @has_news: some entry is news
+ * @has_pending: some entry is news
  */
 struct poison {
 	apr_hash_t *entries;
-	struct poison_served *served;
+	struct poison_answered *answered;
 	struct poison_targets targets;
 	size_t count;
-	bool has_news;
+	bool has_pending;
 };
 
 void poison_init(struct poison *poison, apr_pool_t *pool,
@@ -105,49 +105,50 @@
 void poison_destroy(struct poison *poison);
 enum poison_verdict poison_verdict(const struct poison *poison,
 				   const struct fingerprint *print);
-/** poison_asked() - the request came: it is not forgotten soon. */
-void poison_asked(struct poison *poison, const struct fingerprint *print,
+/** poison_touch() - the request came: it is not forgotten soon. */
+void poison_touch(struct poison *poison, const struct fingerprint *print,
 		  int64_t now);
 /** poison_round() - which round a send made now belongs to, from 1 on. */
 int poison_round(const struct poison *poison, const struct fingerprint *print);
 /**
- * poison_broke() - a connection broke at a target that ran the request
+ * poison_crashed() - a connection broke at a target that ran the request
  * @round: that it was sent in
  *
  * Return: the entry if it is more evidence against a suspect, else NULL.
  */
-const struct poison_entry *poison_broke(struct poison *poison,
-					const struct fingerprint *print,
-					int round,
-					const struct poison_crash *crash);
+const struct poison_entry *poison_crashed(struct poison *poison,
+					  const struct fingerprint *print,
+					  int round,
+					  const struct poison_crash *crash);
 /**
- * poison_unserved() - it has ended without an answer of any target
+ * poison_unanswered() - it has ended without an answer of any target
  *
  * Only now is what broke under it told to others: most requests that lose some
  * connections are answered a moment later.
  */
-void poison_unserved(struct poison *poison, const struct fingerprint *print);
+void poison_unanswered(struct poison *poison, const struct fingerprint *print);
 /**
- * poison_served() - a target answered it
+ * poison_answered() - a target answered it
  *
  * Return: whether it was suspect.
  */
-bool poison_served(struct poison *poison, const struct fingerprint *print,
-		   int64_t now);
+bool poison_answered(struct poison *poison, const struct fingerprint *print,
+		     int64_t now);
 /** poison_lease() - false while another trial of the same content runs. */
 bool poison_lease(struct poison *poison, const struct fingerprint *print,
 		  int64_t now);
 /**
- * poison_take() - another node's evidence; times in it are of this node's clock
+ * poison_merge() - another node's evidence; times in it are of this node's
+ * clock
  * @relay: what is new here is news to further nodes
  */
-void poison_take(struct poison *poison, const struct poison_entry *from,
-		 bool relay, bool store_fresh, int64_t now);
+void poison_merge(struct poison *poison, const struct poison_entry *from,
+		  bool relay, bool store_fresh, int64_t now);
 /**
- * poison_settle() - drop what the table of targets refutes, and what is old
+ * poison_sweep() - drop what the table of targets refutes, and what is old
  * @store_fresh: the table is what the store says now
  */
-void poison_settle(struct poison *poison, bool store_fresh, int64_t now);
+void poison_sweep(struct poison *poison, bool store_fresh, int64_t now);
 /** poison_is_shared() - it is suspect, and has been for some seconds. */
 bool poison_is_shared(const struct poison_entry *entry, int64_t now);
 /**
--- a/poison_news.c
+++ b/poison_news.c
@@ -7,11 +7,11 @@
 
 enum {
 	/* Entries a message, some 120 bytes each. */
-	ENTRIES_A_MESSAGE = 64,
+	MESSAGE_ENTRIES_MAX = 64,
 	/* Sending all evidence takes 12 KB a second at most. */
-	WHOLE_ENTRY_US = 10000,
+	FULL_SYNC_ENTRY_US = 10000,
 	/* Where digests differ for long, as tables are full. */
-	WHOLE_LEAST_US = 500000,
+	FULL_SYNC_MIN_US = 500000,
 };
 
 /* Sending. */
@@ -20,126 +20,127 @@
 struct destination {
 	struct str addr;
 	bool near;
-	bool answer;
+	bool wants_reply;
 };
 
-static void send_list(struct poison_news *news, const struct destination *to,
-		      struct poison_entry *const *list, size_t count, bool last,
-		      int64_t now)
+static void send_chunk(struct poison_sync *sync, const struct destination *to,
+		       struct poison_entry *const *list, size_t count,
+		       bool last, int64_t now)
 {
 	struct buf body = { 0 };
 	struct msg msg = { .kind = MSG_SUSPECTS,
-			   .state = to->answer && last,
-			   .hash = poison_digest(news->poison, now) };
+			   .state = to->wants_reply && last,
+			   .hash = poison_digest(sync->poison, now) };
 
 	parcel_suspects(list, count, now, &body);
 	for (size_t i = 0; i < count; i++)
-		list[i]->told = true;
+		list[i]->announced = true;
 	msg.body = buf_str(&body);
 	if (to->addr.len)
-		news->links.send(news->links.ctx, to->addr, &msg);
+		sync->transport.send(sync->transport.ctx, to->addr, &msg);
 	else
-		news->links.spread(news->links.ctx, &msg, to->near);
+		sync->transport.broadcast(sync->transport.ctx, &msg, to->near);
 	buf_free(&body);
 }
 
 /* Return: entries, on the heap: news, or all that nodes share. */
-static struct poison_entry **collect(struct poison_news *news, bool all,
-				     int64_t now, size_t *count)
+static struct poison_entry **collect_entries(struct poison_sync *sync, bool all,
+					     int64_t now, size_t *count)
 {
 	struct poison_entry **list =
-		xcalloc(news->poison->count + 1, sizeof(struct poison_entry *));
+		xcalloc(sync->poison->count + 1, sizeof(struct poison_entry *));
 	apr_hash_index_t *it;
 
 	*count = 0;
-	for (it = apr_hash_first(NULL, news->poison->entries); it;
+	for (it = apr_hash_first(NULL, sync->poison->entries); it;
 	     it = apr_hash_next(it))
 		for (struct poison_entry *at = hash_value(it); at;
 		     at = at->next)
-			if (all ? poison_is_shared(at, now) : at->news)
+			if (all ? poison_is_shared(at, now) : at->pending)
 				list[(*count)++] = at;
 	return list;
 }
 
-static void send_all_of(struct poison_news *news, const struct destination *to,
-			struct poison_entry *const *list, size_t count,
-			int64_t now)
+static void send_chunked(struct poison_sync *sync, const struct destination *to,
+			 struct poison_entry *const *list, size_t count,
+			 int64_t now)
 {
 	size_t sent = 0;
 
 	do {
-		size_t part = count - sent < ENTRIES_A_MESSAGE
+		size_t part = count - sent < MESSAGE_ENTRIES_MAX
 				      ? count - sent
-				      : ENTRIES_A_MESSAGE;
+				      : MESSAGE_ENTRIES_MAX;
 
-		send_list(news, to, list + sent, part, sent + part == count,
-			  now);
+		send_chunk(sync, to, list + sent, part, sent + part == count,
+			   now);
 		sent += part;
 	} while (sent < count);
 }
 
-static void send_news(struct poison_news *news, bool near, int64_t now)
+static void send_pending(struct poison_sync *sync, bool near, int64_t now)
 {
 	struct destination to = { .near = near };
 	struct poison_entry **list;
 	size_t count;
 
-	if (!news->poison->has_news)
+	if (!sync->poison->has_pending)
 		return;
-	news->poison->has_news = false;
-	list = collect(news, false, now, &count);
+	sync->poison->has_pending = false;
+	list = collect_entries(sync, false, now, &count);
 	if (count)
-		send_all_of(news, &to, list, count, now);
+		send_chunked(sync, &to, list, count, now);
 	for (size_t i = 0; i < count; i++)
-		list[i]->news = false;
+		list[i]->pending = false;
 	free(list);
 }
 
-void poison_news_send(struct poison_news *news, int64_t now)
+void poison_sync_send(struct poison_sync *sync, int64_t now)
 {
-	send_news(news, false, now);
+	send_pending(sync, false, now);
 }
 
-static void send_whole(struct poison_news *news, const struct destination *to,
-		       int64_t now)
+static void send_full(struct poison_sync *sync, const struct destination *to,
+		      int64_t now)
 {
 	struct poison_entry **list;
 	size_t count;
 
-	if (now < news->whole_at)
+	if (now < sync->full_sync_at)
 		return;
-	list = collect(news, true, now, &count);
-	news->whole_at = now + WHOLE_LEAST_US + (int64_t)count * WHOLE_ENTRY_US;
-	send_all_of(news, to, list, count, now);
+	list = collect_entries(sync, true, now, &count);
+	sync->full_sync_at =
+		now + FULL_SYNC_MIN_US + (int64_t)count * FULL_SYNC_ENTRY_US;
+	send_chunked(sync, to, list, count, now);
 	free(list);
 }
 
-void poison_news_digest(struct poison_news *news, struct str from,
-			uint64_t digest, int64_t now)
+void poison_sync_on_digest(struct poison_sync *sync, struct str from,
+			   uint64_t digest, int64_t now)
 {
-	struct destination to = { .addr = from, .answer = true };
+	struct destination to = { .addr = from, .wants_reply = true };
 
-	if (digest != poison_digest(news->poison, now))
-		send_whole(news, &to, now);
+	if (digest != poison_digest(sync->poison, now))
+		send_full(sync, &to, now);
 }
 
 /* Receiving. */
 
-void poison_news_msg(struct poison_news *news, struct str from,
-		     const struct msg *msg, bool targets_known, int64_t now)
+void poison_sync_on_msg(struct poison_sync *sync, struct str from,
+			const struct msg *msg, bool store_fresh, int64_t now)
 {
 	struct destination to = { .addr = from };
 	struct poison_entry *list;
 	apr_pool_t *pool;
 	size_t count;
 
-	apr_pool_create(&pool, news->pool);
+	apr_pool_create(&pool, sync->pool);
 	if (!parcel_open_suspects(msg->body, now, pool, &list, &count))
 		for (size_t i = 0; i < count; i++)
-			poison_take(news->poison, &list[i], msg->ran,
-				    targets_known, now);
+			poison_merge(sync->poison, &list[i], msg->ran,
+				     store_fresh, now);
 	apr_pool_destroy(pool);
-	if (msg->state && msg->hash != poison_digest(news->poison, now))
-		send_whole(news, &to, now);
-	send_news(news, true, now);
+	if (msg->state && msg->hash != poison_digest(sync->poison, now))
+		send_full(sync, &to, now);
+	send_pending(sync, true, now);
 }
--- a/roster.c
+++ b/roster.c
@@ -82,7 +82,7 @@
 
 static bool has(const struct roster *roster, enum mechanism mechanism)
 {
-	return mechanism_on(roster->without, mechanism);
+	return mechanism_enabled(roster->without, mechanism);
 }
 
 void roster_destroy(struct roster *roster)
--- a/share.h
+++ b/share.h
@@ -13,36 +13,36 @@
  */
 
 /**
- * struct share - the state of that
- * @pushed: revision up to which the domain was sent items
- * @asked_at: when more was last asked for
+ * struct relay - the state of that
+ * @relayed_revision: revision up to which the domain was sent items
+ * @requested_at: when more was last asked for
  * @started_at: of the process
  * @first_start: all VMs are new
  */
-struct share {
+struct relay {
 	struct gossip *gossip;
 	struct reader *reader;
 	struct directory *dir;
 	struct flow_effects *fx;
-	uint64_t pushed;
-	int64_t asked_at;
+	uint64_t relayed_revision;
+	int64_t requested_at;
 	int64_t started_at;
 	bool first_start;
 };
 
-/** share_init() - @first_start: all VMs are new, and no caller waits yet. */
-void share_init(struct share *share, struct gossip *gossip,
+/** relay_init() - @first_start: all VMs are new, and no caller waits yet. */
+void relay_init(struct relay *relay, struct gossip *gossip,
 		struct reader *reader, struct flow_effects *fx,
 		bool first_start, int64_t now);
-/** share_tick() - decide whether this node reads; ask others for more. */
-void share_tick(struct share *share, int64_t now);
-/** share_read() - the store has answered this node. */
-void share_read(struct share *share, int64_t now);
-/** share_items() - items that another node has read. */
-void share_items(struct share *share, struct str from, const struct msg *msg,
-		 int64_t now);
-/** share_wanted() - another node asks for what it does not know. */
-void share_wanted(struct share *share, struct str from, const struct msg *msg,
-		  int64_t now);
-/** share_wake_at() - when share_tick() is due at the latest. */
-int64_t share_wake_at(const struct share *share, int64_t now);
+/** relay_tick() - decide whether this node reads; ask others for more. */
+void relay_tick(struct relay *relay, int64_t now);
+/** relay_on_read() - the store has answered this node. */
+void relay_on_read(struct relay *relay, int64_t now);
+/** relay_on_items() - items that another node has read. */
+void relay_on_items(struct relay *relay, struct str from, const struct msg *msg,
+		    int64_t now);
+/** relay_on_request() - another node asks for what it does not know. */
+void relay_on_request(struct relay *relay, struct str from,
+		      const struct msg *msg, int64_t now);
+/** relay_wake_at() - when relay_tick() is due at the latest. */
+int64_t relay_wake_at(const struct relay *relay, int64_t now);
--- a/spread.c
+++ b/spread.c
@@ -5,14 +5,14 @@
 #include "directory.h"
 
 enum {
-	PLAN_US = 250000,
+	PLAN_TTL_US = 250000,
 	/*
 	 * Connections that a merging node has open to one target: one for each
 	 * of its slots, and one that waits for a late reply.
 	 */
-	CONNS_EACH = 3,
+	CONNS_PER_MERGER = 3,
 	/* A domain's part of them at least, so that one may fail. */
-	MERGERS_LEAST = 2,
+	MERGERS_MIN = 2,
 	/*
 	 * A node that owes answers and sent no word for this long may be stuck:
 	 * it tells at a third of a question's goal that it is at work.
@@ -25,151 +25,159 @@
  * the free retries; the rest is for nodes that cannot reach any of them. Shared
  * by all nodes alike, most would stay unused while those that merge have none.
  */
-static const double MERGERS_SHARE = 0.8;
+static const double MERGERS_RETRY_SHARE = 0.8;
 
 /* Of a target's connections; the rest is for restarts and fallbacks. */
-static const double CONNS_PART = 0.8;
+static const double CONNS_FRACTION = 0.8;
 /* A domain merges if it holds this part of the shards of the best one. */
-static const double COVER_PART = 0.8;
+static const double COVERAGE_FRACTION = 0.8;
 /* A node merges if it has this part of the best node's processor time. */
-static const double CORE_PART = 0.5;
+static const double CORE_FRACTION = 0.5;
 
-/** struct cover - shards with a target that may be asked, in one domain */
-struct cover {
+/** struct coverage - shards with a target that may be asked, in one domain */
+struct coverage {
 	uint64_t domain;
 	size_t shards;
 };
 
-/** struct runner - a node that may merge; member NULL: this one */
-struct runner {
+/** struct candidate - a node that may merge; member NULL: this one */
+struct candidate {
 	struct member_info *member;
 	uint64_t domain;
 	uint32_t core;
 	uint32_t ip;
 };
 
-void spread_init(struct spread *spread, struct gossip *gossip,
-		 struct roster *roster, struct rng *rng, uint32_t without)
+void placement_init(struct placement *placement, struct gossip *gossip,
+		    struct roster *roster, struct rng *rng, uint32_t without)
 {
-	*spread = (struct spread){ .gossip = gossip,
-				   .roster = roster,
-				   .rng = rng,
-				   .without = without };
+	*placement = (struct placement){ .gossip = gossip,
+					 .roster = roster,
+					 .rng = rng,
+					 .without = without };
 }
 
-void spread_forget(struct spread *spread)
+void placement_invalidate(struct placement *placement)
 {
-	for (size_t i = 0; i < SPREAD_ROUTES_MAX; i++)
-		spread->plans[i].made_at = INT64_MIN / 2;
+	for (size_t i = 0; i < PLACEMENT_ROUTES_MAX; i++)
+		placement->plans[i].made_at = INT64_MIN / 2;
 }
 
-static struct cover *cover_get(struct cover *covers, size_t *count,
-			       uint64_t domain)
+static struct coverage *coverage_get(struct coverage *coverages, size_t *count,
+				     uint64_t domain)
 {
 	for (size_t i = 0; i < *count; i++)
-		if (covers[i].domain == domain)
-			return &covers[i];
-	if (*count == SPREAD_DOMAINS_MAX)
+		if (coverages[i].domain == domain)
+			return &coverages[i];
+	if (*count == PLACEMENT_DOMAINS_MAX)
 		return NULL;
-	covers[*count] = (struct cover){ .domain = domain };
-	return &covers[(*count)++];
+	coverages[*count] = (struct coverage){ .domain = domain };
+	return &coverages[(*count)++];
 }
 
-static void cover_shard(struct spread *spread, uint64_t service,
-			struct cover *covers, size_t *count, int64_t now)
+static void add_shard_coverage(struct placement *placement, uint64_t service,
+			       struct coverage *coverages, size_t *count,
+			       int64_t now)
 {
-	uint64_t seen[SPREAD_DOMAINS_MAX];
+	uint64_t seen[PLACEMENT_DOMAINS_MAX];
 	size_t nseen = 0;
 
-	for (struct live_target *target = roster_first(spread->roster, service);
+	for (struct live_target *target =
+		     roster_first(placement->roster, service);
 	     target; target = target->next) {
-		struct cover *cover =
-			cover_get(covers, count, target->domain_key);
+		struct coverage *coverage =
+			coverage_get(coverages, count, target->domain_key);
 		bool counted = false;
-		enum target_use use = roster_use(spread->roster, target, now);
+		enum target_use use =
+			roster_use(placement->roster, target, now);
 
-		if (!cover || use == USE_LEAVING || use == USE_DOMAIN_OUT)
+		if (!coverage || use == USE_LEAVING || use == USE_DOMAIN_OUT)
 			continue;
 		for (size_t i = 0; i < nseen; i++)
 			counted = counted || seen[i] == target->domain_key;
-		if (counted || nseen == SPREAD_DOMAINS_MAX)
+		if (counted || nseen == PLACEMENT_DOMAINS_MAX)
 			continue;
 		seen[nseen++] = target->domain_key;
-		cover->shards++;
+		coverage->shards++;
 	}
 }
 
-size_t spread_domains(const struct spread *spread, uint64_t *domains)
+size_t placement_domains(const struct placement *placement, uint64_t *domains)
 {
 	apr_hash_index_t *it;
 	size_t count = 0;
 
-	for (it = apr_hash_first(NULL, spread->gossip->members); it;
+	for (it = apr_hash_first(NULL, placement->gossip->members); it;
 	     it = apr_hash_next(it)) {
 		void *value = hash_value(it);
 		uint64_t domain;
 		bool known;
 
 		domain = ((struct member_info *)value)->entry.domain;
-		known = domain == spread->gossip->self.domain;
+		known = domain == placement->gossip->self.domain;
 		for (size_t i = 0; i < count; i++)
 			known = known || domains[i] == domain;
-		if (!known && count < SPREAD_DOMAINS_MAX)
+		if (!known && count < PLACEMENT_DOMAINS_MAX)
 			domains[count++] = domain;
 	}
 	return count;
 }
 
-static size_t find_domains(struct spread *spread, const struct route *route,
-			   int64_t now, struct cover *covers)
+static size_t find_domains(struct placement *placement,
+			   const struct route *route, int64_t now,
+			   struct coverage *coverages)
 {
 	size_t count = 0;
 	size_t kept = 0;
 	size_t most = 0;
 
 	for (size_t i = 0; i < route->nshards; i++)
-		cover_shard(spread, route->shards[i], covers, &count, now);
+		add_shard_coverage(placement, route->shards[i], coverages,
+				   &count, now);
 	for (size_t i = 0; i < count; i++)
-		if (covers[i].shards > most)
-			most = covers[i].shards;
+		if (coverages[i].shards > most)
+			most = coverages[i].shards;
 	for (size_t i = 0; i < count; i++)
-		if (most &&
-		    (double)covers[i].shards >= COVER_PART * (double)most)
-			covers[kept++] = covers[i];
+		if (most && (double)coverages[i].shards >=
+				    COVERAGE_FRACTION * (double)most)
+			coverages[kept++] = coverages[i];
 	return kept;
 }
 
-static bool may_run(const struct member_info *member, bool later, int64_t now)
+static bool is_candidate(const struct member_info *member,
+			 bool include_inactive, int64_t now)
 {
-	if (later)
+	if (include_inactive)
 		return gossip_counts(member, now);
 	return (member->entry.state & MEMBER_SERVES) &&
 	       gossip_is_live(member, now);
 }
 
-/* @later: also those that do not serve yet, or not any more. */
-static size_t find_runners(struct spread *spread, uint64_t domain, bool later,
-			   int64_t now, struct runner *runners)
+/* @include_inactive: also those that do not serve yet, or not any more. */
+static size_t find_candidates(struct placement *placement, uint64_t domain,
+			      bool include_inactive, int64_t now,
+			      struct candidate *candidates)
 {
-	const struct gossip *gossip = spread->gossip;
+	const struct gossip *gossip = placement->gossip;
 	apr_hash_index_t *it;
 	size_t count = 0;
 
 	if (gossip->self.domain == domain &&
 	    !(gossip->self.state & MEMBER_LEAVES))
-		runners[count++] =
-			(struct runner){ NULL, domain, gossip->self.core,
-					 gossip->self.ip };
+		candidates[count++] =
+			(struct candidate){ NULL, domain, gossip->self.core,
+					    gossip->self.ip };
 	for (it = apr_hash_first(NULL, gossip->members); it;
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
 
 		if (member->entry.domain != domain ||
-		    !may_run(member, later, now) || count == SPREAD_MERGERS_MAX)
+		    !is_candidate(member, include_inactive, now) ||
+		    count == PLACEMENT_MERGERS_MAX)
 			continue;
-		runners[count++] =
-			(struct runner){ member, domain, member->entry.core,
-					 member->entry.ip };
+		candidates[count++] =
+			(struct candidate){ member, domain, member->entry.core,
+					    member->entry.ip };
 	}
 	return count;
 }
@@ -177,8 +185,8 @@
 /* Most processor time first; all nodes must come to the same order. */
 static int by_core(const void *a, const void *b)
 {
-	const struct runner *x = a;
-	const struct runner *y = b;
+	const struct candidate *x = a;
+	const struct candidate *y = b;
 
 	if (x->core != y->core)
 		return x->core > y->core ? -1 : 1;
@@ -190,40 +198,41 @@
  * shards takes an eighth of a core longer than its goal. The large ones of
  * other domains do.
  */
-static void take_runners(struct spread_plan *plan, struct runner *runners,
-			 size_t count, size_t most, double least_core)
+static void add_mergers(struct placement_plan *plan,
+			struct candidate *candidates, size_t count, size_t most,
+			double least_core)
 {
-	qsort(runners, count, sizeof(*runners), by_core);
+	qsort(candidates, count, sizeof(*candidates), by_core);
 	for (size_t i = 0; i < count && i < most; i++) {
-		if ((double)runners[i].core < least_core)
+		if ((double)candidates[i].core < least_core)
 			return;
-		if (!runners[i].member)
+		if (!candidates[i].member)
 			plan->self = true;
-		else if (plan->count < SPREAD_MERGERS_MAX)
-			plan->members[plan->count++] = runners[i].member;
+		else if (plan->count < PLACEMENT_MERGERS_MAX)
+			plan->members[plan->count++] = candidates[i].member;
 	}
 }
 
-static uint32_t best_core(const struct runner *runners, size_t count)
+static uint32_t best_core(const struct candidate *candidates, size_t count)
 {
 	uint32_t best = 0;
 
 	for (size_t i = 0; i < count; i++)
-		if (runners[i].core > best)
-			best = runners[i].core;
+		if (candidates[i].core > best)
+			best = candidates[i].core;
 	return best;
 }
 
-static size_t mergers_each(const struct catalog *catalog,
-			   const struct route *route, size_t domains)
+static size_t mergers_per_domain(const struct catalog *catalog,
+				 const struct route *route, size_t domains)
 {
 	const struct service *service =
 		catalog_service(catalog, route->shards[0]);
 	double conns = service ? service->max_conns : 0;
-	size_t all = (size_t)(conns * CONNS_PART / CONNS_EACH);
+	size_t all = (size_t)(conns * CONNS_FRACTION / CONNS_PER_MERGER);
 	size_t each = all / domains;
 
-	return each > MERGERS_LEAST ? each : MERGERS_LEAST;
+	return each > MERGERS_MIN ? each : MERGERS_MIN;
 }
 
 /*
@@ -232,26 +241,27 @@
  * much. So do those that went lately: what they sent is still in the bound's
  * window.
  */
-static size_t count_sharing(struct spread *spread,
+static size_t count_mergers(struct placement *placement,
 			    const struct catalog *catalog,
 			    const struct route *route,
-			    const struct cover *covers, size_t domains,
+			    const struct coverage *coverages, size_t domains,
 			    uint32_t best, int64_t now)
 {
-	size_t most = mergers_each(catalog, route, domains ? domains : 1);
-	struct runner runners[SPREAD_MERGERS_MAX + 1];
-	size_t sharing = 0;
+	size_t most = mergers_per_domain(catalog, route, domains ? domains : 1);
+	struct candidate candidates[PLACEMENT_MERGERS_MAX + 1];
+	size_t mergers = 0;
 
 	for (size_t i = 0; i < domains; i++) {
-		size_t count = find_runners(spread, covers[i].domain, true, now,
-					    runners);
-		size_t able = 0;
+		size_t count = find_candidates(placement, coverages[i].domain,
+					       true, now, candidates);
+		size_t eligible = 0;
 
 		for (size_t j = 0; j < count; j++)
-			able += (double)runners[j].core >= CORE_PART * best;
-		sharing += able < most ? able : most;
+			eligible += (double)candidates[j].core >=
+				    CORE_FRACTION * best;
+		mergers += eligible < most ? eligible : most;
 	}
-	return sharing;
+	return mergers;
 }
 
 /*
@@ -259,9 +269,10 @@
  * target's connections are theirs to share: split by all nodes alike most of
  * them were never used, while shards waited for room at a target.
  */
-static void share_conns(struct spread *spread, const struct spread_plan *plan,
-			const struct catalog *catalog,
-			const struct route *route, size_t domains)
+static void divide_conns(struct placement *placement,
+			 const struct placement_plan *plan,
+			 const struct catalog *catalog,
+			 const struct route *route, size_t domains)
 {
 	const struct service *service =
 		catalog_service(catalog, route->shards[0]);
@@ -269,64 +280,65 @@
 	int near = plan->self;
 	struct conn_bound bound;
 
-	if (!service || !plan->self || !domains || !spread->met ||
-	    !mechanism_on(spread->without, MECHANISM_SHARED_CONNS))
+	if (!service || !plan->self || !domains || !placement->discovery_done ||
+	    !mechanism_enabled(placement->without, MECHANISM_SHARED_CONNS))
 		return;
 	for (size_t i = 0; i < plan->count; i++)
 		near += plan->members[i]->near;
 	bound = directory_conns(service->max_conns, near,
 				merging - merging / (int)domains);
 	for (size_t i = 0; i < route->nshards; i++)
-		roster_conn_bound(spread->roster, route->shards[i], bound);
+		roster_conn_bound(placement->roster, route->shards[i], bound);
 }
 
-static void make_plan(struct spread *spread, struct spread_plan *plan,
+static void make_plan(struct placement *placement, struct placement_plan *plan,
 		      const struct catalog *catalog, const struct route *route,
 		      int64_t now)
 {
-	struct cover covers[SPREAD_DOMAINS_MAX];
-	struct runner runners[SPREAD_MERGERS_MAX + 1];
-	size_t domains = find_domains(spread, route, now, covers);
+	struct coverage coverages[PLACEMENT_DOMAINS_MAX];
+	struct candidate candidates[PLACEMENT_MERGERS_MAX + 1];
+	size_t domains = find_domains(placement, route, now, coverages);
 	uint32_t best = 0;
 
-	*plan = (struct spread_plan){ .route = str_hash(route->name),
-				      .version = catalog->version,
-				      .made_at = now };
+	*plan = (struct placement_plan){ .route = str_hash(route->name),
+					 .version = catalog->version,
+					 .made_at = now };
 	for (size_t i = 0; i < domains; i++) {
-		size_t count = find_runners(spread, covers[i].domain, false,
-					    now, runners);
-		uint32_t core = best_core(runners, count);
+		size_t count = find_candidates(placement, coverages[i].domain,
+					       false, now, candidates);
+		uint32_t core = best_core(candidates, count);
 
 		best = core > best ? core : best;
 	}
 	for (size_t i = 0; i < domains; i++) {
-		size_t count = find_runners(spread, covers[i].domain, false,
-					    now, runners);
+		size_t count = find_candidates(placement, coverages[i].domain,
+					       false, now, candidates);
 
-		take_runners(plan, runners, count,
-			     mergers_each(catalog, route, domains),
-			     CORE_PART * best);
+		add_mergers(plan, candidates, count,
+			    mergers_per_domain(catalog, route, domains),
+			    CORE_FRACTION * best);
 	}
-	plan->sharing = count_sharing(spread, catalog, route, covers, domains,
-				      best, now);
-	share_conns(spread, plan, catalog, route, domains);
+	plan->mergers = count_mergers(placement, catalog, route, coverages,
+				      domains, best, now);
+	divide_conns(placement, plan, catalog, route, domains);
 }
 
-static const struct spread_plan *get_plan(struct spread *spread,
-					  const struct catalog *catalog,
-					  const struct route *route,
-					  int64_t now)
+static const struct placement_plan *get_plan(struct placement *placement,
+					     const struct catalog *catalog,
+					     const struct route *route,
+					     int64_t now)
 {
 	uint64_t key = str_hash(route->name);
-	struct spread_plan *plan = &spread->plans[key % SPREAD_ROUTES_MAX];
+	struct placement_plan *plan =
+		&placement->plans[key % PLACEMENT_ROUTES_MAX];
 
 	if (plan->route != key || plan->version != catalog->version ||
-	    now - plan->made_at > PLAN_US)
-		make_plan(spread, plan, catalog, route, now);
+	    now - plan->made_at > PLAN_TTL_US)
+		make_plan(placement, plan, catalog, route, now);
 	return plan;
 }
 
-static bool may_ask(const struct member_info *member, int64_t now)
+static bool is_available(const struct member_info *member, int64_t now)
 {
 	return now >= member->rest_until && gossip_is_live(member, now) &&
 	       (!member->unheard_since ||
@@ -338,35 +350,40 @@
 	return (member->open + 1.0) / (member->entry.core + 1.0);
 }
 
-bool spread_here(struct spread *spread, const struct catalog *catalog,
-		 const struct route *route, int64_t now)
+bool placement_is_local(struct placement *placement,
+			const struct catalog *catalog,
+			const struct route *route, int64_t now)
 {
-	return !mechanism_on(spread->without, MECHANISM_MERGING_NODES) ||
-	       get_plan(spread, catalog, route, now)->self;
+	return !mechanism_enabled(placement->without,
+				  MECHANISM_MERGING_NODES) ||
+	       get_plan(placement, catalog, route, now)->self;
 }
 
-double spread_share(struct spread *spread, const struct catalog *catalog,
-		    const struct route *route, int64_t now)
+double placement_retry_share(struct placement *placement,
+			     const struct catalog *catalog,
+			     const struct route *route, int64_t now)
 {
-	const struct spread_plan *plan = get_plan(spread, catalog, route, now);
-	size_t nodes = (size_t)gossip_count(spread->gossip);
+	const struct placement_plan *plan =
+		get_plan(placement, catalog, route, now);
+	size_t nodes = (size_t)gossip_count(placement->gossip);
 
-	if (!plan->sharing || plan->sharing >= nodes ||
-	    !mechanism_on(spread->without, MECHANISM_MERGER_BUDGET))
+	if (!plan->mergers || plan->mergers >= nodes ||
+	    !mechanism_enabled(placement->without, MECHANISM_MERGER_BUDGET))
 		return 1.0 / (double)nodes;
 	if (plan->self)
-		return MERGERS_SHARE / (double)plan->sharing;
-	return (1 - MERGERS_SHARE) / (double)(nodes - plan->sharing);
+		return MERGERS_RETRY_SHARE / (double)plan->mergers;
+	return (1 - MERGERS_RETRY_SHARE) / (double)(nodes - plan->mergers);
 }
 
 /* Of two drawn at random the one with less to do, near ones before others. */
-struct member_info *spread_choose(struct spread *spread,
-				  const struct catalog *catalog,
-				  const struct route *route, uint64_t domain,
-				  int64_t now)
+struct member_info *placement_choose(struct placement *placement,
+				     const struct catalog *catalog,
+				     const struct route *route, uint64_t domain,
+				     int64_t now)
 {
-	const struct spread_plan *plan = get_plan(spread, catalog, route, now);
-	struct member_info *fit[SPREAD_MERGERS_MAX];
+	const struct placement_plan *plan =
+		get_plan(placement, catalog, route, now);
+	struct member_info *available[PLACEMENT_MERGERS_MAX];
 	size_t near = 0;
 	size_t count = 0;
 	struct member_info *a;
@@ -376,19 +393,19 @@
 		struct member_info *member = plan->members[i];
 
 		if ((domain && member->entry.domain != domain) ||
-		    !may_ask(member, now))
+		    !is_available(member, now))
 			continue;
-		fit[count++] = member;
-		if (member->entry.domain != spread->gossip->self.domain)
+		available[count++] = member;
+		if (member->entry.domain != placement->gossip->self.domain)
 			continue;
-		fit[count - 1] = fit[near];
-		fit[near++] = member;
+		available[count - 1] = available[near];
+		available[near++] = member;
 	}
 	if (near)
 		count = near;
 	if (!count)
 		return NULL;
-	a = fit[rng_below(spread->rng, count)];
-	b = fit[rng_below(spread->rng, count)];
+	a = available[rng_below(placement->rng, count)];
+	b = available[rng_below(placement->rng, count)];
 	return load(a) <= load(b) ? a : b;
 }
--- a/spread.h
+++ b/spread.h
@@ -15,64 +15,66 @@
  */
 
 enum {
-	SPREAD_MERGERS_MAX = 64,
-	SPREAD_ROUTES_MAX = 16,
-	SPREAD_DOMAINS_MAX = 16,
+	PLACEMENT_MERGERS_MAX = 64,
+	PLACEMENT_ROUTES_MAX = 16,
+	PLACEMENT_DOMAINS_MAX = 16,
 };
 
 /**
- * struct spread_plan - who merges the questions of a route
+ * struct placement_plan - who merges the questions of a route
  * @route: hash of its name; @version: of the configuration
  * @members: other nodes that merge
  * @self: this node merges
- * @sharing: nodes that merge, have merged lately or soon will
+ * @mergers: nodes that merge, have merged lately or soon will
  */
-struct spread_plan {
+struct placement_plan {
 	uint64_t route;
 	uint64_t version;
 	int64_t made_at;
-	struct member_info *members[SPREAD_MERGERS_MAX];
+	struct member_info *members[PLACEMENT_MERGERS_MAX];
 	size_t count;
 	bool self;
-	size_t sharing;
+	size_t mergers;
 };
 
 /**
- * struct spread - who merges what
- * @met: other nodes have had time to be heard of
+ * struct placement - who merges what
+ * @discovery_done: other nodes have had time to be heard of
  * @without: mechanisms that are off
  */
-struct spread {
+struct placement {
 	struct gossip *gossip;
 	struct roster *roster;
 	struct rng *rng;
-	bool met;
+	bool discovery_done;
 	uint32_t without;
-	struct spread_plan plans[SPREAD_ROUTES_MAX];
+	struct placement_plan plans[PLACEMENT_ROUTES_MAX];
 };
 
-void spread_init(struct spread *spread, struct gossip *gossip,
-		 struct roster *roster, struct rng *rng, uint32_t without);
-/** spread_here() - this node merges questions of @route. */
-bool spread_here(struct spread *spread, const struct catalog *catalog,
-		 const struct route *route, int64_t now);
+void placement_init(struct placement *placement, struct gossip *gossip,
+		    struct roster *roster, struct rng *rng, uint32_t without);
+/** placement_is_local() - this node merges questions of @route. */
+bool placement_is_local(struct placement *placement,
+			const struct catalog *catalog,
+			const struct route *route, int64_t now);
 /**
- * spread_share() - this node's part of what all nodes together may send to the
- * targets of @route beyond first requests
+ * placement_retry_share() - this node's part of what all nodes together may
+ * send to the targets of @route beyond first requests
  *
  * Return: above 0, at most 1.
  */
-double spread_share(struct spread *spread, const struct catalog *catalog,
-		    const struct route *route, int64_t now);
+double placement_retry_share(struct placement *placement,
+			     const struct catalog *catalog,
+			     const struct route *route, int64_t now);
 /**
- * spread_choose() - a node that merges, in the failure domain @domain (0: in
+ * placement_choose() - a node that merges, in the failure domain @domain (0: in
  * any, the own one first), or NULL when there is none to be asked now
  */
-struct member_info *spread_choose(struct spread *spread,
-				  const struct catalog *catalog,
-				  const struct route *route, uint64_t domain,
-				  int64_t now);
-/** spread_domains() - other failure domains that nodes are known in. */
-size_t spread_domains(const struct spread *spread, uint64_t *domains);
-/** spread_forget() - nodes or targets changed: make the plans anew. */
-void spread_forget(struct spread *spread);
+struct member_info *placement_choose(struct placement *placement,
+				     const struct catalog *catalog,
+				     const struct route *route, uint64_t domain,
+				     int64_t now);
+/** placement_domains() - other failure domains that nodes are known in. */
+size_t placement_domains(const struct placement *placement, uint64_t *domains);
+/** placement_invalidate() - nodes or targets changed: make the plans anew. */
+void placement_invalidate(struct placement *placement);
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -510,8 +510,8 @@
 	struct flow_effects fx;
 	struct note_book notes = { .fx = &fx };
 	struct poison poison;
-	struct poison_news news = { .poison = &poison,
-				    .links = { tell_nobody, NULL, NULL },
+	struct poison_sync news = { .poison = &poison,
+				    .transport = { tell_nobody, NULL, NULL },
 				    .pool = pool };
 	struct calls calls;
 	struct call *call;
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -241,7 +241,7 @@
 	return str_dup(scene->pool, (struct str){ id, (size_t)len });
 }
 
-static bool lives(const void *ctx, const struct poison_crash *crash)
+static bool is_live(const void *ctx, const struct poison_crash *crash)
 {
 	return roster_lists(ctx, crash->key, crash->born_ms);
 }
@@ -252,7 +252,7 @@
 	scene->now = 100 * (int64_t)SECOND_US;
 	scene->roster = roster_create(scene->pool, STR("here"), 0);
 	poison_init(&scene->poison, scene->pool,
-		    (struct poison_targets){ lives, scene->roster });
+		    (struct poison_targets){ is_live, scene->roster });
 	for (int i = 0; i < POISON_TARGETS_MAX; i++) {
 		struct target_entry entry = { .id = target_id(scene, i),
 					      .service = 1,
@@ -282,7 +282,7 @@
 	struct poison_crash crash = { .key = str_hash(target_id(scene, target)),
 				      .at = scene->now };
 
-	poison_broke(&scene->poison, print, round, &crash);
+	poison_crashed(&scene->poison, print, round, &crash);
 }
 
 static void take_step(struct scene *scene, const struct step *step)
@@ -300,7 +300,7 @@
 		broke(scene, &print, 1, step->target);
 		break;
 	case STEP_SERVED:
-		poison_served(&scene->poison, &print, scene->now);
+		poison_answered(&scene->poison, &print, scene->now);
 		break;
 	case STEP_PASS:
 		scene->now += step->target * (int64_t)SECOND_US;
@@ -310,7 +310,7 @@
 			    scene->now);
 		break;
 	case STEP_SETTLE:
-		poison_settle(&scene->poison, true, scene->now);
+		poison_sweep(&scene->poison, true, scene->now);
 		break;
 	}
 }
@@ -363,7 +363,7 @@
 	ck_assert(!parcel_open_suspects(buf_str(&body), other.now, other.pool,
 					&got, &count));
 	for (size_t i = 0; i < count; i++)
-		poison_take(&other.poison, &got[i], false, true, other.now);
+		poison_merge(&other.poison, &got[i], false, true, other.now);
 	for (int caller = 0; caller < 2; caller++) {
 		struct fingerprint print = print_of(0, caller);
 
--- a/tier.c
+++ b/tier.c
@@ -20,32 +20,32 @@
 	 * connections have moved on before it ends: this part of the time until
 	 * it is killed.
 	 */
-	LINGER_NUM = 6,
-	LINGER_DEN = 10,
+	DRAIN_GRACE_NUM = 6,
+	DRAIN_GRACE_DEN = 10,
 	/*
 	 * A node without a configuration tells callers to come back: it mostly
 	 * has one within a tenth of a second. While the store does not answer
 	 * it may be long, and a caller that comes too soon is refused again.
 	 */
 	STARTING_RETRY_US = 300000,
-	STORE_AWAY_RETRY_US = 1000000,
+	STORE_DOWN_RETRY_US = 1000000,
 	SWEEP_US = 5000000,
 	/*
 	 * Nodes that start together hear of each other within this time. Until
 	 * then each would take a target's connections for its own, and the
 	 * target resets what is beyond its cap.
 	 */
-	MEET_US = 1000000,
+	DISCOVERY_US = 1000000,
 	/* The table of targets is as the store has it: read this lately, */
-	FRESH_US = 2000000,
+	STORE_FRESH_US = 2000000,
 	/* and entries that lapsed while it was away have come back. */
-	AWAY_US = 5000000,
+	STORE_RECOVERY_US = 5000000,
 	/*
 	 * News goes to so many nodes of the domain directly; where there are
 	 * more, to so many that pass it on: four steps reach 910.
 	 */
-	NEWS_DIRECT = 32,
-	NEWS_FANOUT = 8,
+	EVIDENCE_DIRECT_MAX = 32,
+	EVIDENCE_FANOUT = 8,
 };
 
 struct tier {
@@ -60,11 +60,11 @@
 	struct reader reader;
 	struct calls calls;
 	struct gossip gossip;
-	struct share share;
-	struct spread spread;
-	struct batch_book batches;
+	struct relay relay;
+	struct placement placement;
+	struct batch_table batches;
 	struct poison poison;
-	struct poison_news poison_news;
+	struct poison_sync poison_sync;
 	bool ready;
 	int64_t stop_at;
 	bool stopped;
@@ -81,7 +81,7 @@
 
 /* Evidence against requests, among nodes. */
 
-static void send_news(void *ctx, struct str addr, const struct msg *msg)
+static void send_evidence(void *ctx, struct str addr, const struct msg *msg)
 {
 	struct tier *tier = ctx;
 	struct flow_effect *fx = flow_add(tier->fx, FLOW_PEER_SEND);
@@ -91,30 +91,31 @@
 	fx->msg.body = str_dup(tier->fx->pool, msg->body);
 }
 
-static void spread_to(struct tier *tier, struct msg msg, bool pass_on,
-		      struct member_info *const *members, size_t count)
+static void send_to_members(struct tier *tier, struct msg msg, bool relay,
+			    struct member_info *const *members, size_t count)
 {
-	msg.ran = pass_on;
+	msg.ran = relay;
 	for (size_t i = 0; i < count; i++)
-		send_news(tier, members[i]->addr, &msg);
+		send_evidence(tier, members[i]->addr, &msg);
 }
 
 /* Bytes between domains are paid for: one node of each passes it on there. */
-static void spread_news(void *ctx, const struct msg *msg, bool near)
+static void broadcast_evidence(void *ctx, const struct msg *msg, bool near)
 {
 	struct tier *tier = ctx;
 	int64_t now = tier->calls.now;
-	bool relays = tier->gossip.near_live > NEWS_DIRECT;
-	struct member_info *members[NEWS_DIRECT];
+	bool use_relays = tier->gossip.near_live > EVIDENCE_DIRECT_MAX;
+	struct member_info *members[EVIDENCE_DIRECT_MAX];
 	size_t count;
 
-	count = gossip_near(&tier->gossip, relays ? NEWS_FANOUT : NEWS_DIRECT,
+	count = gossip_near(&tier->gossip,
+			    use_relays ? EVIDENCE_FANOUT : EVIDENCE_DIRECT_MAX,
 			    now, members);
-	spread_to(tier, *msg, relays, members, count);
+	send_to_members(tier, *msg, use_relays, members, count);
 	if (near)
 		return;
-	count = gossip_far(&tier->gossip, NEWS_DIRECT, now, members);
-	spread_to(tier, *msg, true, members, count);
+	count = gossip_far(&tier->gossip, EVIDENCE_DIRECT_MAX, now, members);
+	send_to_members(tier, *msg, true, members, count);
 }
 
 static bool is_published(const void *ctx, const struct poison_crash *crash)
@@ -151,24 +152,25 @@
 	tier->calls.notes = &tier->notes;
 	gossip_init(&tier->gossip, tier->pool, fx, &tier->calls.rng,
 		    &tier->settings, opt->incarnation, now);
-	share_init(&tier->share, &tier->gossip, &tier->reader, fx,
-		   tier->settings.first_start ||
-			   !mechanism_on(opt->without, MECHANISM_QUICK_START),
-		   now);
-	spread_init(&tier->spread, &tier->gossip, tier->roster,
-		    &tier->calls.rng, opt->without);
-	batch_book_init(&tier->batches, tier->pool, &tier->gossip,
-			&tier->spread);
+	relay_init(
+		&tier->relay, &tier->gossip, &tier->reader, fx,
+		tier->settings.first_start ||
+			!mechanism_enabled(opt->without, MECHANISM_QUICK_START),
+		now);
+	placement_init(&tier->placement, &tier->gossip, tier->roster,
+		       &tier->calls.rng, opt->without);
+	batch_table_init(&tier->batches, tier->pool, &tier->gossip,
+			 &tier->placement);
 	merge_init(&tier->calls, &tier->batches);
 	poison_init(&tier->poison, tier->pool,
 		    (struct poison_targets){ is_published, tier->roster });
-	tier->poison_news = (struct poison_news){
+	tier->poison_sync = (struct poison_sync){
 		.poison = &tier->poison,
-		.links = { spread_news, send_news, tier },
+		.transport = { broadcast_evidence, send_evidence, tier },
 		.pool = tier->pool,
 	};
 	tier->calls.poison = &tier->poison;
-	tier->calls.news = &tier->poison_news;
+	tier->calls.news = &tier->poison_sync;
 	tier->calls.gossip = &tier->gossip;
 	return tier;
 }
@@ -207,9 +209,9 @@
 
 static int64_t starting_retry_us(struct tier *tier)
 {
-	bool store_away = tier->reader.failures > 0;
+	bool store_down = tier->reader.failures > 0;
 
-	return call_spread(&tier->calls, store_away ? STORE_AWAY_RETRY_US
+	return call_spread(&tier->calls, store_down ? STORE_DOWN_RETRY_US
 						    : STARTING_RETRY_US);
 }
 
@@ -234,7 +236,7 @@
 	if (poison_verdict(&tier->poison, &call->print) != POISON_BLOCKED)
 		return false;
 	metric_add(&tier->notes.metrics, METRIC_BLOCKED);
-	trial_excuse(&tier->calls, call, &why, &retry_us);
+	trial_refusal_reason(&tier->calls, call, &why, &retry_us);
 	call_refuse(&tier->calls, call, 503, why, retry_us);
 	return true;
 }
@@ -268,7 +270,7 @@
 			   route);
 	call->print = flow_fingerprint(request);
 	call->kind = route->nshards ? &merge_kind : &forward_kind;
-	poison_asked(&tier->poison, &call->print, event->now);
+	poison_touch(&tier->poison, &call->print, event->now);
 	if (refuse_blocked(tier, call))
 		return;
 	call->kind->begin(&tier->calls, call);
@@ -306,7 +308,7 @@
 		    tier->notes.version);
 }
 
-static void tell_limits(struct tier *tier)
+static void emit_limits(struct tier *tier)
 {
 	const struct catalog *catalog = tier->dir.catalog;
 	struct flow_effect *fx;
@@ -322,8 +324,9 @@
 {
 	if (tier->stop_at)
 		return;
-	tier->stop_at = tier->calls.now +
-			tier->settings.grace_us * LINGER_NUM / LINGER_DEN;
+	tier->stop_at = tier->calls.now + tier->settings.grace_us *
+						  DRAIN_GRACE_NUM /
+						  DRAIN_GRACE_DEN;
 	set_ready(tier, false);
 }
 
@@ -350,8 +353,8 @@
 /* What the table of targets lacks now is gone, not only out of sight. */
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
-	return now - tier->dir.read_at < FRESH_US &&
-	       now - roster_store_lost_at(tier->roster) > AWAY_US;
+	return now - tier->dir.read_at < STORE_FRESH_US &&
+	       now - roster_store_lost_at(tier->roster) > STORE_RECOVERY_US;
 }
 
 static void on_msg(struct tier *tier, const struct flow_event *event)
@@ -359,25 +362,27 @@
 	const struct msg *msg = event->msg;
 	struct flow_effect *fx;
 
-	int64_t late_us =
+	int64_t delay_us =
 		gossip_delay(&tier->gossip, event->from, event->incarnation,
 			     event->sent_us, event->now);
 
-	if (late_us < event->held_us)
-		late_us = event->held_us;
+	if (delay_us < event->held_us)
+		delay_us = event->held_us;
 	gossip_heard(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
 		gossip_msg(&tier->gossip, event->from, msg->body, event->now);
-		poison_news_digest(&tier->poison_news, event->from, msg->hash,
-				   event->now);
+		poison_sync_on_digest(&tier->poison_sync, event->from,
+				      msg->hash, event->now);
 		break;
 	case MSG_SUSPECTS:
-		poison_news_msg(&tier->poison_news, event->from, msg,
-				store_is_fresh(tier, event->now), event->now);
+		poison_sync_on_msg(&tier->poison_sync, event->from, msg,
+				   store_is_fresh(tier, event->now),
+				   event->now);
 		break;
 	case MSG_TRY:
-		trial_asked(&tier->calls, event->from, event->incarnation, msg);
+		trial_on_request(&tier->calls, event->from, event->incarnation,
+				 msg);
 		break;
 	case MSG_TRY_REPLY:
 		trial_on_reply(&tier->calls, msg);
@@ -387,24 +392,24 @@
 		fx->addr = str_dup(tier->fx->pool, event->from);
 		break;
 	case MSG_ITEMS:
-		share_items(&tier->share, event->from, msg, event->now);
-		tell_limits(tier);
+		relay_on_items(&tier->relay, event->from, msg, event->now);
+		emit_limits(tier);
 		break;
 	case MSG_ITEMS_GET:
-		share_wanted(&tier->share, event->from, msg, event->now);
+		relay_on_request(&tier->relay, event->from, msg, event->now);
 		break;
 	case MSG_ASK:
-		batch_asked(&tier->calls, tier->dir.catalog, event->from,
-			    event->incarnation, msg, late_us);
+		batch_on_request(&tier->calls, tier->dir.catalog, event->from,
+				 event->incarnation, msg, delay_us);
 		break;
 	case MSG_ASK_REPLY:
 		batch_on_reply(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_GO:
-		batch_on_go(&tier->calls, event->from, msg);
+		batch_on_grant(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_CANCEL:
-		batch_cancelled(&tier->calls, event->from, msg);
+		batch_on_cancel(&tier->calls, event->from, msg);
 		break;
 	default:
 		/* Of the other kind of node, which serves its own interface. */
@@ -412,19 +417,20 @@
 	}
 }
 
-static void count_nodes(struct tier *tier)
+static void update_node_count(struct tier *tier)
 {
 	int nodes = gossip_count(&tier->gossip);
-	bool met = tier->calls.now - tier->gossip.started_at > MEET_US;
-	int near = met ? tier->gossip.near_counted : 0;
+	bool discovery_done =
+		tier->calls.now - tier->gossip.started_at > DISCOVERY_US;
+	int near = discovery_done ? tier->gossip.near_counted : 0;
 
 	if (nodes == tier->dir.nodes && near == tier->dir.near)
 		return;
 	note_belief(&tier->notes, tier->calls.now, "nodes", STR("all"),
 		    "heard of", (uint64_t)nodes);
 	directory_bounds(&tier->dir, nodes, near);
-	tier->spread.met = met;
-	spread_forget(&tier->spread);
+	tier->placement.discovery_done = discovery_done;
+	placement_invalidate(&tier->placement);
 	budget_nodes(tier->calls.budget, nodes);
 }
 
@@ -436,8 +442,8 @@
 	tier->sweep_at = tier->calls.now + SWEEP_US;
 	roster_sweep(tier->roster, tier->calls.now);
 	directory_sweep(&tier->dir, tier->calls.now);
-	poison_settle(&tier->poison, store_is_fresh(tier, tier->calls.now),
-		      tier->calls.now);
+	poison_sweep(&tier->poison, store_is_fresh(tier, tier->calls.now),
+		     tier->calls.now);
 }
 
 static void run_timers(struct tier *tier)
@@ -474,8 +480,8 @@
 	case FLOW_STORE:
 		reader_reply(&tier->reader, event->store, event->now);
 		if (event->store->ok && tier->reader.state == READER_IDLE)
-			share_read(&tier->share, event->now);
-		tell_limits(tier);
+			relay_on_read(&tier->relay, event->now);
+		emit_limits(tier);
 		break;
 	case FLOW_MSG:
 		on_msg(tier, event);
@@ -492,11 +498,11 @@
 	case FLOW_EVENTS:
 		break;
 	}
-	share_tick(&tier->share, event->now);
+	relay_tick(&tier->relay, event->now);
 	if (event->now >= tier->gossip.next_at)
 		tier->gossip.digest = poison_digest(&tier->poison, event->now);
 	gossip_tick(&tier->gossip, event->now);
-	count_nodes(tier);
+	update_node_count(tier);
 	reader_tick(&tier->reader, event->now);
 	if (!tier->stop_at && tier->dir.catalog)
 		set_ready(tier, true);
@@ -513,14 +519,14 @@
 	int64_t when = timer_next(&tier->calls.timers);
 	int64_t read_at = reader_wake_at(&tier->reader);
 
-	int64_t share_at = share_wake_at(&tier->share, tier->calls.now);
+	int64_t relay_at = relay_wake_at(&tier->relay, tier->calls.now);
 
 	if (read_at < when)
 		when = read_at;
 	if (tier->gossip.next_at < when)
 		when = tier->gossip.next_at;
-	if (!tier->reader.active && share_at < when)
-		when = share_at;
+	if (!tier->reader.active && relay_at < when)
+		when = relay_at;
 	if (tier->stop_at && !tier->stopped && !tier->calls.nopen &&
 	    tier->stop_at < when)
 		when = tier->stop_at;
