--- a/batch.h
+++ b/batch.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "call.h"
-#include "spread.h"
+#include "placement.h"
 
 /**
  * DOC: shards that another node asks for
--- a/call.c
+++ b/call.c
@@ -4,7 +4,7 @@
 
 #include "call_line.h"
 #include "note.h"
-#include "poison_news.h"
+#include "poison_sync.h"
 #include "trial.h"
 #include "xmalloc.h"
 
--- a/front.h
+++ b/front.h
@@ -2,7 +2,7 @@
 
 #include "ask.h"
 #include "member.h"
-#include "poison_news.h"
+#include "poison_sync.h"
 
 /**
  * DOC: front
--- a/front_poison.c
+++ b/front_poison.c
@@ -1,6 +1,6 @@
 #include "front_poison.h"
 
-#include "poison_news.h"
+#include "poison_sync.h"
 #include "replica.h"
 
 /* Other nodes. */
--- a/spread.c
+++ b/placement.c
@@ -1,4 +1,4 @@
-#include "spread.h"
+#include "placement.h"
 
 #include <stdlib.h>
 
--- a/poison_news.c
+++ b/poison_sync.c
@@ -1,4 +1,4 @@
-#include "poison_news.h"
+#include "poison_sync.h"
 
 #include <stdlib.h>
 
--- a/share.c
+++ b/relay.c
@@ -1,4 +1,4 @@
-#include "share.h"
+#include "relay.h"
 
 #include <stdlib.h>
 
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -12,7 +12,7 @@
 #include "../directory.h"
 #include "../head.h"
 #include "../line.h"
-#include "../poison_news.h"
+#include "../poison_sync.h"
 #include "../note.h"
 #include "../platform/platform.h"
 #include "../records.h"
