--- a/batch.c
+++ b/batch.c
@@ -7,18 +7,20 @@
 #include "xmalloc.h"
 
 enum {
-	/* The way to the other node and back, and its wait for a processor. */
+	/* Round trip to the other node, with its wait for a processor. */
 	HOP_RTT_US = 3000,
-	/* A node that did not answer gets no shards for this long. */
+	/* A node that did not answer gets no batches for this long. */
 	BACKOFF_US = 500000,
-	/* Time for the first word of a node that was asked as the second. */
-	SILENT_MIN_US = 25000,
-	/* Without any word this long after a question its connection is dead.
+	/*
+	 * Minimum time for a first reply, also for a node that is queried after
+	 * another one failed.
 	 */
+	SILENT_MIN_US = 25000,
+	/* A connection without any message this long after a batch is dead. */
 	CONN_DEAD_US = 150000,
 };
 
-/* Ids of calls that other nodes asked for; those of callers are smaller. */
+/* Set in ids of calls of other nodes; ids of callers' requests are smaller. */
 static const uint64_t peer_call_bit = 1ULL << 62;
 
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
@@ -41,8 +43,8 @@
 }
 
 /*
- * Between nodes shards are named by their place in the route. A call for
- * another node has places of its own, as it may be for a few of them only.
+ * Messages identify shards by their index in the route. A call for another node
+ * may cover only some shards of the route, so its parts have other indexes.
  */
 static uint16_t *shard_indexes(const struct call *call, const uint16_t *parts,
 			       size_t nparts)
@@ -55,7 +57,7 @@
 	return shards;
 }
 
-/* Return: the place in the call, or UINT16_MAX when it has no such shard. */
+/* Return: index of the part in the call, UINT16_MAX if it lacks the shard. */
 static uint16_t find_part(const struct call *call, uint16_t shard)
 {
 	if (!call->wanted)
@@ -74,7 +76,7 @@
 		(struct str){ (const char *)parts, nparts * sizeof(*parts) });
 }
 
-/* Asking. */
+/* Requesting node. */
 
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
@@ -143,9 +145,10 @@
 }
 
 /*
- * Connections may go silent for good, in either direction, without a reset. If
- * nothing at all has come from a node since it was first asked, both are opened
- * anew; a node that is merely slow keeps them, with what is under way there.
+ * A connection may stop delivering in either direction without a reset. If
+ * nothing was received from a node for CONN_DEAD_US after a batch, the
+ * connections in both directions are reopened. A node that is only slow keeps
+ * them, with the messages in flight.
  */
 static void back_off(struct calls *calls, struct str addr)
 {
@@ -159,15 +162,15 @@
 	    calls->now - member->unheard_since < CONN_DEAD_US)
 		return;
 	note_belief(calls->notes, calls->now, "node is late", addr,
-		    "it has not answered for its shards", 0);
+		    "no reply to its batches", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
 	queue_msg(calls, addr, 0, MSG_RELINK);
 }
 
 /*
- * What a node has not answered for when it is lost, it may have sent once, and
- * a second time only if it was told that it may.
+ * A failed node may have sent each unanswered shard to one target, and to a
+ * second one only if it was granted that.
  */
 static void batch_fail(struct calls *calls, struct batch *batch,
 		       const char *why)
@@ -182,8 +185,8 @@
 }
 
 /*
- * A node that has been heard of meanwhile is slow but at work on the shards:
- * asking their targets from here as well would ask too many of them.
+ * A node that has sent any message since the batch is slow but still works on
+ * its shards: querying their targets from here too would be too many requests.
  */
 static bool is_silent(struct calls *calls, const struct batch *batch)
 {
@@ -211,9 +214,9 @@
 	for (batch = call->batches; batch; batch = batch->next)
 		if (!batch->replied)
 			back_off(calls, batch->addr);
-	/* Failing one may end the call, and with it all the others. */
+	/* Failing one batch may end the call and close all others. */
 	while ((batch = find_silent(calls, call)))
-		batch_fail(calls, batch, "no word of it in time");
+		batch_fail(calls, batch, "no reply within the timeout");
 }
 
 static void drop_parts(struct batch *batch, const uint16_t *parts,
@@ -233,9 +236,10 @@
 }
 
 /*
- * Two nodes that both ask further targets of a shard would ask more of them
- * than its route allows. So a node first sends word and waits for this one's,
- * which from then on asks no more targets itself should the other be lost.
+ * If two nodes both queried more targets of a shard, they could exceed the
+ * number that its route allows. So a node first sends an interim reply and
+ * waits for the grant; from then on this node queries no more targets itself if
+ * the other one is lost.
  */
 static void grant(struct calls *calls, struct batch *batch)
 {
@@ -248,7 +252,7 @@
 	queue_msg(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
 }
 
-/* Every part of a reply must be one that this batch still waits for. */
+/* Return: the batch still waits for every one of @parts. */
 static bool is_awaited(const struct batch *batch, const uint16_t *parts,
 		       size_t nparts)
 {
@@ -263,7 +267,7 @@
 	return true;
 }
 
-/* Of each shard that the node did not answer for, however many it tells of. */
+/* Return: targets that may have received each shard which is unanswered. */
 static size_t tries_used(const struct batch *batch, const struct msg *msg)
 {
 	if (!msg->ran)
@@ -289,9 +293,9 @@
 		parts[i] = find_part(call, parts[i]);
 	if (!is_awaited(batch, parts, nparts)) {
 		note_belief(calls->notes, calls->now, "unusable", from,
-			    "it answers for shards that it was not asked for",
+			    "its reply is for shards that were not requested",
 			    msg->version);
-		batch_fail(calls, batch, "its answer is unusable");
+		batch_fail(calls, batch, "its reply is unusable");
 		return;
 	}
 	batch->replied = true;
@@ -299,7 +303,7 @@
 		grant(calls, batch);
 	drop_parts(batch, parts, nparts);
 	if (msg->state) {
-		/* The last word; what is left will not come from there. */
+		/* This is the last reply: remaining shards have failed. */
 		batch_close(calls, batch);
 		if (nparts)
 			calls->batches->replied(calls, call, parts, nparts,
@@ -313,7 +317,7 @@
 	calls->batches->replied(calls, call, parts, nparts, msg);
 }
 
-/* Finds one open batch at @addr, as failing one may change the table. */
+/* Returns one batch at a time, as failing it may change the table. */
 static struct batch *find_batch_to(struct calls *calls, struct str addr)
 {
 	apr_hash_index_t *it;
@@ -339,7 +343,7 @@
 		batch_fail(calls, batch, "its connection broke");
 }
 
-/* Asked. */
+/* Serving node. */
 
 static void send_refusal(struct calls *calls, struct str from,
 			 uint64_t incarnation, uint64_t id)
@@ -359,7 +363,7 @@
 	size_t nparts = msg->name.len / sizeof(uint16_t);
 	const struct route *route;
 
-	/* Indexes of shards mean the same in the same version only. */
+	/* Indexes of shards are only valid within one version. */
 	if (!catalog || catalog->version != msg->version ||
 	    parcel_open_request(msg->body, pool, request))
 		return NULL;
@@ -390,10 +394,10 @@
 	apr_pool_create(&pool, calls->pool);
 	route = resolve_route(catalog, msg, &request, pool);
 	/*
-	 * A connection that was cut, or a node that was frozen, brings
-	 * questions of seconds ago: nobody waits for them, and targets must not
-	 * work on. One that is suspect here, and was not yet where it came
-	 * from, is tried there.
+	 * After a connection was interrupted or a node was paused, requests
+	 * arrive that are seconds old. Nobody waits for them, so targets must
+	 * not run them. A request that is suspect here, but not yet at the
+	 * sender, is refused too: the sender runs its trial.
 	 */
 	if (!route || remaining_us <= 0 ||
 	    poison_verdict(calls->poison, &print) != POISON_NONE) {
@@ -421,7 +425,7 @@
 	apr_pool_destroy(pool);
 }
 
-/* The call that the node at @from knows by @id, or NULL. */
+/* Return: the call to which the node at @from gave @id, or NULL. */
 static struct call *find_peer_call(struct calls *calls, struct str from,
 				   uint64_t id)
 {
@@ -460,8 +464,8 @@
 }
 
 /*
- * A suspect request goes back to the node that has its caller before all tries
- * are used: were it harmless, that node can go on with it after a trial.
+ * A suspect request is returned to the node of its caller before all tries are
+ * used, so that this node can continue with it if a trial shows it harmless.
  */
 static uint32_t tries_to_report(const struct calls *calls,
 				const struct call *call)
--- a/batch.h
+++ b/batch.h
@@ -4,24 +4,24 @@
 #include "placement.h"
 
 /**
- * DOC: shards that another node asks for
+ * DOC: batches of shards that another node requests
  *
- * Shards of a question whose targets are in another failure domain are handed
- * to a node there, all in one message. It asks the targets and sends back the
- * greatest records of what came, so some 30 bytes a shard cross between
- * domains and not a whole request and reply. A node that does not answer in
- * time, or is lost, costs no more than a late target: the shards are then
- * asked for from here.
+ * Shards of a question whose targets are in another failure domain are sent to
+ * a node there, all in one message. It queries the targets and returns the
+ * greatest records of their replies, so that about 30 bytes per shard cross
+ * between domains instead of a whole request and reply. A node that does not
+ * answer in time, or whose connection breaks, costs no more than a late target:
+ * this node then queries the targets of those shards itself.
  */
 
 /**
- * struct batch - shards handed to one node
- * @addr: of the node
- * @parts: indexes of the shards that it has not answered for
- * @tried: targets of each that may have been asked before
- * @replied: something has come back
- * @wants_grant, @granted: the node asked to ask further targets, and was told
- * that it may
+ * struct batch - shards sent to one node
+ * @addr: address of the node
+ * @parts: indexes of the shards that it has not answered yet
+ * @tried: targets of each shard that may have received the request before
+ * @replied: at least one reply was received
+ * @wants_grant: the node requested permission to query more targets per shard
+ * @granted: that permission was sent to it
  */
 struct batch {
 	uint64_t id;
@@ -38,11 +38,12 @@
 };
 
 /**
- * struct batch_table - batches of this node
+ * struct batch_table - open batches of this node
  * @open: id -> struct batch
- * @replied: some shards came back; @msg: records and signatures of @parts
- * @failed: the node will not answer for @parts; @tried: how many targets each
- *          of them may have been sent to already
+ * @replied: called with an answer; @msg holds the records and signatures of
+ *           @parts
+ * @failed: called when the node will not answer for @parts; each of them may
+ *          have been sent to @tried targets already
  */
 struct batch_table {
 	struct gossip *gossip;
@@ -58,40 +59,44 @@
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
 		      struct gossip *gossip, struct placement *placement);
 /**
- * batch_send() - hand @nparts shards of @call to @member
- * @may_hand_on: it may in turn hand on those that are far from it
- * @tried: targets of each shard that may have been asked already
+ * batch_send() - send @nparts shards of @call to @member
+ * @may_hand_on: @member may forward shards of other failure domains in turn
+ * @tried: targets of each shard that may have received the request already
  */
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
 		size_t nparts, bool may_hand_on, size_t tried);
-/** batch_cancel_all() - the call wants none of its batches any more. */
+/** batch_cancel_all() - cancel all open batches of @call. */
 void batch_cancel_all(struct calls *calls, struct call *call);
-/** batch_fail_overdue() - give up on those of the call that have not replied.
+/**
+ * batch_fail_overdue() - back off from nodes that have not replied yet, and
+ * fail the batches of @call whose nodes are silent
  */
 void batch_fail_overdue(struct calls *calls, struct call *call);
-/** batch_on_reply(), batch_on_lost() - from the node at @from. */
+/** batch_on_reply() - process a reply of the node at @from. */
 void batch_on_reply(struct calls *calls, struct str from,
 		    const struct msg *msg);
+/** batch_on_lost() - the connection to the node at @addr broke. */
 void batch_on_lost(struct calls *calls, struct str addr);
 
-/** batch_on_grant() - the node at @from knows that further targets are asked.
- */
+/** batch_on_grant() - the node at @from permits more targets per shard. */
 void batch_on_grant(struct calls *calls, struct str from,
 		    const struct msg *msg);
 
 /**
- * batch_on_request() - another node hands shards to this one
- * @delay_us: how long the message was held up on its way
+ * batch_on_request() - process a batch that the node at @from sent
+ * @delay_us: estimated delay of the message
  */
 void batch_on_request(struct calls *calls, struct catalog *catalog,
 		      struct str from, uint64_t incarnation,
 		      const struct msg *msg, int64_t delay_us);
-/** batch_on_cancel() - it does not want them any more. */
+/** batch_on_cancel() - the node at @from cancelled its batch. */
 void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg);
-/** batch_send_reply() - send what is there of a call that another node asked
- * for. */
+/**
+ * batch_send_reply() - send results of @call to the node that requested it
+ * @last: no further reply follows
+ */
 void batch_send_reply(struct calls *calls, const struct call *call,
 		      const uint16_t *parts, size_t nparts, struct str records,
 		      struct str signatures, bool last);
--- a/tier.c
+++ b/tier.c
@@ -15,34 +15,34 @@
 
 enum {
 	/*
-	 * After the signal to stop a node serves on, so that the balancer,
-	 * which asks each second and needs two misses, and callers with
-	 * connections have moved on before it ends: this part of the time until
-	 * it is killed.
+	 * Fraction of the grace period during which a node keeps serving after
+	 * the signal to stop. The load balancer checks each second and needs
+	 * two failed checks; callers with open connections must move on too.
 	 */
 	DRAIN_GRACE_NUM = 6,
 	DRAIN_GRACE_DEN = 10,
 	/*
-	 * A node without a configuration tells callers to come back: it mostly
-	 * has one within a tenth of a second. While the store does not answer
-	 * it may be long, and a caller that comes too soon is refused again.
+	 * Retry-After of a node without a configuration. It usually has one
+	 * within 100 ms. While the store does not answer that may take long,
+	 * and a caller that retries too soon is refused again.
 	 */
 	STARTING_RETRY_US = 300000,
 	STORE_DOWN_RETRY_US = 1000000,
 	SWEEP_US = 5000000,
 	/*
-	 * Nodes that start together hear of each other within this time. Until
-	 * then each would take a target's connections for its own, and the
-	 * target resets what is beyond its cap.
+	 * Nodes that start together discover each other within this time.
+	 * Until then each would use all of a target's connections, and the
+	 * target resets connections above its limit.
 	 */
 	DISCOVERY_US = 1000000,
-	/* The table of targets is as the store has it: read this lately, */
+	/* Maximum age of a target table that counts as up to date. */
 	STORE_FRESH_US = 2000000,
-	/* and entries that lapsed while it was away have come back. */
+	/* After an outage of the store, expired entries are back by then. */
 	STORE_RECOVERY_US = 5000000,
 	/*
-	 * News goes to so many nodes of the domain directly; where there are
-	 * more, to so many that pass it on: four steps reach 910.
+	 * Evidence is sent directly to this many nodes of the failure domain.
+	 * In a larger domain it goes to EVIDENCE_FANOUT nodes that relay it:
+	 * four hops reach 910 nodes.
 	 */
 	EVIDENCE_DIRECT_MAX = 32,
 	EVIDENCE_FANOUT = 8,
@@ -79,7 +79,7 @@
 				      settings->retry_window_us };
 }
 
-/* Evidence against requests, among nodes. */
+/* Evidence against requests. */
 
 static void send_evidence(void *ctx, struct str addr, const struct msg *msg)
 {
@@ -99,7 +99,10 @@
 		send_evidence(tier, members[i]->addr, &msg);
 }
 
-/* Bytes between domains are paid for: one node of each passes it on there. */
+/*
+ * Traffic between failure domains is billed, so each other domain receives the
+ * message once, at a node that relays it there.
+ */
 static void broadcast_evidence(void *ctx, const struct msg *msg, bool near)
 {
 	struct tier *tier = ctx;
@@ -216,8 +219,9 @@
 }
 
 /*
- * What is read after the process was frozen may have waited as long; the rest
- * of its time may be over. It has not run, and the caller can be told so.
+ * A request that is read after the process was paused may have waited for as
+ * long as the pause, and its deadline may have passed. It has not run, so it
+ * can be refused as not executed.
  */
 static bool is_stale(const struct flow_event *event)
 {
@@ -227,7 +231,7 @@
 	       request->time_left_us <= event->held_us;
 }
 
-/* Return: true when it is one that crashes targets, and the call has ended. */
+/* Return: true if the request is blocked; the call has ended then. */
 static bool refuse_blocked(struct tier *tier, struct call *call)
 {
 	const char *why = "blocked";
@@ -284,7 +288,7 @@
 		call_abandon(&tier->calls, call);
 }
 
-/* Life. */
+/* Lifecycle. */
 
 static void set_ready(struct tier *tier, bool ready)
 {
@@ -299,7 +303,7 @@
 		tier->gossip.self.state |= MEMBER_SERVES;
 	else
 		tier->gossip.self.state |= MEMBER_LEAVES;
-	/* Others must not hand shards to a node that is about to end. */
+	/* Other nodes must not send shards to a node that is about to exit. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
 	note_belief(&tier->notes, tier->calls.now, "ready",
@@ -350,7 +354,7 @@
 
 /* Other nodes. */
 
-/* What the table of targets lacks now is gone, not only out of sight. */
+/* Return: a target that is missing from the table is known to be gone. */
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
 	return now - tier->dir.read_at < STORE_FRESH_US &&
@@ -412,7 +416,7 @@
 		batch_on_cancel(&tier->calls, event->from, msg);
 		break;
 	default:
-		/* Of the other kind of node, which serves its own interface. */
+		/* Kinds that only nodes with an interface of their own use. */
 		break;
 	}
 }
@@ -427,14 +431,14 @@
 	if (nodes == tier->dir.nodes && near == tier->dir.near)
 		return;
 	note_belief(&tier->notes, tier->calls.now, "nodes", STR("all"),
-		    "heard of", (uint64_t)nodes);
+		    "membership changed", (uint64_t)nodes);
 	directory_bounds(&tier->dir, nodes, near);
 	tier->placement.discovery_done = discovery_done;
 	placement_invalidate(&tier->placement);
 	budget_nodes(tier->calls.budget, nodes);
 }
 
-/* Tables must not grow with all targets that there ever were. */
+/* Removes old entries: the tables must not grow with every target ever seen. */
 static void sweep(struct tier *tier)
 {
 	if (tier->calls.now < tier->sweep_at)
@@ -462,8 +466,9 @@
 	switch (event->type) {
 	case FLOW_TICK:
 		/*
-		 * Only here, after all that has come in was taken: a process
-		 * that was held up must not judge what it has not read late.
+		 * Timers run only after all received input was processed:
+		 * otherwise a process that was paused would treat replies that
+		 * it has not read yet as late.
 		 */
 		run_timers(tier);
 		sweep(tier);
--- a/tier.h
+++ b/tier.h
@@ -5,21 +5,21 @@
 /**
  * DOC: the tier's reducer
  *
- * A node that serves published targets is its state and one function,
- * tier_reduce(). It puts the modules together: what is published (reader,
- * directory), targets (roster), bounds (budget), requests (call, merge,
- * forward), other nodes (gossip).
+ * A node that serves published targets consists of its state and one function,
+ * tier_reduce(), which combines the modules: published data (reader,
+ * directory), targets (roster), retry limits (budget), requests (call, merge,
+ * forward) and membership (gossip).
  */
 
 struct tier;
 
 /**
- * struct tier_options - what a node is created with
- * @settings: of the VM; copied
- * @dialect: how the outside speaks
- * @incarnation: differs for every process, also on the same address
- * @seed: for the random numbers
- * @without: set of mechanisms that are off (mechanism.h)
+ * struct tier_options - options of a new node
+ * @settings: settings of the VM; copied
+ * @dialect: encoding of the external interfaces
+ * @incarnation: unique for every process, also on the same address
+ * @seed: seed of the random number generator
+ * @without: bit set of disabled mechanisms (mechanism.h)
  */
 struct tier_options {
 	const struct vm_settings *settings;
@@ -32,12 +32,12 @@
 struct tier *tier_create(const struct tier_options *opt, int64_t now,
 			 struct flow_effects *fx);
 void tier_destroy(struct tier *tier);
-/** tier_reduce() - take one event; effects are appended. */
+/** tier_reduce() - process one event and append its effects to @fx. */
 void tier_reduce(struct tier *tier, const struct flow_event *event,
 		 struct flow_effects *fx);
-/** tier_reap() - all effects have been carried out. */
+/** tier_reap() - free ended calls; all effects must have been carried out. */
 void tier_reap(struct tier *tier);
-/** tier_wake_at() - when the next FLOW_TICK is due at the latest. */
+/** tier_wake_at() - latest time at which the next FLOW_TICK is due. */
 int64_t tier_wake_at(const struct tier *tier);
-/** tier_metrics() - counters and histograms, one "name value" a line. */
+/** tier_metrics() - append counters, gauges and histograms to @out as text. */
 void tier_metrics(const struct tier *tier, struct buf *out);
