--- a/forward.c
+++ b/forward.c
@@ -6,20 +6,21 @@
 #include "xmalloc.h"
 
 enum {
-	/* A target that is needed may be free again after about this time. */
+	/* Interval at which a call without a free target looks for one again.
+	 */
 	RECHECK_US = 10000,
 	RETRY_AFTER_US = 300000,
 };
 
 /*
- * A hedge goes out at this part of the goal: the work of a single
- * request spreads widely, so sooner would double the work of many.
+ * Fraction of the goal after which a hedge is sent. The run times of single
+ * requests vary widely, so an earlier hedge would double the work of many.
  */
 static const double HEDGE_GOAL_FRACTION = 0.55;
-/* Waiting for a target that may be asked ends at this part of the goal. */
+/* Fraction of the goal during which a call waits for an available target. */
 static const double WAIT_GOAL_FRACTION = 0.25;
 
-/* By a draw, as the weights are: nodes need not agree on whose turn it is. */
+/* A weighted random choice needs no agreement between nodes. */
 uint64_t forward_pick_service(struct calls *calls, const struct route *route)
 {
 	double total = 0;
@@ -51,7 +52,7 @@
 		call_refuse(calls, call, 502, why, 0);
 }
 
-/* Targets that rejected it may be asked again, and still be full. */
+/* A target that rejected the request may be tried again and still be full. */
 static const char *held_reason(const struct call *call)
 {
 	return call->parts[0].rejected ? "the target is full"
@@ -70,7 +71,7 @@
 	       (int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 }
 
-/* Sends once more where that is allowed; ends the call where it is not. */
+/* Makes a further attempt if one is allowed, otherwise ends the call. */
 static void send_or_give_up(struct calls *calls, struct call *call,
 			    const char *why)
 {
@@ -118,7 +119,7 @@
 		return;
 	}
 	if (call->route->repeatable && trial_exhausted(calls, call)) {
-		give_up(calls, call, "no target may have it");
+		give_up(calls, call, "the request may be sent to no target");
 		return;
 	}
 	if (!call->parts[0].open) {
@@ -145,8 +146,9 @@
 }
 
 /*
- * A status that promises "not run" may come from a target that did run the
- * request and does not say otherwise; it must not reach the caller as it is.
+ * A caller takes these status codes to mean that the request was not run. A
+ * target may have run it all the same and state nothing about that, so the
+ * status must not be forwarded unchanged.
  */
 static bool implies_not_run(int status)
 {
--- a/forward.h
+++ b/forward.h
@@ -5,12 +5,11 @@
 /**
  * DOC: requests to one target
  *
- * Passed on as they are, and the reply passed back as it is. One that may run
- * more than once is tried again elsewhere; of one that may not, another target
- * hears only when it is certain that the last one did not run it.
+ * The request and its reply are forwarded unchanged. An idempotent request is
+ * retried at another target; any other request only when it is certain that
+ * the previous target did not run it.
  */
 extern const struct call_kind forward_kind;
 
-/** forward_pick_service() - the service whose turn it is, by the route's
- * weights. */
+/** forward_pick_service() - draw a service by the weights of @route. */
 uint64_t forward_pick_service(struct calls *calls, const struct route *route);
--- a/trial.c
+++ b/trial.c
@@ -4,13 +4,13 @@
 #include "note.h"
 
 enum {
-	/* The owner's word takes two hops; after this it is down or cut off. */
+	/* A reply takes two hops; by then the owner is down or unreachable. */
 	LEASE_REPLY_TIMEOUT_US = 50000,
-	/* Sends of one call; by then it is cleared or blocked. */
+	/* Sends of one call; after these it is cleared or blocked. */
 	TRIAL_SENDS_MAX = 2,
-	/* A trial takes about as long as a request. */
+	/* A trial takes about as long as an ordinary request. */
 	TRIAL_RETRY_US = 300000,
-	/* It will be refused then too; a shorter time would invite retries. */
+	/* Retries are refused too, so a shorter time would only add load. */
 	BLOCKED_RETRY_US = 60000000,
 };
 
@@ -74,7 +74,7 @@
 	call->kind->review(calls, call);
 }
 
-/* Return: the leave is still waited for. */
+/* Return: the owner has not replied, and its timeout has not expired. */
 static bool awaits_lease(const struct calls *calls, const struct call *call)
 {
 	return call->trial.state == TRIAL_ASKED &&
@@ -97,10 +97,10 @@
 	case POISON_SUSPECT:
 		break;
 	}
-	/* What is under way may still clear it. */
+	/* A reply to a request in flight may still clear it. */
 	if (call->attempts || call->batches)
 		return false;
-	/* Trials are for the node that has the caller. */
+	/* Only the node of the caller runs trials. */
 	if (call->asker.len)
 		return true;
 	return call->trial.state != TRIAL_NONE && !awaits_lease(calls, call) &&
@@ -108,8 +108,8 @@
 }
 
 /*
- * A shard that loses all of its targets is missing in everybody's answers, so
- * a second trial goes to another shard.
+ * A shard that loses all of its targets is missing from every answer, so the
+ * second trial is sent to another shard.
  */
 static bool has_untried_part(const struct call *call, const struct part *part)
 {
--- a/trial.h
+++ b/trial.h
@@ -5,26 +5,33 @@
 /**
  * DOC: trials of suspect requests
  *
- * A request that is suspect of crashing its targets (poison.h) is sent to one
- * target at a time, and by one node at a time: repeats of it that come to
- * several nodes at once would each crash one more. One node, the same for all,
- * gives leave. A reply clears the request; the call then goes on as any other.
+ * A request that is suspected of crashing its targets (poison.h) is sent to one
+ * target at a time, and by one node at a time: otherwise repeats that reach
+ * several nodes at once would each crash another target. All nodes request a
+ * lease for the trial from the same owner node. A reply clears the request, and
+ * the call then continues as any other.
  */
 
-/** trial_may_send() - SEND_DONE where @part may be sent to a target now. */
+/** trial_may_send() - SEND_DONE if @part may be sent to a target now. */
 enum send_result trial_may_send(struct calls *calls, struct call *call,
 				const struct part *part);
-/** trial_exhausted() - it will not be sent any more, whatever it waits for. */
+/** trial_exhausted() - the request of @call will not be sent any more. */
 bool trial_exhausted(const struct calls *calls, const struct call *call);
 /**
- * trial_refusal_reason() - what a caller is told, where the request is hopeless
- * @why, @retry_us: changed to the reason, and to when the caller may come back
+ * trial_refusal_reason() - reason of a refusal if trial_exhausted()
+ * @why: set to the reason
+ * @retry_us: set to the time after which the caller may retry
  */
 void trial_refusal_reason(const struct calls *calls, const struct call *call,
 			  const char **why, int64_t *retry_us);
-/** trial_clear() - a call that was held back is suspect no more. */
+/**
+ * trial_clear() - reset the trial of a call that is no longer suspect
+ *
+ * Return: whether the call was held back and is not suspect any more.
+ */
 bool trial_clear(struct calls *calls, struct call *call);
-/** trial_on_request(), trial_on_reply() - from the node at @from. */
+/** trial_on_request() - decide on a lease that the node at @from requests. */
 void trial_on_request(struct calls *calls, struct str from,
 		      uint64_t incarnation, const struct msg *msg);
+/** trial_on_reply() - process the owner's decision on a lease. */
 void trial_on_reply(struct calls *calls, const struct msg *msg);
