--- a/poison.c
+++ b/poison.c
@@ -6,32 +6,31 @@
 
 enum {
 	/*
-	 * One broken connection has many causes: a reset, a restart, a target
-	 * that breaks off some of its replies.
+	 * A single broken connection has many other causes: a reset, a restart,
+	 * a target that aborts some of its replies.
 	 */
 	SUSPECT_CRASHES = 2,
 	/*
-	 * All requests under way at a crash break with it, also at the next
-	 * target if that ends just then. Not a third time in a row while no
-	 * target at all answers them.
+	 * All requests in flight at a crash lose their connections, and may
+	 * lose the next one if that target ends at the same moment. A harmless
+	 * request does not break a third time in a row without any answer.
 	 */
 	BLOCKED_ROUNDS = 3,
 	BLOCKED_CRASHES = 3,
-	/* One trial of a request at a time; its reply is there or lost by then.
-	 */
+	/* Duration of a trial; by then its reply has arrived or is lost. */
 	LEASE_US = 1000000,
 	/*
-	 * A target that ended is no longer published by then: entries last
-	 * three heartbeats of silence, of a second or so each.
+	 * A target that ended is not published any more by then: an entry
+	 * expires after three missed heartbeats of about a second each.
 	 */
 	CONFIRM_US = 10000000,
 	/*
-	 * A request that is asked often is under way at each crash, and breaks
-	 * at many targets while replies are lost. It is answered all the time
-	 * too.
+	 * A frequent request is in flight at every crash, and breaks at many
+	 * targets while replies are lost, but targets keep answering it. So a
+	 * recent answer outweighs evidence.
 	 */
 	ANSWERED_RETENTION_US = 10000000,
-	/* News has reached all nodes by then. */
+	/* New evidence has reached all nodes by then. */
 	PROPAGATION_US = 3000000,
 	HARMLESS_RETENTION_US = 60000000,
 	SUSPECT_RETENTION_S = 3600,
@@ -87,7 +86,7 @@
 	return entry;
 }
 
-/* The table's key lives in the first entry of its content. */
+/* The key of the hash table is stored in the first entry of a content. */
 static void link_entry(struct poison *poison, struct poison_entry *entry)
 {
 	struct poison_entry *first = find_content(poison, &entry->print);
@@ -124,12 +123,12 @@
 	free(entry);
 }
 
-/** struct evidence - what is known of a content, over all its callers */
+/** struct evidence - summary of a content over all its callers */
 struct evidence {
 	int rounds;
 	size_t crashes;
-	int callers; /* with enough evidence to be suspect */
-	bool blocked; /* for one of them at least */
+	int callers; /* number with enough evidence to be suspect */
+	bool blocked; /* for at least one caller */
 };
 
 static bool is_blocked(const struct poison_entry *entry, size_t crashes)
@@ -154,7 +153,7 @@
 	return evidence;
 }
 
-/* Return: what to give up for a new entry: the blocked ones last. */
+/* Return: the entry requested least recently, blocked contents last. */
 static struct poison_entry *eviction_candidate(const struct poison *poison)
 {
 	struct poison_entry *least = NULL;
@@ -238,7 +237,7 @@
 	return sum_evidence(find_content(poison, print)).rounds + 1;
 }
 
-/* Requests that were answered. */
+/* Recently answered requests. */
 
 static uint64_t answered_key(const struct fingerprint *print)
 {
@@ -277,7 +276,7 @@
 	return false;
 }
 
-/* What is known when the list is full is enough; the newest takes its end. */
+/* A full list is evidence enough, so a new crash overwrites the last one. */
 static bool add_crash(struct poison_entry *entry,
 		      const struct poison_crash *crash)
 {
@@ -289,7 +288,7 @@
 	return true;
 }
 
-/* Return: whether it is other evidence than @before. */
+/* Return: whether it has more crashes or rounds than @before. */
 static bool has_grown(const struct poison_entry *entry,
 		      const struct poison_entry *before)
 {
@@ -315,7 +314,7 @@
 	if (!has_grown(entry, &before) ||
 	    poison_verdict(poison, print) == POISON_NONE)
 		return NULL;
-	/* The first round is told when its request has ended. */
+	/* The first round is sent by poison_unanswered(). */
 	if (entry->rounds > 1 && entry->rounds > before.rounds)
 		mark_pending(poison, entry);
 	return entry;
@@ -329,7 +328,7 @@
 		mark_pending(poison, entry);
 }
 
-/* Return: another caller has sent the same, and targets broke under it. */
+/* Return: there are crashes under the same content of another caller. */
 static bool other_callers_suspect(const struct poison *poison,
 				  const struct fingerprint *print)
 {
@@ -349,7 +348,7 @@
 	entry->harmless = true;
 }
 
-/* Return: the entry if it was not known to be harmless, else NULL. */
+/* Return: the entry if it has become harmless now, or NULL. */
 static struct poison_entry *set_harmless(struct poison *poison,
 					 const struct fingerprint *print,
 					 int64_t now)
@@ -390,8 +389,8 @@
 }
 
 /*
- * A target that is still published long after its connection broke did not
- * end: the connection broke for another reason.
+ * A target that is still live long after its connection broke did not crash:
+ * the connection broke for another reason.
  */
 static bool is_refuted(const struct poison *poison,
 		       const struct poison_crash *crash, int64_t now)
@@ -400,7 +399,7 @@
 	       poison->targets.is_live(poison->targets.ctx, crash);
 }
 
-/* Return: the entry if @from brought something new, else NULL. */
+/* Return: the entry if @from added evidence, or NULL. */
 static struct poison_entry *merge_crashes(struct poison *poison,
 					  const struct poison_entry *from,
 					  bool store_fresh, int64_t now)
@@ -470,7 +469,7 @@
 	return !blocked && age > SUSPECT_RETENTION_US;
 }
 
-/* Return: one to be dropped, or NULL. */
+/* Return: an expired entry, or NULL. */
 static struct poison_entry *find_expired(const struct poison *poison,
 					 int64_t now)
 {
--- a/poison.h
+++ b/poison.h
@@ -3,40 +3,41 @@
 #include "fingerprint.h"
 
 /**
- * DOC: requests that crash the targets that run them
+ * DOC: quarantine of requests that crash the targets that run them
  *
- * Such a request comes again under other ids, and each node that hedges and
- * retries it crashes more targets. What tells it from all others that were
- * under way at a crash: it has broken off at several targets, in rounds that
- * followed each other, and none has ever answered it. A request that has broken
- * off at a few is suspect: it is tried at one target at a time (trial.h), and
- * an answer clears it. After some rounds without one it is blocked.
+ * Callers repeat such a request under other ids, and each node that hedges and
+ * retries it crashes more targets. It differs from the other requests in flight
+ * at a crash: connections broke under it at several targets, in successive
+ * rounds, and no target has ever answered it. After breaks at a few targets a
+ * request is suspect: it is sent to one target at a time (trial.h), and an
+ * answer clears it. After several rounds without an answer it is blocked.
  *
- * Evidence is against a caller's request. The content alone is blocked once it
- * has crashed targets for two callers.
+ * Evidence is kept per content and caller. The content is blocked for every
+ * caller once it has crashed targets for two of them.
  */
 
 enum {
-	/* Targets that are kept in mind for a request. */
+	/* Crashed targets that are recorded for a request. */
 	POISON_TARGETS_MAX = 4,
-	/* Requests that there is evidence against; some 200 bytes each. */
+	/* Requests with evidence; about 200 bytes each. */
 	POISON_ENTRIES_MAX = 1024,
-	/* Requests of which it is remembered that they were just answered. */
+	/* Recently answered requests that are recorded. */
 	POISON_ANSWERED_MAX = 4096,
 };
 
-/** enum poison_verdict - what may be done with a request */
+/** enum poison_verdict - how a request may be sent to targets */
 enum poison_verdict {
 	POISON_NONE,
-	POISON_SUSPECT, /* one target at a time, by leave */
-	POISON_BLOCKED, /* none */
+	POISON_SUSPECT, /* to one target at a time, with a lease */
+	POISON_BLOCKED, /* to no target */
 };
 
 /**
- * struct poison_crash - a target that broke off under a request
- * @key, @born_ms: of that start of it
+ * struct poison_crash - a target whose connection broke under a request
+ * @key: key of the target
+ * @born_ms: start of its process
  * @at: when its connection broke
- * @confirmed: its entry is gone since, so it did end
+ * @confirmed: the target was removed since, so its process did end
  */
 struct poison_crash {
 	uint64_t key;
@@ -46,9 +47,9 @@
 };
 
 /**
- * struct poison_targets - what is known of targets
- * @is_live: the one of @crash has not ended; asked long after its connection
- *         broke
+ * struct poison_targets - state of targets
+ * @is_live: whether the process of @crash has not ended; called long after its
+ *           connection broke
  */
 struct poison_targets {
 	bool (*is_live)(const void *ctx, const struct poison_crash *crash);
@@ -57,13 +58,14 @@
 
 /**
  * struct poison_entry - evidence against a request of one caller
- * @rounds: breaks of sends that were made after the round before had broken
- * @requested_at: when it came last
- * @leased_until: it is tried by some node until then
+ * @rounds: successive rounds of broken sends; a send belongs to a new round if
+ *          it was made after the previous round had broken
+ * @requested_at: last arrival of the request
+ * @leased_until: end of the lease of a node that runs a trial
  * @harmless: a target answered it; kept as others send the same content
- * @pending: to be sent to other nodes at once
- * @announced: other nodes have been sent it, or have sent it
- * @next: the same content of another caller
+ * @pending: must be sent to other nodes at once
+ * @announced: was sent to, or received from, other nodes
+ * @next: entry of the same content with another caller
  */
 struct poison_entry {
 	struct fingerprint print;
@@ -78,19 +80,19 @@
 	struct poison_entry *next;
 };
 
-/** struct poison_answered - a request, by its hash, and when it was answered */
+/** struct poison_answered - hash of a request, and when it was answered */
 struct poison_answered {
 	uint64_t key;
 	int64_t at;
 };
 
 /**
- * struct poison - all evidence that this node knows
+ * struct poison - all evidence that this node has
  * @entries: content -> struct poison_entry, linked by next
- * @answered: answered lately, by their keys; a newer one takes an older one's
- *          place
- * @count: entries in all
- * @has_pending: some entry is news
+ * @answered: recently answered requests by hash; a newer one overwrites an
+ *            older one of the same slot
+ * @count: total number of entries
+ * @has_pending: some entry may be pending
  */
 struct poison {
 	apr_hash_t *entries;
@@ -105,59 +107,65 @@
 void poison_destroy(struct poison *poison);
 enum poison_verdict poison_verdict(const struct poison *poison,
 				   const struct fingerprint *print);
-/** poison_touch() - the request came: it is not forgotten soon. */
+/** poison_touch() - record an arrival, which postpones expiry. */
 void poison_touch(struct poison *poison, const struct fingerprint *print,
 		  int64_t now);
-/** poison_round() - which round a send made now belongs to, from 1 on. */
+/** poison_round() - number of the round of a send made now, from 1. */
 int poison_round(const struct poison *poison, const struct fingerprint *print);
 /**
- * poison_crashed() - a connection broke at a target that ran the request
- * @round: that it was sent in
+ * poison_crashed() - record a broken connection to a target under a request
+ * @round: round of that send
  *
- * Return: the entry if it is more evidence against a suspect, else NULL.
+ * Return: the entry if it has new evidence and is not POISON_NONE, or NULL.
  */
 const struct poison_entry *poison_crashed(struct poison *poison,
 					  const struct fingerprint *print,
 					  int round,
 					  const struct poison_crash *crash);
 /**
- * poison_unanswered() - it has ended without an answer of any target
+ * poison_unanswered() - a request has ended without an answer of any target
  *
- * Only now is what broke under it told to others: most requests that lose some
- * connections are answered a moment later.
+ * Evidence of its first round is sent to other nodes only now, because most
+ * requests that lose some connections are answered shortly after.
  */
 void poison_unanswered(struct poison *poison, const struct fingerprint *print);
 /**
- * poison_answered() - a target answered it
+ * poison_answered() - a target answered the request, which clears it
  *
- * Return: whether it was suspect.
+ * Return: whether it was suspect or blocked.
  */
 bool poison_answered(struct poison *poison, const struct fingerprint *print,
 		     int64_t now);
-/** poison_lease() - false while another trial of the same content runs. */
+/**
+ * poison_lease() - take the lease for a trial
+ *
+ * Return: false while another trial of the same content runs.
+ */
 bool poison_lease(struct poison *poison, const struct fingerprint *print,
 		  int64_t now);
 /**
- * poison_merge() - another node's evidence; times in it are of this node's
- * clock
- * @relay: what is new here is news to further nodes
+ * poison_merge() - merge evidence of another node
+ * @from: the evidence, with times in this node's clock
+ * @relay: send what is new to further nodes
+ * @store_fresh: the table of targets is up to date
  */
 void poison_merge(struct poison *poison, const struct poison_entry *from,
 		  bool relay, bool store_fresh, int64_t now);
 /**
- * poison_sweep() - drop what the table of targets refutes, and what is old
- * @store_fresh: the table is what the store says now
+ * poison_sweep() - remove evidence of targets that did not end, and old entries
+ * @store_fresh: the table of targets is up to date
  */
 void poison_sweep(struct poison *poison, bool store_fresh, int64_t now);
-/** poison_is_shared() - it is suspect, and has been for some seconds. */
+/** poison_is_shared() - suspect for so long that all nodes have the entry. */
 bool poison_is_shared(const struct poison_entry *entry, int64_t now);
 /**
- * poison_digest() - alike on nodes that share the same; 0 for nothing
+ * poison_digest() - digest of the shared entries, equal on nodes with the same
+ * evidence; 0 if there are none
  *
- * What is newer is on its way between them.
+ * Newer entries are left out, as they are still in flight between nodes.
  */
 uint64_t poison_digest(const struct poison *poison, int64_t now);
-/** struct poison_counts - contents by the worst verdict over their callers */
+/** struct poison_counts - contents by the worst verdict of their callers */
 struct poison_counts {
 	size_t suspect;
 	size_t blocked;
--- a/poison_sync.c
+++ b/poison_sync.c
@@ -6,17 +6,22 @@
 #include "xmalloc.h"
 
 enum {
-	/* Entries a message, some 120 bytes each. */
+	/* About 120 bytes per entry. */
 	MESSAGE_ENTRIES_MAX = 64,
-	/* Sending all evidence takes 12 KB a second at most. */
+	/* Limits full synchronization to about 12 KB/s. */
 	FULL_SYNC_ENTRY_US = 10000,
-	/* Where digests differ for long, as tables are full. */
+	/* Digests may stay different for long, as when tables are full. */
 	FULL_SYNC_MIN_US = 500000,
 };
 
 /* Sending. */
 
-/** struct destination - where evidence goes; @addr is empty for many nodes */
+/**
+ * struct destination - receivers of evidence
+ * @addr: one node; empty for a broadcast
+ * @near: broadcast within this failure domain only
+ * @wants_reply: the receiver sends its own evidence if its digest differs
+ */
 struct destination {
 	struct str addr;
 	bool near;
@@ -43,7 +48,7 @@
 	buf_free(&body);
 }
 
-/* Return: entries, on the heap: news, or all that nodes share. */
+/* Return: pending entries, or all shared ones; the caller frees the list. */
 static struct poison_entry **collect_entries(struct poison_sync *sync, bool all,
 					     int64_t now, size_t *count)
 {
--- a/poison_sync.h
+++ b/poison_sync.h
@@ -4,18 +4,18 @@
 #include "poison.h"
 
 /**
- * DOC: evidence against requests, among nodes
+ * DOC: synchronization of evidence against requests between nodes
  *
- * A request that crashes its targets comes back to any node, so what one knows
- * is sent to all before its caller is answered, and each round of gossip
- * compares digests: a node that missed some of it, or has just started, is sent
- * all.
+ * A caller may repeat a request that crashes its targets at any node. So new
+ * evidence is sent to all nodes before the caller is answered. Each round of
+ * gossip also compares digests: a node that missed some evidence, or has just
+ * started, is sent all of it.
  */
 
 /**
- * struct poison_transport - how nodes reach each other
- * @broadcast: send to all nodes; those that are to pass it on get @ran set.
- * @near: only to those of this failure domain
+ * struct poison_transport - how messages are sent to other nodes
+ * @broadcast: send to all nodes, or with @near only to those of this failure
+ *             domain; sets msg.ran for nodes that must relay it
  * @send: send to the node at @addr
  */
 struct poison_transport {
@@ -25,8 +25,8 @@
 };
 
 /**
- * struct poison_sync - what is exchanged
- * @full_sync_at: all evidence may be sent again from then on
+ * struct poison_sync - state of the synchronization
+ * @full_sync_at: earliest time of the next full synchronization
  */
 struct poison_sync {
 	struct poison *poison;
@@ -35,15 +35,14 @@
 	int64_t full_sync_at;
 };
 
-/** poison_sync_send() - what is news goes to other nodes. */
+/** poison_sync_send() - send pending entries to other nodes. */
 void poison_sync_send(struct poison_sync *sync, int64_t now);
-/** poison_sync_on_digest() - the node at @from knows what @digest stands for.
- */
+/** poison_sync_on_digest() - send all evidence if @digest of @from differs. */
 void poison_sync_on_digest(struct poison_sync *sync, struct str from,
 			   uint64_t digest, int64_t now);
 /**
- * poison_sync_on_msg() - evidence of the node at @from
- * @store_fresh: what is known of targets is up to date
+ * poison_sync_on_msg() - merge evidence that the node at @from sent
+ * @store_fresh: the state of targets is up to date
  */
 void poison_sync_on_msg(struct poison_sync *sync, struct str from,
 			const struct msg *msg, bool store_fresh, int64_t now);
