--- a/fingerprint.c
+++ b/fingerprint.c
@@ -6,15 +6,16 @@
 {
 	uint64_t len = part.len;
 
-	/* The length first, so that no part can run into the next. */
+	/* The length delimits the part from the next one. */
 	apr_sha1_update_binary(sha, (const unsigned char *)&len, sizeof(len));
 	apr_sha1_update_binary(sha, (const unsigned char *)part.ptr,
 			       (unsigned int)part.len);
 }
 
 /*
- * A cryptographic hash: with any other a caller could make a request of the
- * same fingerprint as somebody else's, and have that one taken for its own.
+ * The hash must be cryptographic: otherwise a caller could craft a request with
+ * the fingerprint of another caller's request, which would then be mistaken for
+ * the crafted one.
  */
 struct fingerprint fingerprint_of(const struct str *parts, size_t count,
 				  struct str caller)
--- a/fingerprint.h
+++ b/fingerprint.h
@@ -3,22 +3,25 @@
 #include "str.h"
 
 /**
- * DOC: which requests are the same one
+ * DOC: fingerprints of requests
  *
- * A caller who tries again sends the same request under a new id, mostly to
- * another node. Its fingerprint is alike on all nodes.
+ * A caller that retries sends the same request under a new id, usually to
+ * another node. All nodes compute the same fingerprint for it.
  */
 
 /**
- * struct fingerprint - a request without its id
- * @content: of all that is asked
- * @caller: of who sent it
+ * struct fingerprint - identifies equal requests
+ * @content: hash of everything but the id
+ * @caller: hash of the caller
  */
 struct fingerprint {
 	uint64_t content[2];
 	uint64_t caller;
 };
 
-/** fingerprint_of() - @parts: all that is asked, in a fixed order. */
+/**
+ * fingerprint_of() - compute a fingerprint
+ * @parts: everything that the request consists of but its id, in a fixed order
+ */
 struct fingerprint fingerprint_of(const struct str *parts, size_t count,
 				  struct str caller);
--- a/mechanism.c
+++ b/mechanism.c
@@ -1,58 +1,69 @@
 #include "mechanism.h"
 
 static const struct mechanism_info infos[MECHANISM_COUNT] = {
-	[MECHANISM_HEDGES] = { "hedges", "a late reply is asked for at another "
-					 "target too, within the retry bound" },
+	[MECHANISM_HEDGES] = { "hedges", "a request that is answered late is "
+					 "also sent to another target, within "
+					 "the retry budget" },
 	[MECHANISM_SOFT_DEADLINE] = { "soft-deadline",
-				      "shards that are late are left out while "
-				      "the answer is in time" },
-	[MECHANISM_BATCHES] = { "batches", "shards of other failure domains go "
-					   "in one message to a node there" },
+				      "late shards are left out so that the "
+				      "answer is in time" },
+	[MECHANISM_BATCHES] = { "batches",
+				"shards of another failure domain are "
+				"sent in one message to a node there" },
 	[MECHANISM_MERGING_NODES] = { "merging-nodes",
-				      "questions are merged by few large nodes "
-				      "beside the targets" },
-	[MECHANISM_BUSY_WAIT] = { "busy-wait", "a good target that is busy is "
-					       "waited for, not a slow one "
-					       "asked" },
-	[MECHANISM_FAR_COST] = { "far-cost", "targets of the own failure "
-					     "domain go first: bytes between "
-					     "domains are paid for" },
-	[MECHANISM_FAULT_COST] = { "fault-cost", "targets that reject or fail "
-						 "get the overflow only" },
+				      "questions are merged by a few large "
+				      "nodes close to the targets" },
+	[MECHANISM_BUSY_WAIT] = { "busy-wait",
+				  "a request waits for a good target that "
+				  "is busy instead of using a slow one" },
+	[MECHANISM_FAR_COST] = { "far-cost",
+				 "targets of the node's own failure "
+				 "domain are preferred, as traffic "
+				 "between domains is billed" },
+	[MECHANISM_FAULT_COST] = { "fault-cost",
+				   "targets that reject or fail get "
+				   "overflow traffic only" },
 	[MECHANISM_OVERDUE_COST] = { "overdue-cost",
-				     "targets that stand still are avoided "
-				     "before they have answered late" },
-	[MECHANISM_SLOWNESS] = { "slowness", "targets that were slow are "
-					     "avoided until one try finds them "
-					     "quick" },
-	[MECHANISM_TARGET_REST] = { "target-rest", "targets that failed, were "
-						   "full or took no connection "
-						   "rest" },
+				     "targets that stall are avoided before "
+				     "their late replies arrive" },
+	[MECHANISM_SLOWNESS] = { "slowness",
+				 "targets that were slow are avoided "
+				 "until a single request is answered "
+				 "quickly" },
+	[MECHANISM_TARGET_REST] = { "target-rest",
+				    "targets that failed, were full or "
+				    "refused connections get no requests "
+				    "for a while" },
 	[MECHANISM_RETRY_REJECTED] = { "retry-rejected",
-				       "a target that rejected is asked once "
-				       "more when no other can be" },
+				       "a target that rejected a request is "
+				       "tried once more if no other is "
+				       "available" },
 	[MECHANISM_LATE_ANSWERS] = { "late-answers",
 				     "a question that lacks shards waits for "
-				     "room beyond its goal" },
-	[MECHANISM_LINE] = { "line", "a free place goes to the question that "
-				     "can be in time and has least time left" },
-	[MECHANISM_SLOW_BOUND] = { "slow-bound", "few requests at a time queue "
-						 "at a slow target" },
+				     "capacity beyond its goal" },
+	[MECHANISM_LINE] = { "line", "free capacity goes to the question "
+				     "with the least time left that can "
+				     "still be in time" },
+	[MECHANISM_SLOW_BOUND] = { "slow-bound",
+				   "few requests at a time queue at a slow "
+				   "target" },
 	[MECHANISM_SHARED_CONNS] = { "shared-conns",
-				     "a target's connections are divided by "
-				     "the nodes that use them" },
+				     "a target's connections are divided "
+				     "among the nodes that use it" },
 	[MECHANISM_MERGER_BUDGET] = { "merger-budget",
-				      "nodes that merge have most of the free "
+				      "merging nodes get most of the free "
 				      "retries" },
 	[MECHANISM_RETURN_SPREAD] = { "return-spread",
-				      "callers that were refused do not all "
-				      "return at once" },
-	[MECHANISM_COLD_BOUND] = { "cold-bound", "cold targets get no more "
-						 "than they bear" },
-	[MECHANISM_QUICK_START] = { "quick-start", "nodes that start again "
-						   "read the store at once" },
-	[MECHANISM_POISON] = { "poison", "requests that crash their targets "
-					 "are tried at one, then blocked" },
+				      "retry times of refused callers are "
+				      "spread out" },
+	[MECHANISM_COLD_BOUND] = { "cold-bound",
+				   "cold targets get no more requests than "
+				   "they can serve" },
+	[MECHANISM_QUICK_START] = { "quick-start",
+				    "restarted nodes read the store at once" },
+	[MECHANISM_POISON] = { "poison",
+			       "requests that crash targets are tried "
+			       "at one target at a time, then blocked" },
 };
 
 const struct mechanism_info *mechanism_info(enum mechanism mechanism)
@@ -69,7 +80,7 @@
 		return 0;
 	}
 	return error_set(err, ERR_USAGE,
-			 "no mechanism is called \"%.*s\" "
-			 "(tier --list-mechanisms names all)",
+			 "unknown mechanism \"%.*s\" "
+			 "(tier --list-mechanisms lists them)",
 			 STR_ARG(name));
 }
--- a/mechanism.h
+++ b/mechanism.h
@@ -9,8 +9,8 @@
 /**
  * DOC: mechanisms of the tier, by name
  *
- * Each can be switched off at the start of a node: to measure what it is worth
- * on a deployment, and for tests that must fail without it.
+ * Each mechanism can be disabled when a node starts: to measure its effect in a
+ * deployment, and for tests that must fail without it.
  */
 
 enum mechanism {
@@ -38,8 +38,9 @@
 };
 
 /**
- * struct mechanism_info - @name: as it is switched off; @description: it
- * protects or buys
+ * struct mechanism_info - a mechanism
+ * @name: name by which it is disabled
+ * @description: what it does, for the help text
  */
 struct mechanism_info {
 	const char *name;
@@ -48,9 +49,9 @@
 
 const struct mechanism_info *mechanism_info(enum mechanism mechanism);
 /**
- * mechanism_disable() - add the one called @name to the set @without
+ * mechanism_disable() - add the mechanism @name to the set @without
  *
- * Return: 0, or ERR_USAGE when there is none of that name.
+ * Return: 0, or ERR_USAGE if there is no such mechanism.
  */
 int mechanism_disable(struct str name, uint32_t *without, struct error *err);
 
