--- a/placement.c
+++ b/placement.c
@@ -7,40 +7,45 @@
 enum {
 	PLAN_TTL_US = 250000,
 	/*
-	 * Connections that a merging node has open to one target: one for each
-	 * of its slots, and one that waits for a late reply.
+	 * Connections of a merging node to one target: one for each slot of the
+	 * target, and one that waits for a late reply.
 	 */
 	CONNS_PER_MERGER = 3,
-	/* A domain's part of them at least, so that one may fail. */
+	/* Minimum number of merging nodes per domain, so that one may fail. */
 	MERGERS_MIN = 2,
 	/*
-	 * A node that owes answers and sent no word for this long may be stuck:
-	 * it tells at a third of a question's goal that it is at work.
+	 * A node with open batches that has sent no message for this long may
+	 * be stuck: a working node sends an interim reply after a third of a
+	 * question's goal.
 	 */
 	OVERDUE_US = 80000,
 };
 
 /*
- * Merging nodes send nearly all requests to targets, so they get this part of
- * the free retries; the rest is for nodes that cannot reach any of them. Shared
- * by all nodes alike, most would stay unused while those that merge have none.
+ * Fraction of the free retries for merging nodes, which send nearly all
+ * requests to targets; the rest is for nodes that cannot reach any of them.
+ * Divided equally among all nodes, most retries would stay unused while the
+ * merging nodes have none.
  */
 static const double MERGERS_RETRY_SHARE = 0.8;
 
-/* Of a target's connections; the rest is for restarts and fallbacks. */
+/*
+ * Fraction of a target's connections for merging nodes; the rest is for
+ * restarts and fallbacks.
+ */
 static const double CONNS_FRACTION = 0.8;
-/* A domain merges if it holds this part of the shards of the best one. */
+/* Minimum coverage of a merging domain, relative to the best one. */
 static const double COVERAGE_FRACTION = 0.8;
-/* A node merges if it has this part of the best node's processor time. */
+/* Minimum processor time of a merging node, relative to the best one. */
 static const double CORE_FRACTION = 0.5;
 
-/** struct coverage - shards with a target that may be asked, in one domain */
+/** struct coverage - number of shards with a usable target in a domain */
 struct coverage {
 	uint64_t domain;
 	size_t shards;
 };
 
-/** struct candidate - a node that may merge; member NULL: this one */
+/** struct candidate - a node that may merge; @member is NULL for this node */
 struct candidate {
 	struct member_info *member;
 	uint64_t domain;
@@ -153,7 +158,7 @@
 	       gossip_is_live(member, now);
 }
 
-/* @include_inactive: also those that do not serve yet, or not any more. */
+/* @include_inactive: also nodes that do not serve yet or have stopped. */
 static size_t find_candidates(struct placement *placement, uint64_t domain,
 			      bool include_inactive, int64_t now,
 			      struct candidate *candidates)
@@ -182,7 +187,7 @@
 	return count;
 }
 
-/* Most processor time first; all nodes must come to the same order. */
+/* Most processor time first. The order must be the same on all nodes. */
 static int by_core(const void *a, const void *b)
 {
 	const struct candidate *x = a;
@@ -194,9 +199,9 @@
 }
 
 /*
- * Small VMs do not stand in for large ones that are down: a question over 135
- * shards takes an eighth of a core longer than its goal. The large ones of
- * other domains do.
+ * Small VMs do not replace large ones that are down: with an eighth of a core,
+ * a question over 135 shards takes longer than its goal. Large VMs of other
+ * domains merge instead.
  */
 static void add_mergers(struct placement_plan *plan,
 			struct candidate *candidates, size_t count, size_t most,
@@ -236,10 +241,10 @@
 }
 
 /*
- * How many nodes may merge, for their parts of a shared bound. Those that have
- * just started and do not serve yet count: else each of those that do takes too
- * much. So do those that went lately: what they sent is still in the bound's
- * window.
+ * Counts the nodes among which shared limits are divided. Nodes that have just
+ * started and do not serve yet are included, otherwise each serving node would
+ * take too large a share. Nodes that stopped recently are included too, as
+ * their requests are still within the window of the limit.
  */
 static size_t count_mergers(struct placement *placement,
 			    const struct catalog *catalog,
@@ -265,9 +270,9 @@
 }
 
 /*
- * Nodes that merge send nearly all requests to the targets of a route. A
- * target's connections are theirs to share: split by all nodes alike most of
- * them were never used, while shards waited for room at a target.
+ * Divides a target's connections among the merging nodes, which send nearly all
+ * requests to the targets of a route. Divided equally among all nodes, most
+ * connections were never used, while shards waited for a free one.
  */
 static void divide_conns(struct placement *placement,
 			 const struct placement_plan *plan,
@@ -375,7 +380,7 @@
 	return (1 - MERGERS_RETRY_SHARE) / (double)(nodes - plan->mergers);
 }
 
-/* Of two drawn at random the one with less to do, near ones before others. */
+/* The less loaded of two random nodes, preferably in this failure domain. */
 struct member_info *placement_choose(struct placement *placement,
 				     const struct catalog *catalog,
 				     const struct route *route, uint64_t domain,
--- a/placement.h
+++ b/placement.h
@@ -5,13 +5,13 @@
 #include "roster.h"
 
 /**
- * DOC: which node merges a question
+ * DOC: placement of merges on nodes
  *
- * A leaf request that crosses failure domains is paid for by the byte, and a
- * target takes fewer connections than there are nodes. So questions are merged
- * by a few nodes where the targets are: those with the most processor time in
- * the failure domains that hold targets of most shards. Others hand their
- * questions to one of these, which sends back one merged answer.
+ * Traffic of leaf requests between failure domains is billed by the byte, and a
+ * target accepts fewer connections than there are nodes. So questions are
+ * merged by a few nodes close to the targets: those with the most processor
+ * time in the failure domains that hold targets of most shards. Other nodes
+ * forward their questions to one of them, which returns one merged answer.
  */
 
 enum {
@@ -21,11 +21,12 @@
 };
 
 /**
- * struct placement_plan - who merges the questions of a route
- * @route: hash of its name; @version: of the configuration
+ * struct placement_plan - nodes that merge the questions of a route
+ * @route: hash of the route's name
+ * @version: version of the configuration
  * @members: other nodes that merge
  * @self: this node merges
- * @mergers: nodes that merge, have merged lately or soon will
+ * @mergers: number of nodes that merge, merged recently or soon will
  */
 struct placement_plan {
 	uint64_t route;
@@ -38,9 +39,9 @@
 };
 
 /**
- * struct placement - who merges what
- * @discovery_done: other nodes have had time to be heard of
- * @without: mechanisms that are off
+ * struct placement - plans of all routes
+ * @discovery_done: other nodes have had time to be discovered
+ * @without: bit set of disabled mechanisms
  */
 struct placement {
 	struct gossip *gossip;
@@ -53,28 +54,30 @@
 
 void placement_init(struct placement *placement, struct gossip *gossip,
 		    struct roster *roster, struct rng *rng, uint32_t without);
-/** placement_is_local() - this node merges questions of @route. */
+/** placement_is_local() - whether this node merges questions of @route. */
 bool placement_is_local(struct placement *placement,
 			const struct catalog *catalog,
 			const struct route *route, int64_t now);
 /**
- * placement_retry_share() - this node's part of what all nodes together may
- * send to the targets of @route beyond first requests
+ * placement_retry_share() - this node's share of the free retries to the
+ * targets of @route, which all nodes have in common
  *
- * Return: above 0, at most 1.
+ * Return: greater than 0, at most 1.
  */
 double placement_retry_share(struct placement *placement,
 			     const struct catalog *catalog,
 			     const struct route *route, int64_t now);
 /**
- * placement_choose() - a node that merges, in the failure domain @domain (0: in
- * any, the own one first), or NULL when there is none to be asked now
+ * placement_choose() - choose a node that merges questions of @route
+ * @domain: its failure domain; 0 for any, preferably that of this node
+ *
+ * Return: NULL if none is available now.
  */
 struct member_info *placement_choose(struct placement *placement,
 				     const struct catalog *catalog,
 				     const struct route *route, uint64_t domain,
 				     int64_t now);
-/** placement_domains() - other failure domains that nodes are known in. */
+/** placement_domains() - list the other failure domains with known nodes. */
 size_t placement_domains(const struct placement *placement, uint64_t *domains);
-/** placement_invalidate() - nodes or targets changed: make the plans anew. */
+/** placement_invalidate() - recompute the plans before their next use. */
 void placement_invalidate(struct placement *placement);
--- a/relay.c
+++ b/relay.c
@@ -4,39 +4,40 @@
 
 enum {
 	/*
-	 * A node that has heard nothing for this long reads by itself. A reader
-	 * hears from the store each 1.2 s at least; a drain must be known in 3
-	 * s.
+	 * A node without updates for this long reads the store itself. A reader
+	 * gets a reply from the store at least every 1.2 s. A drain must reach
+	 * all nodes within 3 s.
 	 */
 	STALE_US = 1900000,
 	/*
-	 * At the start seeds read at once; after the first time the one whose
-	 * part it is does, after the second whoever still knows nothing.
+	 * At its start a seed reads the store at once. The domain's reader
+	 * reads after the first of these times, any node that still has no
+	 * items after the second.
 	 */
 	DELAYED_READ_US = 400000,
 	DELAYED_FALLBACK_US = 1200000,
 	/*
-	 * Callers are refused until a configuration is there. The first time
-	 * is for the answer of a seed that lives; the second for a reader's own
-	 * start.
+	 * Shorter times where callers wait, as they are refused until a
+	 * configuration is loaded. The first allows for the reply of a live
+	 * seed, the second for the start of the reader.
 	 */
 	QUICK_READ_US = 40000,
 	QUICK_FALLBACK_US = 300000,
 	/*
-	 * With more nodes than this known one is patient: read by hundreds of
-	 * nodes at a time, the whole table keeps the store's link busy for
-	 * seconds, in which none serves; from readers each has it sooner.
+	 * With more nodes than this the longer times apply. If hundreds of
+	 * nodes read the whole table at once, the store's link is busy for
+	 * seconds, in which no node serves; relayed by readers, the table
+	 * arrives sooner at each node.
 	 */
 	QUICK_NODES_MAX = 24,
-	/* More is asked for at most this often. */
+	/* Minimum time between two requests for items. */
 	REQUEST_INTERVAL_US = 200000,
-	/* The store was lost so long ago that it does not matter any more. */
+	/* An outage of the store is reported to other nodes for this long. */
 	STORE_LOST_REPORT_US = 10000000,
-	/* Children of a node in the tree; 90 nodes are reached in three steps.
-	 */
+	/* Children of a node in the tree; three hops reach 90 nodes. */
 	TREE_FANOUT = 4,
 	TREE_NODES_MAX = 1024,
-	/* Items are relayed if they are this much newer than what was known. */
+	/* Items are relayed if they are newer than the node's own by this. */
 	RELAY_MIN_US = 50000,
 };
 
@@ -53,21 +54,24 @@
 				 .first_start = first_start };
 }
 
-/* When all VMs are new no caller waits, and calls to the store are saved. */
+/*
+ * If all VMs are new, no caller waits yet, and a delayed read saves calls to
+ * the store.
+ */
 static bool delays_first_read(const struct relay *relay)
 {
 	return relay->first_start ||
 	       gossip_count(relay->gossip) > QUICK_NODES_MAX;
 }
 
-/* From then on a node that knows nothing reads if that is its part. */
+/* From then on the domain's reader reads the store if it has no items. */
 static int64_t reader_start_at(const struct relay *relay)
 {
 	return relay->started_at +
 	       (delays_first_read(relay) ? DELAYED_READ_US : QUICK_READ_US);
 }
 
-/* And from then on whoever's part it is. */
+/* From then on any node without items reads the store. */
 static int64_t fallback_start_at(const struct relay *relay)
 {
 	return relay->started_at + (delays_first_read(relay)
@@ -113,7 +117,10 @@
 	return body;
 }
 
-/* One of those that know more, each with the same chance, near ones first. */
+/*
+ * A random node among those with a newer revision, preferably in this failure
+ * domain.
+ */
 static struct member_info *pick_source(const struct relay *relay, int64_t now)
 {
 	apr_hash_index_t *it;
@@ -145,7 +152,10 @@
 	best = pick_source(relay, now);
 	if (!best)
 		return;
-	/* All keys from another domain are dear: the reader's turn comes. */
+	/*
+	 * All items from another domain are costly to transfer, so the reader
+	 * of this domain gets time to read them first.
+	 */
 	if (!relay->dir->revision && !best->near &&
 	    now < fallback_start_at(relay))
 		return;
@@ -170,7 +180,7 @@
 		request_items(relay, now);
 }
 
-/** struct tree_node - a node in the order of the tree */
+/** struct tree_node - a node of the relay tree */
 struct tree_node {
 	uint32_t ip;
 	bool reads;
@@ -185,7 +195,7 @@
 	return x->ip < y->ip ? -1 : x->ip > y->ip;
 }
 
-/* Live nodes of the domain by address, the reader first: the tree's order. */
+/* Lists the domain's live nodes in tree order: the reader, then by address. */
 static size_t list_tree(const struct relay *relay, int64_t now,
 			struct tree_node *tree)
 {
@@ -218,9 +228,9 @@
 }
 
 /*
- * The reader sends to a few nodes, each of these to a few more, so no link has
- * to carry it for a whole domain: a hundred new targets are 30 kB a node, and
- * took a link of 200 Mbit/s for a third of a question's goal.
+ * Each node sends the items to its children in the tree, so that no link
+ * carries them for a whole domain: a hundred new targets are 30 kB per node,
+ * which kept a link of 200 Mbit/s busy for a third of a question's goal.
  */
 static void relay_items(struct relay *relay, uint64_t since, struct str body,
 			int64_t now)
@@ -261,7 +271,7 @@
 	apr_pool_create(&pool, dir->pool);
 	if (parcel_open_items(msg->body, pool, &items, &count)) {
 		note_belief(dir->notes, now, "unusable", from,
-			    "its message holds no items", msg->version);
+			    "its message cannot be decoded", msg->version);
 		apr_pool_destroy(pool);
 		return;
 	}
@@ -269,7 +279,7 @@
 		roster_store_lost(dir->roster, now - msg->wait_us);
 	directory_merge(dir, items, count, now);
 	apr_pool_destroy(pool);
-	/* What changed between is missing: ask for it. */
+	/* Changes between the two revisions are missing: request them. */
 	if (msg->key > dir->revision) {
 		send_msg(relay, from, MSG_ITEMS_GET, 0, (struct str){ 0 },
 			 false, now);
@@ -285,7 +295,7 @@
 		dir->read_at = now - msg->fresh_us;
 	dir->notes->revision = dir->revision;
 	dir->notes->read_at = dir->read_at;
-	/* Answers to a question of this node are for it alone. */
+	/* A reply to this node's own request is not relayed. */
 	if (newer && msg->state)
 		relay_items(relay, msg->key,
 			    str_dup(relay->fx->pool, msg->body), now);
--- a/relay.h
+++ b/relay.h
@@ -4,19 +4,19 @@
 #include "reader.h"
 
 /**
- * DOC: items of the store, from node to node
+ * DOC: relay of the store's items between nodes
  *
- * One node of a failure domain reads the store for the others there, so
- * calls to the store grow with domains, not with nodes. A node that has not
- * heard for a while reads by itself; one that the store turns away learns from
- * any node that knows more.
+ * One node of each failure domain reads the store for the others there, so that
+ * the number of calls to the store grows with domains and not with nodes. A
+ * node without updates for some time reads the store itself. If the store does
+ * not answer it, it requests the items from a node with a newer revision.
  */
 
 /**
- * struct relay - the state of that
- * @relayed_revision: revision up to which the domain was sent items
- * @requested_at: when more was last asked for
- * @started_at: of the process
+ * struct relay - state of the relay
+ * @relayed_revision: items up to this revision were sent to the domain
+ * @requested_at: time of the last request for items
+ * @started_at: start of the process
  * @first_start: all VMs are new
  */
 struct relay {
@@ -30,19 +30,22 @@
 	bool first_start;
 };
 
-/** relay_init() - @first_start: all VMs are new, and no caller waits yet. */
+/**
+ * relay_init() - initialize the relay
+ * @first_start: all VMs are new, and no caller waits yet
+ */
 void relay_init(struct relay *relay, struct gossip *gossip,
 		struct reader *reader, struct flow_effects *fx,
 		bool first_start, int64_t now);
-/** relay_tick() - decide whether this node reads; ask others for more. */
+/** relay_tick() - decide whether this node reads; request items if stale. */
 void relay_tick(struct relay *relay, int64_t now);
-/** relay_on_read() - the store has answered this node. */
+/** relay_on_read() - relay what this node has read from the store. */
 void relay_on_read(struct relay *relay, int64_t now);
-/** relay_on_items() - items that another node has read. */
+/** relay_on_items() - merge and relay items that another node sent. */
 void relay_on_items(struct relay *relay, struct str from, const struct msg *msg,
 		    int64_t now);
-/** relay_on_request() - another node asks for what it does not know. */
+/** relay_on_request() - send another node the items that it lacks. */
 void relay_on_request(struct relay *relay, struct str from,
 		      const struct msg *msg, int64_t now);
-/** relay_wake_at() - when relay_tick() is due at the latest. */
+/** relay_wake_at() - latest time at which relay_tick() is due. */
 int64_t relay_wake_at(const struct relay *relay, int64_t now);
