--- a/batch.c
+++ b/batch.c
@@ -470,14 +470,14 @@
 static uint32_t tries_to_report(const struct calls *calls,
 				const struct call *call)
 {
-	size_t most = call->tried + 1;
+	size_t max_tried = call->tried + 1;
 
 	if (poison_verdict(calls->poison, &call->print) == POISON_NONE)
 		return 0;
 	for (size_t i = 0; i < call->nparts; i++)
-		if (call->parts[i].ntried > most)
-			most = call->parts[i].ntried;
-	return (uint32_t)(most - call->tried);
+		if (call->parts[i].ntried > max_tried)
+			max_tried = call->parts[i].ntried;
+	return (uint32_t)(max_tried - call->tried);
 }
 
 void batch_send_reply(struct calls *calls, const struct call *call,
--- a/placement.c
+++ b/placement.c
@@ -134,17 +134,18 @@
 {
 	size_t count = 0;
 	size_t kept = 0;
-	size_t most = 0;
+	size_t max_shards = 0;
 
 	for (size_t i = 0; i < route->nshards; i++)
 		add_shard_coverage(placement, route->shards[i], coverages,
 				   &count, now);
 	for (size_t i = 0; i < count; i++)
-		if (coverages[i].shards > most)
-			most = coverages[i].shards;
+		if (coverages[i].shards > max_shards)
+			max_shards = coverages[i].shards;
 	for (size_t i = 0; i < count; i++)
-		if (most && (double)coverages[i].shards >=
-				    COVERAGE_FRACTION * (double)most)
+		if (max_shards &&
+		    (double)coverages[i].shards >=
+			    COVERAGE_FRACTION * (double)max_shards)
 			coverages[kept++] = coverages[i];
 	return kept;
 }
@@ -204,11 +205,11 @@
  * domains merge instead.
  */
 static void add_mergers(struct placement_plan *plan,
-			struct candidate *candidates, size_t count, size_t most,
-			double least_core)
+			struct candidate *candidates, size_t count,
+			size_t max_mergers, double least_core)
 {
 	qsort(candidates, count, sizeof(*candidates), by_core);
-	for (size_t i = 0; i < count && i < most; i++) {
+	for (size_t i = 0; i < count && i < max_mergers; i++) {
 		if ((double)candidates[i].core < least_core)
 			return;
 		if (!candidates[i].member)
@@ -252,7 +253,8 @@
 			    const struct coverage *coverages, size_t domains,
 			    uint32_t best, int64_t now)
 {
-	size_t most = mergers_per_domain(catalog, route, domains ? domains : 1);
+	size_t max_mergers =
+		mergers_per_domain(catalog, route, domains ? domains : 1);
 	struct candidate candidates[PLACEMENT_MERGERS_MAX + 1];
 	size_t mergers = 0;
 
@@ -264,7 +266,7 @@
 		for (size_t j = 0; j < count; j++)
 			eligible += (double)candidates[j].core >=
 				    CORE_FRACTION * best;
-		mergers += eligible < most ? eligible : most;
+		mergers += eligible < max_mergers ? eligible : max_mergers;
 	}
 	return mergers;
 }
--- a/relay.c
+++ b/relay.c
@@ -91,14 +91,15 @@
 }
 
 static void send_msg(struct relay *relay, struct str addr, uint32_t kind,
-		     uint64_t since, struct str body, bool pass_on, int64_t now)
+		     uint64_t since, struct str body, bool relay_further,
+		     int64_t now)
 {
 	struct flow_effect *fx = flow_add(relay->fx, FLOW_PEER_SEND);
 	int64_t lost = now - roster_store_lost_at(relay->dir->roster);
 
 	fx->addr = str_dup(relay->fx->pool, addr);
 	fx->msg.kind = kind;
-	fx->msg.state = pass_on;
+	fx->msg.state = relay_further;
 	fx->msg.key = since;
 	fx->msg.version = relay->dir->revision;
 	fx->msg.fresh_us = now - relay->dir->read_at;
@@ -124,7 +125,7 @@
 static struct member_info *pick_source(const struct relay *relay, int64_t now)
 {
 	apr_hash_index_t *it;
-	struct member_info *best = NULL;
+	struct member_info *source = NULL;
 	uint64_t seen = 0;
 
 	for (it = apr_hash_first(NULL, relay->gossip->members); it;
@@ -133,35 +134,35 @@
 
 		if (member->entry.revision <= relay->dir->revision ||
 		    !gossip_is_live(member, now) ||
-		    (best && best->near && !member->near))
+		    (source && source->near && !member->near))
 			continue;
-		if (best && member->near && !best->near)
+		if (source && member->near && !source->near)
 			seen = 0;
 		if (!rng_below(relay->gossip->rng, ++seen))
-			best = member;
+			source = member;
 	}
-	return best;
+	return source;
 }
 
 static void request_items(struct relay *relay, int64_t now)
 {
-	struct member_info *best;
+	struct member_info *source;
 
 	if (now - relay->requested_at < REQUEST_INTERVAL_US)
 		return;
-	best = pick_source(relay, now);
-	if (!best)
+	source = pick_source(relay, now);
+	if (!source)
 		return;
 	/*
 	 * All items from another domain are costly to transfer, so the reader
 	 * of this domain gets time to read them first.
 	 */
-	if (!relay->dir->revision && !best->near &&
+	if (!relay->dir->revision && !source->near &&
 	    now < fallback_start_at(relay))
 		return;
 	relay->requested_at = now;
-	send_msg(relay, best->addr, MSG_ITEMS_GET, 0, (struct str){ 0 }, false,
-		 now);
+	send_msg(relay, source->addr, MSG_ITEMS_GET, 0, (struct str){ 0 },
+		 false, now);
 }
 
 void relay_tick(struct relay *relay, int64_t now)
--- a/tier.c
+++ b/tier.c
@@ -66,13 +66,13 @@
 	struct poison poison;
 	struct poison_sync poison_sync;
 	bool ready;
-	int64_t stop_at;
-	bool stopped;
+	int64_t exit_at;
+	bool exit_sent;
 	uint64_t limits_version;
 	int64_t sweep_at;
 };
 
-static struct budget_rules rules_of(const struct vm_settings *settings)
+static struct budget_rules budget_rules_of(const struct vm_settings *settings)
 {
 	return (struct budget_rules){ settings->retry_ratio,
 				      settings->retry_extra,
@@ -149,7 +149,7 @@
 	calls_init(&tier->calls, tier->pool, opt->seed);
 	tier->calls.roster = tier->roster;
 	tier->calls.budget =
-		budget_create(tier->pool, rules_of(&tier->settings));
+		budget_create(tier->pool, budget_rules_of(&tier->settings));
 	tier->calls.without = opt->without;
 	tier->calls.fx = fx;
 	tier->calls.notes = &tier->notes;
@@ -326,9 +326,9 @@
 
 static void on_stop(struct tier *tier)
 {
-	if (tier->stop_at)
+	if (tier->exit_at)
 		return;
-	tier->stop_at = tier->calls.now + tier->settings.grace_us *
+	tier->exit_at = tier->calls.now + tier->settings.grace_us *
 						  DRAIN_GRACE_NUM /
 						  DRAIN_GRACE_DEN;
 	set_ready(tier, false);
@@ -336,16 +336,16 @@
 
 static void check_stop(struct tier *tier)
 {
-	if (!tier->stop_at || tier->stopped ||
-	    tier->calls.now < tier->stop_at || tier->calls.nopen)
+	if (!tier->exit_at || tier->exit_sent ||
+	    tier->calls.now < tier->exit_at || tier->calls.nopen)
 		return;
-	tier->stopped = true;
+	tier->exit_sent = true;
 	flow_add(tier->fx, FLOW_EXIT);
 }
 
 static void on_settings(struct tier *tier, const struct vm_settings *settings)
 {
-	budget_rules(tier->calls.budget, rules_of(settings));
+	budget_rules(tier->calls.budget, budget_rules_of(settings));
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
 	gossip_seeds(&tier->gossip, settings);
@@ -509,7 +509,7 @@
 	gossip_tick(&tier->gossip, event->now);
 	update_node_count(tier);
 	reader_tick(&tier->reader, event->now);
-	if (!tier->stop_at && tier->dir.catalog)
+	if (!tier->exit_at && tier->dir.catalog)
 		set_ready(tier, true);
 	check_stop(tier);
 }
@@ -532,9 +532,9 @@
 		when = tier->gossip.next_at;
 	if (!tier->reader.active && relay_at < when)
 		when = relay_at;
-	if (tier->stop_at && !tier->stopped && !tier->calls.nopen &&
-	    tier->stop_at < when)
-		when = tier->stop_at;
+	if (tier->exit_at && !tier->exit_sent && !tier->calls.nopen &&
+	    tier->exit_at < when)
+		when = tier->exit_at;
 	return when;
 }
 
