--- a/batch.c
+++ b/batch.c
@@ -11,9 +11,7 @@
 	HOP_RTT_US = 3000,
 	/* A node that did not answer gets no batches for this long. */
 	BACKOFF_US = 500000,
-	/*
-	 * Minimum time for a first reply, also for a node that is queried after
-	 * another one failed.
+	/* Minimum time for a first reply, as of a node queried as the second.
 	 */
 	SILENT_MIN_US = 25000,
 	/* A connection without any message this long after a batch is dead. */
@@ -267,7 +265,7 @@
 	return true;
 }
 
-/* Return: targets that may have received each shard which is unanswered. */
+/* Return: targets that may have received each of the unanswered shards. */
 static size_t tries_used(const struct batch *batch, const struct msg *msg)
 {
 	if (!msg->ran)
--- a/forward.c
+++ b/forward.c
@@ -6,8 +6,7 @@
 #include "xmalloc.h"
 
 enum {
-	/* Interval at which a call without a free target looks for one again.
-	 */
+	/* Interval of checks for a target that has become available. */
 	RECHECK_US = 10000,
 	RETRY_AFTER_US = 300000,
 };
--- a/relay.c
+++ b/relay.c
@@ -37,7 +37,7 @@
 	/* Children of a node in the tree; three hops reach 90 nodes. */
 	TREE_FANOUT = 4,
 	TREE_NODES_MAX = 1024,
-	/* Items are relayed if they are newer than the node's own by this. */
+	/* Items are relayed if they are newer than the known ones by this. */
 	RELAY_MIN_US = 50000,
 };
 
--- a/tier.c
+++ b/tier.c
@@ -6,10 +6,10 @@
 #include "forward.h"
 #include "merge.h"
 #include "note.h"
+#include "placement.h"
 #include "poison_sync.h"
 #include "reader.h"
 #include "relay.h"
-#include "placement.h"
 #include "trial.h"
 #include "xmalloc.h"
 
