--- a/batch.c
+++ b/batch.c
@@ -7,29 +7,30 @@
 #include "xmalloc.h"
 
 enum {
-	/* The way to the other node and back, and its wait for a processor. */
-	HOP_US = 3000,
-	/* A node that did not answer gets no shards for this long. */
-	REST_US = 500000,
-	/* Time for the first word of a node that was asked as the second. */
-	SILENT_LEAST_US = 25000,
-	/* Without any word this long after a question its connection is dead.
+	/* Round trip to the other node, with its wait for a processor. */
+	HOP_RTT_US = 3000,
+	/* A node that did not answer gets no batches for this long. */
+	BACKOFF_US = 500000,
+	/* Minimum time for a first reply, as of a node queried as the second.
 	 */
-	SILENT_US = 150000,
+	SILENT_MIN_US = 25000,
+	/* A connection without any message this long after a batch is dead. */
+	CONN_DEAD_US = 150000,
 };
 
-/* Ids of calls that other nodes asked for; those of callers are smaller. */
-static const uint64_t asked_bit = 1ULL << 62;
+/* Set in ids of calls of other nodes; ids of callers' requests are smaller. */
+static const uint64_t peer_call_bit = 1ULL << 62;
 
-void batch_book_init(struct batch_book *book, apr_pool_t *pool,
-		     struct gossip *gossip, struct spread *spread)
+void batch_table_init(struct batch_table *table, apr_pool_t *pool,
+		      struct gossip *gossip, struct placement *placement)
 {
-	*book = (struct batch_book){ .gossip = gossip, .spread = spread };
-	book->open = hash_make(pool);
+	*table = (struct batch_table){ .gossip = gossip,
+				       .placement = placement };
+	table->open = hash_make(pool);
 }
 
-static struct flow_effect *tell(struct calls *calls, struct str addr,
-				uint64_t incarnation, uint32_t kind)
+static struct flow_effect *queue_msg(struct calls *calls, struct str addr,
+				     uint64_t incarnation, uint32_t kind)
 {
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_PEER_SEND);
 
@@ -40,11 +41,11 @@
 }
 
 /*
- * Between nodes shards are named by their place in the route. A call for
- * another node has places of its own, as it may be for a few of them only.
+ * Messages identify shards by their index in the route. A call for another node
+ * may cover only some shards of the route, so its parts have other indexes.
  */
-static uint16_t *name_shards(const struct call *call, const uint16_t *parts,
-			     size_t nparts)
+static uint16_t *shard_indexes(const struct call *call, const uint16_t *parts,
+			       size_t nparts)
 {
 	uint16_t *shards =
 		apr_palloc(call->pool, (nparts + 1) * sizeof(*shards));
@@ -54,7 +55,7 @@
 	return shards;
 }
 
-/* Return: the place in the call, or UINT16_MAX when it has no such shard. */
+/* Return: index of the part in the call, UINT16_MAX if it lacks the shard. */
 static uint16_t find_part(const struct call *call, uint16_t shard)
 {
 	if (!call->wanted)
@@ -73,13 +74,13 @@
 		(struct str){ (const char *)parts, nparts * sizeof(*parts) });
 }
 
-/* Asking. */
+/* Requesting node. */
 
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
 		size_t nparts, bool may_hand_on, size_t tried)
 {
-	struct flow_effect *fx = tell(calls, member->addr, 0, MSG_ASK);
+	struct flow_effect *fx = queue_msg(calls, member->addr, 0, MSG_ASK);
 	struct batch *batch = apr_pcalloc(call->pool, sizeof(*batch));
 	struct buf body = { 0 };
 
@@ -105,13 +106,13 @@
 	fx->msg.state = may_hand_on;
 	fx->msg.attempt = (uint32_t)tried;
 	fx->msg.remaining_us = call->give_up_at - calls->now;
-	fx->msg.wait_us = calls->now - call->start + HOP_US;
+	fx->msg.wait_us = calls->now - call->start + HOP_RTT_US;
 	fx->msg.hash = call->print.content[0];
 	fx->msg.hash2 = call->print.content[1];
 	fx->msg.key = call->print.caller;
 	fx->msg.body = str_dup(calls->fx->pool, buf_str(&body));
 	fx->msg.name =
-		pack_parts(calls, name_shards(call, parts, nparts), nparts);
+		pack_parts(calls, shard_indexes(call, parts, nparts), nparts);
 	buf_free(&body);
 }
 
@@ -131,7 +132,7 @@
 
 static void batch_cancel(struct calls *calls, struct batch *batch)
 {
-	tell(calls, batch->addr, 0, MSG_ASK_CANCEL)->msg.id = batch->id;
+	queue_msg(calls, batch->addr, 0, MSG_ASK_CANCEL)->msg.id = batch->id;
 	batch_close(calls, batch);
 }
 
@@ -142,31 +143,32 @@
 }
 
 /*
- * Connections may go silent for good, in either direction, without a reset. If
- * nothing at all has come from a node since it was first asked, both are opened
- * anew; a node that is merely slow keeps them, with what is under way there.
+ * A connection may stop delivering in either direction without a reset. If
+ * nothing was received from a node for CONN_DEAD_US after a batch, the
+ * connections in both directions are reopened. A node that is only slow keeps
+ * them, with the messages in flight.
  */
-static void rest(struct calls *calls, struct str addr)
+static void back_off(struct calls *calls, struct str addr)
 {
 	struct member_info *member = gossip_find(calls->batches->gossip, addr);
 	struct flow_effect *fx;
 
 	if (!member || calls->now < member->rest_until)
 		return;
-	member->rest_until = calls->now + REST_US;
+	member->rest_until = calls->now + BACKOFF_US;
 	if (!member->unheard_since ||
-	    calls->now - member->unheard_since < SILENT_US)
+	    calls->now - member->unheard_since < CONN_DEAD_US)
 		return;
 	note_belief(calls->notes, calls->now, "node is late", addr,
-		    "it has not answered for its shards", 0);
+		    "no reply to its batches", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
-	tell(calls, addr, 0, MSG_RELINK);
+	queue_msg(calls, addr, 0, MSG_RELINK);
 }
 
 /*
- * What a node has not answered for when it is lost, it may have sent once, and
- * a second time only if it was told that it may.
+ * A failed node may have sent each unanswered shard to one target, and to a
+ * second one only if it was granted that.
  */
 static void batch_fail(struct calls *calls, struct batch *batch,
 		       const char *why)
@@ -177,19 +179,19 @@
 		   why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
-			       batch->tried + (batch->go ? 2 : 1));
+			       batch->tried + (batch->granted ? 2 : 1));
 }
 
 /*
- * A node that has been heard of meanwhile is slow but at work on the shards:
- * asking their targets from here as well would ask too many of them.
+ * A node that has sent any message since the batch is slow but still works on
+ * its shards: querying their targets from here too would be too many requests.
  */
 static bool is_silent(struct calls *calls, const struct batch *batch)
 {
 	const struct member_info *member =
 		gossip_find(calls->batches->gossip, batch->addr);
 
-	if (batch->replied || calls->now - batch->sent_at < SILENT_LEAST_US)
+	if (batch->replied || calls->now - batch->sent_at < SILENT_MIN_US)
 		return false;
 	return !member || (member->unheard_since &&
 			   member->unheard_since <= batch->sent_at);
@@ -203,16 +205,16 @@
 	return NULL;
 }
 
-void batch_overdue(struct calls *calls, struct call *call)
+void batch_fail_overdue(struct calls *calls, struct call *call)
 {
 	struct batch *batch;
 
 	for (batch = call->batches; batch; batch = batch->next)
 		if (!batch->replied)
-			rest(calls, batch->addr);
-	/* Failing one may end the call, and with it all the others. */
+			back_off(calls, batch->addr);
+	/* Failing one batch may end the call and close all others. */
 	while ((batch = find_silent(calls, call)))
-		batch_fail(calls, batch, "no word of it in time");
+		batch_fail(calls, batch, "no reply within the timeout");
 }
 
 static void drop_parts(struct batch *batch, const uint16_t *parts,
@@ -232,22 +234,23 @@
 }
 
 /*
- * Two nodes that both ask further targets of a shard would ask more of them
- * than its route allows. So a node first sends word and waits for this one's,
- * which from then on asks no more targets itself should the other be lost.
+ * If two nodes both queried more targets of a shard, they could exceed the
+ * number that its route allows. So a node first sends an interim reply and
+ * waits for the grant; from then on this node queries no more targets itself if
+ * the other one is lost.
  */
 static void grant(struct calls *calls, struct batch *batch)
 {
-	if (batch->go)
+	if (batch->granted)
 		return;
-	batch->wants_go = true;
+	batch->wants_grant = true;
 	if (batch->call->asker.len && !batch->call->go)
 		return;
-	batch->go = true;
-	tell(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
+	batch->granted = true;
+	queue_msg(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
 }
 
-/* Every part of a reply must be one that this batch still waits for. */
+/* Return: the batch still waits for every one of @parts. */
 static bool is_awaited(const struct batch *batch, const uint16_t *parts,
 		       size_t nparts)
 {
@@ -262,7 +265,7 @@
 	return true;
 }
 
-/* Of each shard that the node did not answer for, however many it tells of. */
+/* Return: targets that may have received each of the unanswered shards. */
 static size_t tries_used(const struct batch *batch, const struct msg *msg)
 {
 	if (!msg->ran)
@@ -288,9 +291,9 @@
 		parts[i] = find_part(call, parts[i]);
 	if (!is_awaited(batch, parts, nparts)) {
 		note_belief(calls->notes, calls->now, "unusable", from,
-			    "it answers for shards that it was not asked for",
+			    "its reply is for shards that were not requested",
 			    msg->version);
-		batch_fail(calls, batch, "its answer is unusable");
+		batch_fail(calls, batch, "its reply is unusable");
 		return;
 	}
 	batch->replied = true;
@@ -298,7 +301,7 @@
 		grant(calls, batch);
 	drop_parts(batch, parts, nparts);
 	if (msg->state) {
-		/* The last word; what is left will not come from there. */
+		/* This is the last reply: remaining shards have failed. */
 		batch_close(calls, batch);
 		if (nparts)
 			calls->batches->replied(calls, call, parts, nparts,
@@ -312,8 +315,8 @@
 	calls->batches->replied(calls, call, parts, nparts, msg);
 }
 
-/* Finds one open batch at @addr, as failing one may change the table. */
-static struct batch *find_at(struct calls *calls, struct str addr)
+/* Returns one batch at a time, as failing it may change the table. */
+static struct batch *find_batch_to(struct calls *calls, struct str addr)
 {
 	apr_hash_index_t *it;
 
@@ -330,34 +333,35 @@
 void batch_on_lost(struct calls *calls, struct str addr)
 {
 	struct member_info *member = gossip_find(calls->batches->gossip, addr);
-	struct batch *batch = find_at(calls, addr);
+	struct batch *batch = find_batch_to(calls, addr);
 
 	if (member)
-		member->rest_until = calls->now + REST_US;
-	for (; batch; batch = find_at(calls, addr))
+		member->rest_until = calls->now + BACKOFF_US;
+	for (; batch; batch = find_batch_to(calls, addr))
 		batch_fail(calls, batch, "its connection broke");
 }
 
-/* Asked. */
+/* Serving node. */
 
-static void refuse(struct calls *calls, struct str from, uint64_t incarnation,
-		   uint64_t id)
+static void send_refusal(struct calls *calls, struct str from,
+			 uint64_t incarnation, uint64_t id)
 {
-	struct flow_effect *fx = tell(calls, from, incarnation, MSG_ASK_REPLY);
+	struct flow_effect *fx =
+		queue_msg(calls, from, incarnation, MSG_ASK_REPLY);
 
 	fx->msg.id = id;
 	fx->msg.state = 1;
 }
 
-static const struct route *route_of(struct catalog *catalog,
-				    const struct msg *msg,
-				    struct flow_request *request,
-				    apr_pool_t *pool)
+static const struct route *resolve_route(struct catalog *catalog,
+					 const struct msg *msg,
+					 struct flow_request *request,
+					 apr_pool_t *pool)
 {
 	size_t nparts = msg->name.len / sizeof(uint16_t);
 	const struct route *route;
 
-	/* Indexes of shards mean the same in the same version only. */
+	/* Indexes of shards are only valid within one version. */
 	if (!catalog || catalog->version != msg->version ||
 	    parcel_open_request(msg->body, pool, request))
 		return NULL;
@@ -374,35 +378,36 @@
 	return route;
 }
 
-void batch_asked(struct calls *calls, struct catalog *catalog, struct str from,
-		 uint64_t incarnation, const struct msg *msg, int64_t late_us)
+void batch_on_request(struct calls *calls, struct catalog *catalog,
+		      struct str from, uint64_t incarnation,
+		      const struct msg *msg, int64_t delay_us)
 {
 	struct fingerprint print = { { msg->hash, msg->hash2 }, msg->key };
-	int64_t remaining_us = msg->remaining_us - late_us;
+	int64_t remaining_us = msg->remaining_us - delay_us;
 	struct flow_request request;
 	const struct route *route;
 	struct call *call;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, calls->pool);
-	route = route_of(catalog, msg, &request, pool);
+	route = resolve_route(catalog, msg, &request, pool);
 	/*
-	 * A connection that was cut, or a node that was frozen, brings
-	 * questions of seconds ago: nobody waits for them, and targets must not
-	 * work on. One that is suspect here, and was not yet where it came
-	 * from, is tried there.
+	 * After a connection was interrupted or a node was paused, requests
+	 * arrive that are seconds old. Nobody waits for them, so targets must
+	 * not run them. A request that is suspect here, but not yet at the
+	 * sender, is refused too: the sender runs its trial.
 	 */
 	if (!route || remaining_us <= 0 ||
 	    poison_verdict(calls->poison, &print) != POISON_NONE) {
-		refuse(calls, from, incarnation, msg->id);
+		send_refusal(calls, from, incarnation, msg->id);
 		apr_pool_destroy(pool);
 		return;
 	}
 	request.time_left_us = remaining_us;
-	call = call_create(calls, asked_bit | ++calls->next_id, &request,
+	call = call_create(calls, peer_call_bit | ++calls->next_id, &request,
 			   catalog, route);
 	call->print = print;
-	call->start -= msg->wait_us + late_us;
+	call->start -= msg->wait_us + delay_us;
 	call->give_up_at = calls->now + remaining_us;
 	call->asker = str_dup(call->pool, from);
 	call->asker_incarnation = incarnation;
@@ -418,9 +423,9 @@
 	apr_pool_destroy(pool);
 }
 
-/* The call that the node at @from knows by @id, or NULL. */
-static struct call *find_asked(struct calls *calls, struct str from,
-			       uint64_t id)
+/* Return: the call to which the node at @from gave @id, or NULL. */
+static struct call *find_peer_call(struct calls *calls, struct str from,
+				   uint64_t id)
 {
 	apr_hash_index_t *it;
 
@@ -434,55 +439,56 @@
 	return NULL;
 }
 
-void batch_cancelled(struct calls *calls, struct str from,
+void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg)
 {
-	struct call *call = find_asked(calls, from, msg->id);
+	struct call *call = find_peer_call(calls, from, msg->id);
 
 	if (call)
 		call_abandon(calls, call);
 }
 
-void batch_on_go(struct calls *calls, struct str from, const struct msg *msg)
+void batch_on_grant(struct calls *calls, struct str from, const struct msg *msg)
 {
-	struct call *call = find_asked(calls, from, msg->id);
+	struct call *call = find_peer_call(calls, from, msg->id);
 
 	if (!call || call->go)
 		return;
 	call->go = true;
 	for (struct batch *batch = call->batches; batch; batch = batch->next)
-		if (batch->wants_go)
+		if (batch->wants_grant)
 			grant(calls, batch);
 	call->kind->review(calls, call);
 }
 
 /*
- * A suspect request goes back to the node that has its caller before all tries
- * are used: were it harmless, that node can go on with it after a trial.
+ * A suspect request is returned to the node of its caller before all tries are
+ * used, so that this node can continue with it if a trial shows it harmless.
  */
-static uint32_t tries_told(const struct calls *calls, const struct call *call)
+static uint32_t tries_to_report(const struct calls *calls,
+				const struct call *call)
 {
-	size_t most = call->tried + 1;
+	size_t max_tried = call->tried + 1;
 
 	if (poison_verdict(calls->poison, &call->print) == POISON_NONE)
 		return 0;
 	for (size_t i = 0; i < call->nparts; i++)
-		if (call->parts[i].ntried > most)
-			most = call->parts[i].ntried;
-	return (uint32_t)(most - call->tried);
+		if (call->parts[i].ntried > max_tried)
+			max_tried = call->parts[i].ntried;
+	return (uint32_t)(max_tried - call->tried);
 }
 
-void batch_tell(struct calls *calls, const struct call *call,
-		const uint16_t *parts, size_t nparts, struct str records,
-		struct str signatures, bool last)
+void batch_send_reply(struct calls *calls, const struct call *call,
+		      const uint16_t *parts, size_t nparts, struct str records,
+		      struct str signatures, bool last)
 {
-	struct flow_effect *fx = tell(calls, call->asker,
-				      call->asker_incarnation, MSG_ASK_REPLY);
+	struct flow_effect *fx = queue_msg(
+		calls, call->asker, call->asker_incarnation, MSG_ASK_REPLY);
 
 	fx->msg.id = call->asker_id;
 	fx->msg.state = last;
 	fx->msg.ran = true;
-	fx->msg.attempt = last ? tries_told(calls, call) : 0;
+	fx->msg.attempt = last ? tries_to_report(calls, call) : 0;
 	fx->msg.name = pack_parts(calls, parts, nparts);
 	fx->msg.body = str_dup(calls->fx->pool, records);
 	fx->msg.text = str_dup(calls->fx->pool, signatures);
--- a/front.h
+++ b/front.h
@@ -2,7 +2,7 @@
 
 #include "ask.h"
 #include "member.h"
-#include "poison_news.h"
+#include "poison_sync.h"
 
 /**
  * DOC: front
@@ -121,7 +121,7 @@
 	apr_hash_t *callers; /* caller -> struct question */
 	apr_hash_t *replicas; /* key -> struct replica */
 	struct poison poison;
-	struct poison_news news;
+	struct poison_sync news;
 	size_t open;
 	double limit; /* adaptive limit on open questions */
 	int64_t limit_lowered_at;
--- a/front_poison.c
+++ b/front_poison.c
@@ -1,6 +1,6 @@
 #include "front_poison.h"
 
-#include "poison_news.h"
+#include "poison_sync.h"
 #include "replica.h"
 
 /* Exchange of evidence. */
@@ -51,9 +51,9 @@
 
 	poison_init(&front->poison, front->pool,
 		    (struct poison_targets){ has_answered, node });
-	front->news = (struct poison_news){
+	front->news = (struct poison_sync){
 		.poison = &front->poison,
-		.links = { send_to_nodes, send_to_node, node },
+		.transport = { send_to_nodes, send_to_node, node },
 		.pool = front->pool,
 	};
 }
@@ -72,20 +72,21 @@
 				uint64_t digest)
 {
 	if (node->front)
-		poison_news_digest(&node->front->news, from, digest, node->now);
+		poison_sync_on_digest(&node->front->news, from, digest,
+				      node->now);
 }
 
 void front_poison_sweep(struct node *node)
 {
 	if (node->front)
-		poison_settle(&node->front->poison, true, node->now);
+		poison_sweep(&node->front->poison, true, node->now);
 }
 
 void front_poison_handle_msg(struct node *node, struct str from,
 			     uint64_t incarnation, const struct msg *msg)
 {
 	(void)incarnation;
-	poison_news_msg(&node->front->news, from, msg, true, node->now);
+	poison_sync_on_msg(&node->front->news, from, msg, true, node->now);
 }
 
 /* Questions. */
@@ -140,8 +141,8 @@
 
 	if (q->served)
 		return;
-	poison_broke(&front->poison, &q->fingerprint, attempt->round, &crash);
-	poison_news_send(&front->news, node->now);
+	poison_crashed(&front->poison, &q->fingerprint, attempt->round, &crash);
+	poison_sync_send(&front->news, node->now);
 	if (!was_blocked && front_question_blocked(node, q))
 		node_audit(node, "question", STR("suspect"), STR("blocked"),
 			   "it crashes the targets that run it",
@@ -156,14 +157,14 @@
 	q->served = true;
 	replica->boot = msg->hash;
 	replica->boot_seen_at = node->now;
-	poison_served(&node->front->poison, &q->fingerprint, node->now);
-	poison_news_send(&node->front->news, node->now);
+	poison_answered(&node->front->poison, &q->fingerprint, node->now);
+	poison_sync_send(&node->front->news, node->now);
 }
 
 void front_question_unserved(struct node *node, const struct question *q)
 {
 	if (q->served)
 		return;
-	poison_unserved(&node->front->poison, &q->fingerprint);
-	poison_news_send(&node->front->news, node->now);
+	poison_unanswered(&node->front->poison, &q->fingerprint);
+	poison_sync_send(&node->front->news, node->now);
 }
--- /dev/null
+++ b/poison_sync.h
@@ -0,0 +1,48 @@
+#pragma once
+
+#include "msg.h"
+#include "poison.h"
+
+/**
+ * DOC: synchronization of evidence against requests between nodes
+ *
+ * A caller may repeat a request that crashes its targets at any node. So new
+ * evidence is sent to all nodes before the caller is answered. Each round of
+ * gossip also compares digests: a node that missed some evidence, or has just
+ * started, is sent all of it.
+ */
+
+/**
+ * struct poison_transport - how messages are sent to other nodes
+ * @broadcast: send to all nodes, or with @near only to those of this failure
+ *             domain; sets msg.ran for nodes that must relay it
+ * @send: send to the node at @addr
+ */
+struct poison_transport {
+	void (*broadcast)(void *ctx, const struct msg *msg, bool near);
+	void (*send)(void *ctx, struct str addr, const struct msg *msg);
+	void *ctx;
+};
+
+/**
+ * struct poison_sync - state of the synchronization
+ * @full_sync_at: earliest time of the next full synchronization
+ */
+struct poison_sync {
+	struct poison *poison;
+	struct poison_transport transport;
+	apr_pool_t *pool;
+	int64_t full_sync_at;
+};
+
+/** poison_sync_send() - send pending entries to other nodes. */
+void poison_sync_send(struct poison_sync *sync, int64_t now);
+/** poison_sync_on_digest() - send all evidence if @digest of @from differs. */
+void poison_sync_on_digest(struct poison_sync *sync, struct str from,
+			   uint64_t digest, int64_t now);
+/**
+ * poison_sync_on_msg() - merge evidence that the node at @from sent
+ * @store_fresh: the state of targets is up to date
+ */
+void poison_sync_on_msg(struct poison_sync *sync, struct str from,
+			const struct msg *msg, bool store_fresh, int64_t now);
--- /dev/null
+++ b/relay.c
@@ -0,0 +1,320 @@
+#include "relay.h"
+
+#include <stdlib.h>
+
+enum {
+	/*
+	 * A node without updates for this long reads the store itself. A reader
+	 * gets a reply from the store at least every 1.2 s. A drain must reach
+	 * all nodes within 3 s.
+	 */
+	STALE_US = 1900000,
+	/*
+	 * At its start a seed reads the store at once. The domain's reader
+	 * reads after the first of these times, any node that still has no
+	 * items after the second.
+	 */
+	DELAYED_READ_US = 400000,
+	DELAYED_FALLBACK_US = 1200000,
+	/*
+	 * Shorter times where callers wait, as they are refused until a
+	 * configuration is loaded. The first allows for the reply of a live
+	 * seed, the second for the start of the reader.
+	 */
+	QUICK_READ_US = 40000,
+	QUICK_FALLBACK_US = 300000,
+	/*
+	 * With more nodes than this the longer times apply. If hundreds of
+	 * nodes read the whole table at once, the store's link is busy for
+	 * seconds, in which no node serves; relayed by readers, the table
+	 * arrives sooner at each node.
+	 */
+	QUICK_NODES_MAX = 24,
+	/* Minimum time between two requests for items. */
+	REQUEST_INTERVAL_US = 200000,
+	/* An outage of the store is reported to other nodes for this long. */
+	STORE_LOST_REPORT_US = 10000000,
+	/* Children of a node in the tree; three hops reach 90 nodes. */
+	TREE_FANOUT = 4,
+	TREE_NODES_MAX = 1024,
+	/* Items are relayed if they are newer than the known ones by this. */
+	RELAY_MIN_US = 50000,
+};
+
+void relay_init(struct relay *relay, struct gossip *gossip,
+		struct reader *reader, struct flow_effects *fx,
+		bool first_start, int64_t now)
+{
+	*relay = (struct relay){ .gossip = gossip,
+				 .reader = reader,
+				 .dir = reader->dir,
+				 .fx = fx,
+				 .requested_at = now - REQUEST_INTERVAL_US,
+				 .started_at = now,
+				 .first_start = first_start };
+}
+
+/*
+ * If all VMs are new, no caller waits yet, and a delayed read saves calls to
+ * the store.
+ */
+static bool delays_first_read(const struct relay *relay)
+{
+	return relay->first_start ||
+	       gossip_count(relay->gossip) > QUICK_NODES_MAX;
+}
+
+/* From then on the domain's reader reads the store if it has no items. */
+static int64_t reader_start_at(const struct relay *relay)
+{
+	return relay->started_at +
+	       (delays_first_read(relay) ? DELAYED_READ_US : QUICK_READ_US);
+}
+
+/* From then on any node without items reads the store. */
+static int64_t fallback_start_at(const struct relay *relay)
+{
+	return relay->started_at + (delays_first_read(relay)
+					    ? DELAYED_FALLBACK_US
+					    : QUICK_FALLBACK_US);
+}
+
+static bool should_read(const struct relay *relay, int64_t now)
+{
+	if (!relay->dir->revision)
+		return gossip_is_seed(relay->gossip) ||
+		       now >= fallback_start_at(relay) ||
+		       (now >= reader_start_at(relay) &&
+			gossip_reads(relay->gossip, now));
+	return gossip_reads(relay->gossip, now) ||
+	       now - relay->dir->read_at >= STALE_US;
+}
+
+static void send_msg(struct relay *relay, struct str addr, uint32_t kind,
+		     uint64_t since, struct str body, bool relay_further,
+		     int64_t now)
+{
+	struct flow_effect *fx = flow_add(relay->fx, FLOW_PEER_SEND);
+	int64_t lost = now - roster_store_lost_at(relay->dir->roster);
+
+	fx->addr = str_dup(relay->fx->pool, addr);
+	fx->msg.kind = kind;
+	fx->msg.state = relay_further;
+	fx->msg.key = since;
+	fx->msg.version = relay->dir->revision;
+	fx->msg.fresh_us = now - relay->dir->read_at;
+	fx->msg.wait_us = lost < STORE_LOST_REPORT_US ? lost + 1 : 0;
+	fx->msg.body = body;
+}
+
+static struct str pack_items(struct relay *relay, uint64_t since)
+{
+	struct buf items = { 0 };
+	struct str body;
+
+	directory_pack(relay->dir, since, &items);
+	body = str_dup(relay->fx->pool, buf_str(&items));
+	buf_free(&items);
+	return body;
+}
+
+/*
+ * A random node among those with a newer revision, preferably in this failure
+ * domain.
+ */
+static struct member_info *pick_source(const struct relay *relay, int64_t now)
+{
+	apr_hash_index_t *it;
+	struct member_info *source = NULL;
+	uint64_t seen = 0;
+
+	for (it = apr_hash_first(NULL, relay->gossip->members); it;
+	     it = apr_hash_next(it)) {
+		struct member_info *member = hash_value(it);
+
+		if (member->entry.revision <= relay->dir->revision ||
+		    !gossip_is_live(member, now) ||
+		    (source && source->near && !member->near))
+			continue;
+		if (source && member->near && !source->near)
+			seen = 0;
+		if (!rng_below(relay->gossip->rng, ++seen))
+			source = member;
+	}
+	return source;
+}
+
+static void request_items(struct relay *relay, int64_t now)
+{
+	struct member_info *source;
+
+	if (now - relay->requested_at < REQUEST_INTERVAL_US)
+		return;
+	source = pick_source(relay, now);
+	if (!source)
+		return;
+	/*
+	 * All items from another domain are costly to transfer, so the reader
+	 * of this domain gets time to read them first.
+	 */
+	if (!relay->dir->revision && !source->near &&
+	    now < fallback_start_at(relay))
+		return;
+	relay->requested_at = now;
+	send_msg(relay, source->addr, MSG_ITEMS_GET, 0, (struct str){ 0 },
+		 false, now);
+}
+
+void relay_tick(struct relay *relay, int64_t now)
+{
+	bool read = should_read(relay, now);
+	struct member_entry *self = &relay->gossip->self;
+
+	reader_active(relay->reader, read, now);
+	self->revision = relay->dir->revision;
+	self->version = relay->dir->catalog ? relay->dir->catalog->version : 0;
+	if (relay->reader->failures)
+		self->state &= ~(uint32_t)MEMBER_READS;
+	else
+		self->state |= MEMBER_READS;
+	if (!relay->dir->revision || now - relay->dir->read_at >= STALE_US)
+		request_items(relay, now);
+}
+
+/** struct tree_node - a node of the relay tree */
+struct tree_node {
+	uint32_t ip;
+	bool reads;
+	struct member_info *member; /* NULL: this node */
+};
+
+static int by_ip(const void *a, const void *b)
+{
+	const struct tree_node *x = a;
+	const struct tree_node *y = b;
+
+	return x->ip < y->ip ? -1 : x->ip > y->ip;
+}
+
+/* Lists the domain's live nodes in tree order: the reader, then by address. */
+static size_t list_tree(const struct relay *relay, int64_t now,
+			struct tree_node *tree)
+{
+	const struct member_entry *self = &relay->gossip->self;
+	apr_hash_index_t *it;
+	size_t count = 0;
+	size_t reader = 0;
+	struct tree_node first;
+
+	tree[count++] = (struct tree_node){ self->ip,
+					    self->state & MEMBER_READS, NULL };
+	for (it = apr_hash_first(NULL, relay->gossip->members); it;
+	     it = apr_hash_next(it)) {
+		struct member_info *member = hash_value(it);
+
+		if (member->near && gossip_is_live(member, now) &&
+		    count < TREE_NODES_MAX)
+			tree[count++] = (struct tree_node){
+				member->entry.ip,
+				member->entry.state & MEMBER_READS, member
+			};
+	}
+	qsort(tree, count, sizeof(*tree), by_ip);
+	while (reader + 1 < count && !tree[reader].reads)
+		reader++;
+	first = tree[reader];
+	memmove(tree + 1, tree, reader * sizeof(*tree));
+	tree[0] = first;
+	return count;
+}
+
+/*
+ * Each node sends the items to its children in the tree, so that no link
+ * carries them for a whole domain: a hundred new targets are 30 kB per node,
+ * which kept a link of 200 Mbit/s busy for a third of a question's goal.
+ */
+static void relay_items(struct relay *relay, uint64_t since, struct str body,
+			int64_t now)
+{
+	struct tree_node tree[TREE_NODES_MAX];
+	size_t count = list_tree(relay, now, tree);
+	size_t self_index = 0;
+
+	while (self_index < count && tree[self_index].member)
+		self_index++;
+	for (size_t i = 1; i <= TREE_FANOUT; i++) {
+		size_t child = self_index * TREE_FANOUT + i;
+
+		if (child < count && tree[child].member)
+			send_msg(relay, tree[child].member->addr, MSG_ITEMS,
+				 since, body, true, now);
+	}
+}
+
+void relay_on_read(struct relay *relay, int64_t now)
+{
+	if (!relay->dir->revision || !gossip_reads(relay->gossip, now))
+		return;
+	relay_items(relay, relay->relayed_revision,
+		    pack_items(relay, relay->relayed_revision), now);
+	relay->relayed_revision = relay->dir->revision;
+}
+
+void relay_on_items(struct relay *relay, struct str from, const struct msg *msg,
+		    int64_t now)
+{
+	struct directory *dir = relay->dir;
+	struct store_item *items;
+	apr_pool_t *pool;
+	size_t count;
+	bool newer;
+
+	apr_pool_create(&pool, dir->pool);
+	if (parcel_open_items(msg->body, pool, &items, &count)) {
+		note_belief(dir->notes, now, "unusable", from,
+			    "its message cannot be decoded", msg->version);
+		apr_pool_destroy(pool);
+		return;
+	}
+	if (msg->wait_us)
+		roster_store_lost(dir->roster, now - msg->wait_us);
+	directory_merge(dir, items, count, now);
+	apr_pool_destroy(pool);
+	/* Changes between the two revisions are missing: request them. */
+	if (msg->key > dir->revision) {
+		send_msg(relay, from, MSG_ITEMS_GET, 0, (struct str){ 0 },
+			 false, now);
+		return;
+	}
+	if (msg->version < dir->revision)
+		return;
+	newer = msg->version > dir->revision ||
+		now - msg->fresh_us > dir->read_at + RELAY_MIN_US;
+	dir->revision = msg->version;
+	dir->synced = true;
+	if (now - msg->fresh_us > dir->read_at)
+		dir->read_at = now - msg->fresh_us;
+	dir->notes->revision = dir->revision;
+	dir->notes->read_at = dir->read_at;
+	/* A reply to this node's own request is not relayed. */
+	if (newer && msg->state)
+		relay_items(relay, msg->key,
+			    str_dup(relay->fx->pool, msg->body), now);
+}
+
+void relay_on_request(struct relay *relay, struct str from,
+		      const struct msg *msg, int64_t now)
+{
+	if (!relay->dir->revision)
+		return;
+	send_msg(relay, from, MSG_ITEMS, msg->version,
+		 pack_items(relay, msg->version), false, now);
+}
+
+int64_t relay_wake_at(const struct relay *relay, int64_t now)
+{
+	if (!relay->dir->revision)
+		return now < reader_start_at(relay) ? reader_start_at(relay)
+						    : fallback_start_at(relay);
+	return relay->dir->read_at + STALE_US;
+}
--- a/tier.c
+++ b/tier.c
@@ -6,46 +6,46 @@
 #include "forward.h"
 #include "merge.h"
 #include "note.h"
-#include "poison_news.h"
+#include "placement.h"
+#include "poison_sync.h"
 #include "reader.h"
-#include "share.h"
-#include "spread.h"
+#include "relay.h"
 #include "trial.h"
 #include "xmalloc.h"
 
 enum {
 	/*
-	 * After the signal to stop a node serves on, so that the balancer,
-	 * which asks each second and needs two misses, and callers with
-	 * connections have moved on before it ends: this part of the time until
-	 * it is killed.
+	 * Fraction of the grace period during which a node keeps serving after
+	 * the signal to stop. The load balancer checks each second and needs
+	 * two failed checks; callers with open connections must move on too.
 	 */
-	LINGER_NUM = 6,
-	LINGER_DEN = 10,
+	DRAIN_GRACE_NUM = 6,
+	DRAIN_GRACE_DEN = 10,
 	/*
-	 * A node without a configuration tells callers to come back: it mostly
-	 * has one within a tenth of a second. While the store does not answer
-	 * it may be long, and a caller that comes too soon is refused again.
+	 * Retry-After of a node without a configuration. It usually has one
+	 * within 100 ms. While the store does not answer that may take long,
+	 * and a caller that retries too soon is refused again.
 	 */
 	STARTING_RETRY_US = 300000,
-	STORE_AWAY_RETRY_US = 1000000,
+	STORE_DOWN_RETRY_US = 1000000,
 	SWEEP_US = 5000000,
 	/*
-	 * Nodes that start together hear of each other within this time. Until
-	 * then each would take a target's connections for its own, and the
-	 * target resets what is beyond its cap.
+	 * Nodes that start together discover each other within this time.
+	 * Until then each would use all of a target's connections, and the
+	 * target resets connections above its limit.
 	 */
-	MEET_US = 1000000,
-	/* The table of targets is as the store has it: read this lately, */
-	FRESH_US = 2000000,
-	/* and entries that lapsed while it was away have come back. */
-	AWAY_US = 5000000,
+	DISCOVERY_US = 1000000,
+	/* Maximum age of a target table that counts as up to date. */
+	STORE_FRESH_US = 2000000,
+	/* After an outage of the store, expired entries are back by then. */
+	STORE_RECOVERY_US = 5000000,
 	/*
-	 * News goes to so many nodes of the domain directly; where there are
-	 * more, to so many that pass it on: four steps reach 910.
+	 * Evidence is sent directly to this many nodes of the failure domain.
+	 * In a larger domain it goes to EVIDENCE_FANOUT nodes that relay it:
+	 * four hops reach 910 nodes.
 	 */
-	NEWS_DIRECT = 32,
-	NEWS_FANOUT = 8,
+	EVIDENCE_DIRECT_MAX = 32,
+	EVIDENCE_FANOUT = 8,
 };
 
 struct tier {
@@ -60,28 +60,28 @@
 	struct reader reader;
 	struct calls calls;
 	struct gossip gossip;
-	struct share share;
-	struct spread spread;
-	struct batch_book batches;
+	struct relay relay;
+	struct placement placement;
+	struct batch_table batches;
 	struct poison poison;
-	struct poison_news poison_news;
+	struct poison_sync poison_sync;
 	bool ready;
-	int64_t stop_at;
-	bool stopped;
+	int64_t exit_at;
+	bool exit_sent;
 	uint64_t limits_version;
 	int64_t sweep_at;
 };
 
-static struct budget_rules rules_of(const struct vm_settings *settings)
+static struct budget_rules budget_rules_of(const struct vm_settings *settings)
 {
 	return (struct budget_rules){ settings->retry_ratio,
 				      settings->retry_extra,
 				      settings->retry_window_us };
 }
 
-/* Evidence against requests, among nodes. */
+/* Evidence against requests. */
 
-static void send_news(void *ctx, struct str addr, const struct msg *msg)
+static void send_evidence(void *ctx, struct str addr, const struct msg *msg)
 {
 	struct tier *tier = ctx;
 	struct flow_effect *fx = flow_add(tier->fx, FLOW_PEER_SEND);
@@ -91,30 +91,34 @@
 	fx->msg.body = str_dup(tier->fx->pool, msg->body);
 }
 
-static void spread_to(struct tier *tier, struct msg msg, bool pass_on,
-		      struct member_info *const *members, size_t count)
+static void send_to_members(struct tier *tier, struct msg msg, bool relay,
+			    struct member_info *const *members, size_t count)
 {
-	msg.ran = pass_on;
+	msg.ran = relay;
 	for (size_t i = 0; i < count; i++)
-		send_news(tier, members[i]->addr, &msg);
+		send_evidence(tier, members[i]->addr, &msg);
 }
 
-/* Bytes between domains are paid for: one node of each passes it on there. */
-static void spread_news(void *ctx, const struct msg *msg, bool near)
+/*
+ * Traffic between failure domains is billed, so each other domain receives the
+ * message once, at a node that relays it there.
+ */
+static void broadcast_evidence(void *ctx, const struct msg *msg, bool near)
 {
 	struct tier *tier = ctx;
 	int64_t now = tier->calls.now;
-	bool relays = tier->gossip.near_live > NEWS_DIRECT;
-	struct member_info *members[NEWS_DIRECT];
+	bool use_relays = tier->gossip.near_live > EVIDENCE_DIRECT_MAX;
+	struct member_info *members[EVIDENCE_DIRECT_MAX];
 	size_t count;
 
-	count = gossip_near(&tier->gossip, relays ? NEWS_FANOUT : NEWS_DIRECT,
+	count = gossip_near(&tier->gossip,
+			    use_relays ? EVIDENCE_FANOUT : EVIDENCE_DIRECT_MAX,
 			    now, members);
-	spread_to(tier, *msg, relays, members, count);
+	send_to_members(tier, *msg, use_relays, members, count);
 	if (near)
 		return;
-	count = gossip_far(&tier->gossip, NEWS_DIRECT, now, members);
-	spread_to(tier, *msg, true, members, count);
+	count = gossip_far(&tier->gossip, EVIDENCE_DIRECT_MAX, now, members);
+	send_to_members(tier, *msg, true, members, count);
 }
 
 static bool is_published(const void *ctx, const struct poison_crash *crash)
@@ -145,30 +149,31 @@
 	calls_init(&tier->calls, tier->pool, opt->seed);
 	tier->calls.roster = tier->roster;
 	tier->calls.budget =
-		budget_create(tier->pool, rules_of(&tier->settings));
+		budget_create(tier->pool, budget_rules_of(&tier->settings));
 	tier->calls.without = opt->without;
 	tier->calls.fx = fx;
 	tier->calls.notes = &tier->notes;
 	gossip_init(&tier->gossip, tier->pool, fx, &tier->calls.rng,
 		    &tier->settings, opt->incarnation, now);
-	share_init(&tier->share, &tier->gossip, &tier->reader, fx,
-		   tier->settings.first_start ||
-			   !mechanism_on(opt->without, MECHANISM_QUICK_START),
-		   now);
-	spread_init(&tier->spread, &tier->gossip, tier->roster,
-		    &tier->calls.rng, opt->without);
-	batch_book_init(&tier->batches, tier->pool, &tier->gossip,
-			&tier->spread);
+	relay_init(
+		&tier->relay, &tier->gossip, &tier->reader, fx,
+		tier->settings.first_start ||
+			!mechanism_enabled(opt->without, MECHANISM_QUICK_START),
+		now);
+	placement_init(&tier->placement, &tier->gossip, tier->roster,
+		       &tier->calls.rng, opt->without);
+	batch_table_init(&tier->batches, tier->pool, &tier->gossip,
+			 &tier->placement);
 	merge_init(&tier->calls, &tier->batches);
 	poison_init(&tier->poison, tier->pool,
 		    (struct poison_targets){ is_published, tier->roster });
-	tier->poison_news = (struct poison_news){
+	tier->poison_sync = (struct poison_sync){
 		.poison = &tier->poison,
-		.links = { spread_news, send_news, tier },
+		.transport = { broadcast_evidence, send_evidence, tier },
 		.pool = tier->pool,
 	};
 	tier->calls.poison = &tier->poison;
-	tier->calls.news = &tier->poison_news;
+	tier->calls.news = &tier->poison_sync;
 	tier->calls.gossip = &tier->gossip;
 	return tier;
 }
@@ -207,15 +212,16 @@
 
 static int64_t starting_retry_us(struct tier *tier)
 {
-	bool store_away = tier->reader.failures > 0;
+	bool store_down = tier->reader.failures > 0;
 
-	return call_spread(&tier->calls, store_away ? STORE_AWAY_RETRY_US
+	return call_spread(&tier->calls, store_down ? STORE_DOWN_RETRY_US
 						    : STARTING_RETRY_US);
 }
 
 /*
- * What is read after the process was frozen may have waited as long; the rest
- * of its time may be over. It has not run, and the caller can be told so.
+ * A request that is read after the process was paused may have waited for as
+ * long as the pause, and its deadline may have passed. It has not run, so it
+ * can be refused as not executed.
  */
 static bool is_stale(const struct flow_event *event)
 {
@@ -225,7 +231,7 @@
 	       request->time_left_us <= event->held_us;
 }
 
-/* Return: true when it is one that crashes targets, and the call has ended. */
+/* Return: true if the request is blocked; the call has ended then. */
 static bool refuse_blocked(struct tier *tier, struct call *call)
 {
 	const char *why = "blocked";
@@ -234,7 +240,7 @@
 	if (poison_verdict(&tier->poison, &call->print) != POISON_BLOCKED)
 		return false;
 	metric_add(&tier->notes.metrics, METRIC_BLOCKED);
-	trial_excuse(&tier->calls, call, &why, &retry_us);
+	trial_refusal_reason(&tier->calls, call, &why, &retry_us);
 	call_refuse(&tier->calls, call, 503, why, retry_us);
 	return true;
 }
@@ -268,7 +274,7 @@
 			   route);
 	call->print = flow_fingerprint(request);
 	call->kind = route->nshards ? &merge_kind : &forward_kind;
-	poison_asked(&tier->poison, &call->print, event->now);
+	poison_touch(&tier->poison, &call->print, event->now);
 	if (refuse_blocked(tier, call))
 		return;
 	call->kind->begin(&tier->calls, call);
@@ -282,7 +288,7 @@
 		call_abandon(&tier->calls, call);
 }
 
-/* Life. */
+/* Lifecycle. */
 
 static void set_ready(struct tier *tier, bool ready)
 {
@@ -297,7 +303,7 @@
 		tier->gossip.self.state |= MEMBER_SERVES;
 	else
 		tier->gossip.self.state |= MEMBER_LEAVES;
-	/* Others must not hand shards to a node that is about to end. */
+	/* Other nodes must not send shards to a node that is about to exit. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
 	note_belief(&tier->notes, tier->calls.now, "ready",
@@ -306,7 +312,7 @@
 		    tier->notes.version);
 }
 
-static void tell_limits(struct tier *tier)
+static void emit_limits(struct tier *tier)
 {
 	const struct catalog *catalog = tier->dir.catalog;
 	struct flow_effect *fx;
@@ -320,25 +326,26 @@
 
 static void on_stop(struct tier *tier)
 {
-	if (tier->stop_at)
+	if (tier->exit_at)
 		return;
-	tier->stop_at = tier->calls.now +
-			tier->settings.grace_us * LINGER_NUM / LINGER_DEN;
+	tier->exit_at = tier->calls.now + tier->settings.grace_us *
+						  DRAIN_GRACE_NUM /
+						  DRAIN_GRACE_DEN;
 	set_ready(tier, false);
 }
 
 static void check_stop(struct tier *tier)
 {
-	if (!tier->stop_at || tier->stopped ||
-	    tier->calls.now < tier->stop_at || tier->calls.nopen)
+	if (!tier->exit_at || tier->exit_sent ||
+	    tier->calls.now < tier->exit_at || tier->calls.nopen)
 		return;
-	tier->stopped = true;
+	tier->exit_sent = true;
 	flow_add(tier->fx, FLOW_EXIT);
 }
 
 static void on_settings(struct tier *tier, const struct vm_settings *settings)
 {
-	budget_rules(tier->calls.budget, rules_of(settings));
+	budget_rules(tier->calls.budget, budget_rules_of(settings));
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
 	gossip_seeds(&tier->gossip, settings);
@@ -347,11 +354,11 @@
 
 /* Other nodes. */
 
-/* What the table of targets lacks now is gone, not only out of sight. */
+/* Return: a target that is missing from the table is known to be gone. */
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
-	return now - tier->dir.read_at < FRESH_US &&
-	       now - roster_store_lost_at(tier->roster) > AWAY_US;
+	return now - tier->dir.read_at < STORE_FRESH_US &&
+	       now - roster_store_lost_at(tier->roster) > STORE_RECOVERY_US;
 }
 
 static void on_msg(struct tier *tier, const struct flow_event *event)
@@ -359,25 +366,27 @@
 	const struct msg *msg = event->msg;
 	struct flow_effect *fx;
 
-	int64_t late_us =
+	int64_t delay_us =
 		gossip_delay(&tier->gossip, event->from, event->incarnation,
 			     event->sent_us, event->now);
 
-	if (late_us < event->held_us)
-		late_us = event->held_us;
+	if (delay_us < event->held_us)
+		delay_us = event->held_us;
 	gossip_heard(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
 		gossip_msg(&tier->gossip, event->from, msg->body, event->now);
-		poison_news_digest(&tier->poison_news, event->from, msg->hash,
-				   event->now);
+		poison_sync_on_digest(&tier->poison_sync, event->from,
+				      msg->hash, event->now);
 		break;
 	case MSG_SUSPECTS:
-		poison_news_msg(&tier->poison_news, event->from, msg,
-				store_is_fresh(tier, event->now), event->now);
+		poison_sync_on_msg(&tier->poison_sync, event->from, msg,
+				   store_is_fresh(tier, event->now),
+				   event->now);
 		break;
 	case MSG_TRY:
-		trial_asked(&tier->calls, event->from, event->incarnation, msg);
+		trial_on_request(&tier->calls, event->from, event->incarnation,
+				 msg);
 		break;
 	case MSG_TRY_REPLY:
 		trial_on_reply(&tier->calls, msg);
@@ -387,48 +396,49 @@
 		fx->addr = str_dup(tier->fx->pool, event->from);
 		break;
 	case MSG_ITEMS:
-		share_items(&tier->share, event->from, msg, event->now);
-		tell_limits(tier);
+		relay_on_items(&tier->relay, event->from, msg, event->now);
+		emit_limits(tier);
 		break;
 	case MSG_ITEMS_GET:
-		share_wanted(&tier->share, event->from, msg, event->now);
+		relay_on_request(&tier->relay, event->from, msg, event->now);
 		break;
 	case MSG_ASK:
-		batch_asked(&tier->calls, tier->dir.catalog, event->from,
-			    event->incarnation, msg, late_us);
+		batch_on_request(&tier->calls, tier->dir.catalog, event->from,
+				 event->incarnation, msg, delay_us);
 		break;
 	case MSG_ASK_REPLY:
 		batch_on_reply(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_GO:
-		batch_on_go(&tier->calls, event->from, msg);
+		batch_on_grant(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_CANCEL:
-		batch_cancelled(&tier->calls, event->from, msg);
+		batch_on_cancel(&tier->calls, event->from, msg);
 		break;
 	default:
-		/* Of the other kind of node, which serves its own interface. */
+		/* Kinds that only nodes with an interface of their own use. */
 		break;
 	}
 }
 
-static void count_nodes(struct tier *tier)
+static void update_node_count(struct tier *tier)
 {
 	int nodes = gossip_count(&tier->gossip);
-	bool met = tier->calls.now - tier->gossip.started_at > MEET_US;
-	int near = met ? tier->gossip.near_counted : 0;
+	bool discovery_done =
+		tier->calls.now - tier->gossip.started_at > DISCOVERY_US;
+	int near = discovery_done ? tier->gossip.near_counted : 0;
 
 	if (nodes == tier->dir.nodes && near == tier->dir.near)
 		return;
 	note_belief(&tier->notes, tier->calls.now, "nodes", STR("all"),
-		    "heard of", (uint64_t)nodes);
+		    "membership changed", (uint64_t)nodes);
 	directory_bounds(&tier->dir, nodes, near);
-	tier->spread.met = met;
-	spread_forget(&tier->spread);
+	tier->placement.discovery_done = discovery_done;
+	placement_invalidate(&tier->placement);
 	budget_nodes(tier->calls.budget, nodes);
 }
 
-/* Tables must not grow with all targets that there ever were. */
+/* Removes old entries: the tables must not grow with every target ever seen. */
 static void sweep(struct tier *tier)
 {
 	if (tier->calls.now < tier->sweep_at)
@@ -436,8 +446,8 @@
 	tier->sweep_at = tier->calls.now + SWEEP_US;
 	roster_sweep(tier->roster, tier->calls.now);
 	directory_sweep(&tier->dir, tier->calls.now);
-	poison_settle(&tier->poison, store_is_fresh(tier, tier->calls.now),
-		      tier->calls.now);
+	poison_sweep(&tier->poison, store_is_fresh(tier, tier->calls.now),
+		     tier->calls.now);
 }
 
 static void run_timers(struct tier *tier)
@@ -456,8 +466,9 @@
 	switch (event->type) {
 	case FLOW_TICK:
 		/*
-		 * Only here, after all that has come in was taken: a process
-		 * that was held up must not judge what it has not read late.
+		 * Timers run only after all received input was processed:
+		 * otherwise a process that was paused would treat replies that
+		 * it has not read yet as late.
 		 */
 		run_timers(tier);
 		sweep(tier);
@@ -474,8 +485,8 @@
 	case FLOW_STORE:
 		reader_reply(&tier->reader, event->store, event->now);
 		if (event->store->ok && tier->reader.state == READER_IDLE)
-			share_read(&tier->share, event->now);
-		tell_limits(tier);
+			relay_on_read(&tier->relay, event->now);
+		emit_limits(tier);
 		break;
 	case FLOW_MSG:
 		on_msg(tier, event);
@@ -492,13 +503,13 @@
 	case FLOW_EVENTS:
 		break;
 	}
-	share_tick(&tier->share, event->now);
+	relay_tick(&tier->relay, event->now);
 	if (event->now >= tier->gossip.next_at)
 		tier->gossip.digest = poison_digest(&tier->poison, event->now);
 	gossip_tick(&tier->gossip, event->now);
-	count_nodes(tier);
+	update_node_count(tier);
 	reader_tick(&tier->reader, event->now);
-	if (!tier->stop_at && tier->dir.catalog)
+	if (!tier->exit_at && tier->dir.catalog)
 		set_ready(tier, true);
 	check_stop(tier);
 }
@@ -513,17 +524,17 @@
 	int64_t when = timer_next(&tier->calls.timers);
 	int64_t read_at = reader_wake_at(&tier->reader);
 
-	int64_t share_at = share_wake_at(&tier->share, tier->calls.now);
+	int64_t relay_at = relay_wake_at(&tier->relay, tier->calls.now);
 
 	if (read_at < when)
 		when = read_at;
 	if (tier->gossip.next_at < when)
 		when = tier->gossip.next_at;
-	if (!tier->reader.active && share_at < when)
-		when = share_at;
-	if (tier->stop_at && !tier->stopped && !tier->calls.nopen &&
-	    tier->stop_at < when)
-		when = tier->stop_at;
+	if (!tier->reader.active && relay_at < when)
+		when = relay_at;
+	if (tier->exit_at && !tier->exit_sent && !tier->calls.nopen &&
+	    tier->exit_at < when)
+		when = tier->exit_at;
 	return when;
 }
 
