--- a/roster.c
+++ b/balancer.c
@@ -1,4 +1,4 @@
-#include "roster.h"
+#include "balancer.h"
 
 #include <stdlib.h>
 
@@ -43,8 +43,8 @@
 	struct conn_bound conns;
 };
 
-/** struct roster - @without: mechanisms that are off */
-struct roster {
+/** struct balancer - @without: mechanisms that are off */
+struct balancer {
 	apr_pool_t *pool;
 	uint32_t without;
 	struct str domain;
@@ -55,22 +55,22 @@
 	size_t count;
 };
 
-struct roster *roster_create(apr_pool_t *parent, struct str domain,
-			     uint32_t without)
+struct balancer *balancer_create(apr_pool_t *parent, struct str domain,
+				 uint32_t without)
 {
 	apr_pool_t *pool;
-	struct roster *roster;
+	struct balancer *balancer;
 
 	apr_pool_create(&pool, parent);
-	roster = apr_pcalloc(pool, sizeof(*roster));
-	roster->pool = pool;
-	roster->domain = str_dup(pool, domain);
-	roster->without = without;
-	roster->targets = hash_make(pool);
-	roster->groups = hash_make(pool);
-	roster->out = hash_make(pool);
-	roster->store_lost_at = INT64_MIN / 2;
-	return roster;
+	balancer = apr_pcalloc(pool, sizeof(*balancer));
+	balancer->pool = pool;
+	balancer->domain = str_dup(pool, domain);
+	balancer->without = without;
+	balancer->targets = hash_make(pool);
+	balancer->groups = hash_make(pool);
+	balancer->out = hash_make(pool);
+	balancer->store_lost_at = INT64_MIN / 2;
+	return balancer;
 }
 
 static void free_strings(struct live_target *target)
@@ -80,48 +80,48 @@
 	str_free(target->domain);
 }
 
-static bool has(const struct roster *roster, enum mechanism mechanism)
+static bool has(const struct balancer *balancer, enum mechanism mechanism)
 {
-	return mechanism_on(roster->without, mechanism);
+	return mechanism_on(balancer->without, mechanism);
 }
 
-void roster_destroy(struct roster *roster)
+void balancer_destroy(struct balancer *balancer)
 {
 	apr_hash_index_t *it;
 
-	for (it = apr_hash_first(NULL, roster->targets); it;
+	for (it = apr_hash_first(NULL, balancer->targets); it;
 	     it = apr_hash_next(it)) {
 		void *target = hash_value(it);
 
 		free_strings(target);
 		free(target);
 	}
-	for (it = apr_hash_first(NULL, roster->groups); it;
+	for (it = apr_hash_first(NULL, balancer->groups); it;
 	     it = apr_hash_next(it)) {
 		void *group = hash_value(it);
 
 		free(group);
 	}
-	apr_pool_destroy(roster->pool);
+	apr_pool_destroy(balancer->pool);
 }
 
-static struct group *group_get(struct roster *roster, uint64_t service)
+static struct group *group_get(struct balancer *balancer, uint64_t service)
 {
 	struct group *group =
-		apr_hash_get(roster->groups, &service, sizeof(service));
+		apr_hash_get(balancer->groups, &service, sizeof(service));
 
 	if (group)
 		return group;
 	group = xcalloc(1, sizeof(*group));
 	group->service = service;
-	apr_hash_set(roster->groups, &group->service, sizeof(group->service),
+	apr_hash_set(balancer->groups, &group->service, sizeof(group->service),
 		     group);
 	return group;
 }
 
-static void unlink_target(struct roster *roster, struct live_target *target)
+static void unlink_target(struct balancer *balancer, struct live_target *target)
 {
-	struct live_target **at = &group_get(roster, target->service)->first;
+	struct live_target **at = &group_get(balancer, target->service)->first;
 
 	while (*at && *at != target)
 		at = &(*at)->next;
@@ -129,35 +129,36 @@
 		*at = target->next;
 }
 
-static void forget(struct roster *roster, struct live_target *target)
+static void forget(struct balancer *balancer, struct live_target *target)
 {
-	unlink_target(roster, target);
-	apr_hash_set(roster->targets, &target->key, sizeof(target->key), NULL);
+	unlink_target(balancer, target);
+	apr_hash_set(balancer->targets, &target->key, sizeof(target->key),
+		     NULL);
 	free_strings(target);
 	free(target);
-	roster->count--;
+	balancer->count--;
 }
 
-static struct live_target *add(struct roster *roster, uint64_t key,
+static struct live_target *add(struct balancer *balancer, uint64_t key,
 			       const struct target_entry *entry)
 {
 	struct live_target *target = xcalloc(1, sizeof(*target));
-	struct group *group = group_get(roster, entry->service);
+	struct group *group = group_get(balancer, entry->service);
 
 	target->key = key;
 	target->id = str_keep(entry->id);
 	target->addr = str_keep(entry->addr);
 	target->domain = str_keep(entry->domain);
 	target->domain_key = str_hash(entry->domain);
-	target->near = str_eq(entry->domain, roster->domain);
+	target->near = str_eq(entry->domain, balancer->domain);
 	target->service = entry->service;
 	target->born_ms = entry->born_ms;
 	target->slowness = 1;
 	target->next = group->first;
 	group->first = target;
-	apr_hash_set(roster->targets, &target->key, sizeof(target->key),
+	apr_hash_set(balancer->targets, &target->key, sizeof(target->key),
 		     target);
-	roster->count++;
+	balancer->count++;
 	return target;
 }
 
@@ -170,29 +171,29 @@
 	       str_eq(target->addr, entry->addr);
 }
 
-void roster_put(struct roster *roster, const struct target_entry *entry,
-		int64_t now)
+void balancer_put(struct balancer *balancer, const struct target_entry *entry,
+		  int64_t now)
 {
 	uint64_t key = str_hash(entry->id);
 	struct live_target *target =
-		apr_hash_get(roster->targets, &key, sizeof(key));
+		apr_hash_get(balancer->targets, &key, sizeof(key));
 
 	if (target && !is_same(target, entry)) {
 		/* Requests under way still point to it. */
 		if (target->open) {
-			unlink_target(roster, target);
-			apr_hash_set(roster->targets, &target->key,
+			unlink_target(balancer, target);
+			apr_hash_set(balancer->targets, &target->key,
 				     sizeof(target->key), NULL);
 			target->service = 0;
 			target->listed = false;
-			roster->count--;
+			balancer->count--;
 		} else {
-			forget(roster, target);
+			forget(balancer, target);
 		}
 		target = NULL;
 	}
 	if (!target)
-		target = add(roster, key, entry);
+		target = add(balancer, key, entry);
 	target->listed = true;
 	target->slots = entry->slots;
 	target->cold_until = entry->cold_us ? now + entry->cold_us : 0;
@@ -202,11 +203,11 @@
 		target->left_at = now;
 }
 
-void roster_drop(struct roster *roster, struct str id, int64_t now)
+void balancer_unpublish(struct balancer *balancer, struct str id, int64_t now)
 {
 	uint64_t key = str_hash(id);
 	struct live_target *target =
-		apr_hash_get(roster->targets, &key, sizeof(key));
+		apr_hash_get(balancer->targets, &key, sizeof(key));
 
 	if (!target)
 		return;
@@ -215,40 +216,41 @@
 		target->left_at = now;
 }
 
-void roster_domain(struct roster *roster, struct str domain, bool out)
+void balancer_set_domain(struct balancer *balancer, struct str domain, bool out)
 {
 	uint64_t key = str_hash(domain);
-	uint64_t *kept = apr_hash_get(roster->out, &key, sizeof(key));
+	uint64_t *kept = apr_hash_get(balancer->out, &key, sizeof(key));
 
 	if (out && !kept) {
-		kept = apr_palloc(roster->pool, sizeof(key));
+		kept = apr_palloc(balancer->pool, sizeof(key));
 		*kept = key;
-		apr_hash_set(roster->out, kept, sizeof(*kept), kept);
+		apr_hash_set(balancer->out, kept, sizeof(*kept), kept);
 	} else if (!out && kept) {
-		apr_hash_set(roster->out, &key, sizeof(key), NULL);
+		apr_hash_set(balancer->out, &key, sizeof(key), NULL);
 	}
 }
 
-void roster_store_lost(struct roster *roster, int64_t now)
+void balancer_on_store_lost(struct balancer *balancer, int64_t now)
 {
-	if (now > roster->store_lost_at)
-		roster->store_lost_at = now;
+	if (now > balancer->store_lost_at)
+		balancer->store_lost_at = now;
 }
 
-int64_t roster_store_lost_at(const struct roster *roster)
+int64_t balancer_store_lost_at(const struct balancer *balancer)
 {
-	return roster->store_lost_at;
+	return balancer->store_lost_at;
 }
 
-void roster_cold_bound(struct roster *roster, uint64_t service, int per_second)
+void balancer_set_cold_limit(struct balancer *balancer, uint64_t service,
+			     int per_second)
 {
-	group_get(roster, service)->cold_per_second = per_second;
+	group_get(balancer, service)->cold_per_second = per_second;
 }
 
-void roster_conn_bound(struct roster *roster, uint64_t service,
-		       struct conn_bound bound)
+void balancer_set_conn_limit(struct balancer *balancer, uint64_t service,
+			     struct conn_bound bound)
 {
-	group_get(roster, service)->conns = bound;
+	group_get(balancer, service)->conns = bound;
 }
 
 /*
@@ -256,11 +258,11 @@
  * each later one later still: so few are sent there that a reply comes within
  * half of the goal, one at least.
  */
-static bool is_busy(const struct roster *roster, const struct group *group,
-		    const struct live_target *target, double usual_us,
+static bool is_busy(const struct balancer *balancer, const struct group *group,
+		    const struct live_target *target, double baseline_us,
 		    int64_t goal_us)
 {
-	double us = track_reply_us(target, usual_us);
+	double us = target_health_expected_us(target, baseline_us);
 	int most;
 
 	if (!group)
@@ -270,7 +272,7 @@
 		return false;
 	if (target->slots && most > target->slots)
 		most = target->slots;
-	if (has(roster, MECHANISM_SLOW_BOUND) && goal_us &&
+	if (has(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
 	    us * 2 > (double)goal_us)
 		most = (int)(most * (double)goal_us / (us * 2));
 	return target->open >= (most > 1 ? most : 1);
@@ -278,10 +280,10 @@
 
 /* Choice. */
 
-static const struct group *group_find(const struct roster *roster,
+static const struct group *group_find(const struct balancer *balancer,
 				      uint64_t service)
 {
-	return apr_hash_get(roster->groups, &service, sizeof(service));
+	return apr_hash_get(balancer->groups, &service, sizeof(service));
 }
 
 static bool cold_is_full(const struct group *group,
@@ -293,13 +295,13 @@
 	       target->cold_sent >= group->cold_per_second;
 }
 
-static enum target_use use_for(const struct roster *roster,
+static enum target_use use_for(const struct balancer *balancer,
 			       const struct live_target *target,
-			       double usual_us, int64_t goal_us, int64_t now)
+			       double baseline_us, int64_t goal_us, int64_t now)
 {
-	const struct group *group = group_find(roster, target->service);
+	const struct group *group = group_find(balancer, target->service);
 
-	if (apr_hash_get(roster->out, &target->domain_key,
+	if (apr_hash_get(balancer->out, &target->domain_key,
 			 sizeof(target->domain_key)))
 		return USE_DOMAIN_OUT;
 	if (now < target->moved_until)
@@ -310,46 +312,47 @@
 	 */
 	if (target->left_at &&
 	    (target->listed || now - target->left_at > LAPSE_US ||
-	     target->left_at - roster->store_lost_at > LAPSE_US))
+	     target->left_at - balancer->store_lost_at > LAPSE_US))
 		return USE_LEAVING;
-	if (now < target->down_until && has(roster, MECHANISM_TARGET_REST))
+	if (now < target->down_until && has(balancer, MECHANISM_TARGET_REST))
 		return USE_DOWN;
-	if (has(roster, MECHANISM_COLD_BOUND) &&
+	if (has(balancer, MECHANISM_COLD_BOUND) &&
 	    cold_is_full(group, target, now))
 		return USE_COLD;
-	if (is_busy(roster, group, target, usual_us, goal_us))
+	if (is_busy(balancer, group, target, baseline_us, goal_us))
 		return USE_BUSY;
 	return USE_OK;
 }
 
-enum target_use roster_use(const struct roster *roster,
-			   const struct live_target *target, int64_t now)
+enum target_use balancer_availability(const struct balancer *balancer,
+				      const struct live_target *target,
+				      int64_t now)
 {
-	return use_for(roster, target, 0, 0, now);
+	return use_for(balancer, target, 0, 0, now);
 }
 
-int64_t roster_expect(const struct roster *roster,
-		      const struct live_target *target, double usual_us,
-		      int64_t now)
+int64_t balancer_expected_us(const struct balancer *balancer,
+			     const struct live_target *target,
+			     double baseline_us, int64_t now)
 {
-	double us = usual_us * (has(roster, MECHANISM_SLOWNESS)
-					? track_slowness(target, now)
-					: 1);
+	double us = baseline_us * (has(balancer, MECHANISM_SLOWNESS)
+					   ? target_health_slowness(target, now)
+					   : 1);
 	int slots = target->slots > 0 ? target->slots : 1;
 	double queued = (double)target->open / slots;
 	int64_t expected = (int64_t)(us * (1 + queued));
 
-	if (has(roster, MECHANISM_OVERDUE_COST) &&
-	    track_is_overdue(target, now))
+	if (has(balancer, MECHANISM_OVERDUE_COST) &&
+	    target_health_is_overdue(target, now))
 		expected += OVERDUE_WAIT_US;
 	if (now < target->cold_until)
 		expected += (int64_t)us;
-	if (has(roster, MECHANISM_FAULT_COST))
-		expected +=
-			(int64_t)(FAULT_WAIT_US * track_faults(target, now));
-	if (has(roster, MECHANISM_TARGET_REST) && now < target->wary_until)
+	if (has(balancer, MECHANISM_FAULT_COST))
+		expected += (int64_t)(FAULT_WAIT_US *
+				      target_health_error_rate(target, now));
+	if (has(balancer, MECHANISM_TARGET_REST) && now < target->wary_until)
 		expected += target->wary_until - now;
-	if (has(roster, MECHANISM_FAR_COST) && !target->near)
+	if (has(balancer, MECHANISM_FAR_COST) && !target->near)
 		expected += FAR_WAIT_US;
 	return expected;
 }
@@ -362,9 +365,10 @@
 	return false;
 }
 
-struct live_target *roster_first(const struct roster *roster, uint64_t service)
+struct live_target *balancer_first(const struct balancer *balancer,
+				   uint64_t service)
 {
-	const struct group *group = group_find(roster, service);
+	const struct group *group = group_find(balancer, service);
 
 	return group ? group->first : NULL;
 }
@@ -375,36 +379,39 @@
  * the request sent to a slow one at hand instead, its reply would come later
  * still, and a retry be spent on it.
  */
-static int64_t expect_busy(const struct roster *roster,
+static int64_t expect_busy(const struct balancer *balancer,
 			   const struct live_target *target,
 			   const struct choice *choice)
 {
-	return roster_expect(roster, target, choice->usual_us, choice->now) +
-	       (int64_t)track_reply_us(target, choice->usual_us);
+	return balancer_expected_us(balancer, target, choice->baseline_us,
+				    choice->now) +
+	       (int64_t)target_health_expected_us(target, choice->baseline_us);
 }
 
-struct live_target *roster_choose(struct roster *roster,
-				  const struct choice *choice)
+struct live_target *balancer_choose(struct balancer *balancer,
+				    const struct choice *choice)
 {
 	struct live_target *best = NULL;
 	int64_t least = 0;
 	int64_t least_busy = INT64_MAX;
 
-	for (struct live_target *target = roster_first(roster, choice->service);
+	for (struct live_target *target =
+		     balancer_first(balancer, choice->service);
 	     target; target = target->next) {
-		enum target_use use = use_for(roster, target, choice->usual_us,
-					      choice->goal_us, choice->now);
+		enum target_use use =
+			use_for(balancer, target, choice->baseline_us,
+				choice->goal_us, choice->now);
 		int64_t expected;
 
 		if (is_avoided(choice, target->key))
 			continue;
-		if (use == USE_BUSY && has(roster, MECHANISM_BUSY_WAIT) &&
-		    expect_busy(roster, target, choice) < least_busy)
-			least_busy = expect_busy(roster, target, choice);
+		if (use == USE_BUSY && has(balancer, MECHANISM_BUSY_WAIT) &&
+		    expect_busy(balancer, target, choice) < least_busy)
+			least_busy = expect_busy(balancer, target, choice);
 		if (use != USE_OK)
 			continue;
-		expected = roster_expect(roster, target, choice->usual_us,
-					 choice->now);
+		expected = balancer_expected_us(
+			balancer, target, choice->baseline_us, choice->now);
 		if (!best || expected < least) {
 			best = target;
 			least = expected;
@@ -413,11 +420,13 @@
 	return least_busy < least ? NULL : best;
 }
 
-bool roster_any(const struct roster *roster, uint64_t service, int64_t now)
+bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
+			 int64_t now)
 {
-	for (struct live_target *target = roster_first(roster, service); target;
-	     target = target->next) {
-		enum target_use use = roster_use(roster, target, now);
+	for (struct live_target *target = balancer_first(balancer, service);
+	     target; target = target->next) {
+		enum target_use use =
+			balancer_availability(balancer, target, now);
 
 		/* What is busy or has its share of a second is soon free. */
 		if (use == USE_OK || use == USE_BUSY || use == USE_COLD)
@@ -426,38 +435,40 @@
 	return false;
 }
 
-bool roster_near_first(struct roster *roster, const struct choice *choice)
+bool balancer_prefers_near(struct balancer *balancer,
+			   const struct choice *choice)
 {
-	const struct live_target *target = roster_choose(roster, choice);
+	const struct live_target *target = balancer_choose(balancer, choice);
 
 	return target && target->near;
 }
 
-bool roster_holds(const struct roster *roster, uint64_t service,
-		  uint64_t domain, int64_t now)
+bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
+			    uint64_t domain, int64_t now)
 {
-	for (struct live_target *target = roster_first(roster, service); target;
-	     target = target->next)
+	for (struct live_target *target = balancer_first(balancer, service);
+	     target; target = target->next)
 		if (target->domain_key == domain &&
-		    roster_use(roster, target, now) == USE_OK)
+		    balancer_availability(balancer, target, now) == USE_OK)
 			return true;
 	return false;
 }
 
-bool roster_lists(const struct roster *roster, uint64_t key, int64_t born_ms)
+bool balancer_is_published(const struct balancer *balancer, uint64_t key,
+			   int64_t born_ms)
 {
 	const struct live_target *target =
-		apr_hash_get(roster->targets, &key, sizeof(key));
+		apr_hash_get(balancer->targets, &key, sizeof(key));
 
 	return target && target->listed && target->born_ms == born_ms;
 }
 
 /* Return: one that can be forgotten, or NULL. */
-static struct live_target *find_gone(struct roster *roster, int64_t now)
+static struct live_target *find_gone(struct balancer *balancer, int64_t now)
 {
 	apr_hash_index_t *it;
 
-	for (it = apr_hash_first(NULL, roster->targets); it;
+	for (it = apr_hash_first(NULL, balancer->targets); it;
 	     it = apr_hash_next(it)) {
 		struct live_target *target = hash_value(it);
 
@@ -468,29 +479,29 @@
 	return NULL;
 }
 
-void roster_sweep(struct roster *roster, int64_t now)
+void balancer_remove_expired(struct balancer *balancer, int64_t now)
 {
 	struct live_target *gone;
 
-	while ((gone = find_gone(roster, now)))
-		forget(roster, gone);
+	while ((gone = find_gone(balancer, now)))
+		forget(balancer, gone);
 }
 
-size_t roster_count(const struct roster *roster)
+size_t balancer_count(const struct balancer *balancer)
 {
-	return roster->count;
+	return balancer->count;
 }
 
-void roster_answered(struct roster *roster, struct live_target *target,
-		     enum target_reply what, double usual_us, int64_t sent_at,
-		     int64_t now)
+void balancer_on_reply(struct balancer *balancer, struct live_target *target,
+		       enum target_reply what, double baseline_us,
+		       int64_t sent_at, int64_t now)
 {
-	track_answered(target, what, usual_us, sent_at, now);
+	target_health_on_reply(target, what, baseline_us, sent_at, now);
 	if (!target->open && !target->service) {
 		free_strings(target);
 		free(target);
 	} else if (!target->open && !target->listed &&
 		   now - target->left_at > 2 * LAPSE_US) {
-		forget(roster, target);
+		forget(balancer, target);
 	}
 }
--- a/usual.h
+++ b/baseline.h
@@ -12,25 +12,26 @@
  */
 
 /**
- * struct usual - of one kind of request
+ * struct baseline - of one kind of request
  * @key: hash of the kind's name
  * @us: the median so far, microseconds
- * @samples: that it stands on, up to USUAL_SAMPLES_MAX
+ * @samples: that it stands on, up to BASELINE_SAMPLES_MAX
  */
-struct usual {
+struct baseline {
 	uint64_t key;
 	double us;
 	int samples;
 };
 
 enum {
-	USUAL_SAMPLES_MAX = 32,
+	BASELINE_SAMPLES_MAX = 32,
 };
 
 /**
- * usual_get() - that of the kind @key, made in @table when there is none yet
+ * baseline_get() - that of the kind @key, made in @table when there is none yet
  * @guess_us: taken until replies tell
  */
-struct usual *usual_get(apr_hash_t *table, uint64_t key, int64_t guess_us);
-/** usual_add() - a reply took @us. */
-void usual_add(struct usual *usual, int64_t us);
+struct baseline *baseline_get(apr_hash_t *table, uint64_t key,
+			      int64_t guess_us);
+/** baseline_add() - a reply took @us. */
+void baseline_add(struct baseline *baseline, int64_t us);
--- a/call.c
+++ b/call.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#include "call_line.h"
+#include "call_queue.h"
 #include "note.h"
 #include "poison_news.h"
 #include "trial.h"
@@ -34,8 +34,8 @@
 	*calls = (struct calls){ .pool = pool, .rng.seed = seed };
 	calls->open = hash_make(pool);
 	calls->attempts = hash_make(pool);
-	calls->usual = hash_make(pool);
-	calls->lines = hash_make(pool);
+	calls->baseline = hash_make(pool);
+	calls->wait_queues = hash_make(pool);
 }
 
 static void free_all(apr_hash_t *hash)
@@ -62,8 +62,8 @@
 	}
 	calls_reap(calls);
 	free_all(calls->attempts);
-	free_all(calls->usual);
-	lines_free(calls->lines);
+	free_all(calls->baseline);
+	wait_queues_free(calls->wait_queues);
 	timers_free(&calls->timers);
 }
 
@@ -107,8 +107,8 @@
 	call->request = copy_request(pool, request);
 	call->catalog = catalog_ref(catalog);
 	call->route = route;
-	call->usual = usual_get(calls->usual, str_hash(route->name),
-				route->goal_us / GUESS_GOAL_PART);
+	call->baseline = baseline_get(calls->baseline, str_hash(route->name),
+				      route->goal_us / GUESS_GOAL_PART);
 	call->start = calls->now;
 	if (request->time_left_us >= 0 && request->time_left_us < wait)
 		wait = request->time_left_us;
@@ -177,8 +177,8 @@
 
 	fx->id = attempt->id;
 	metric_add(&calls->notes->metrics, METRIC_CUT);
-	roster_answered(calls->roster, attempt->target, REPLY_DROPPED,
-			attempt->usual_us, attempt->sent_at, calls->now);
+	balancer_on_reply(calls->balancer, attempt->target, REPLY_DROPPED,
+			  attempt->baseline_us, attempt->sent_at, calls->now);
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id), NULL);
 	free(attempt);
 }
@@ -215,8 +215,8 @@
 	attempt->part = part;
 	attempt->target = target;
 	attempt->sent_at = calls->now;
-	attempt->usual = call->usual;
-	attempt->usual_us = call->usual->us;
+	attempt->baseline = call->baseline;
+	attempt->baseline_us = call->baseline->us;
 	attempt->extra = p->ntried > 0;
 	attempt->print = call->print;
 	attempt->round = poison_round(calls->poison, &call->print);
@@ -229,7 +229,7 @@
 	p->nsent++;
 	p->waits = false;
 	p->open++;
-	track_sent(target, attempt->usual_us, calls->now);
+	target_health_on_send(target, attempt->baseline_us, calls->now);
 	fx->id = attempt->id;
 	fx->addr = str_dup(calls->fx->pool, target->addr);
 	fx->expected = str_dup(calls->fx->pool, target->id);
@@ -263,7 +263,7 @@
 	uint64_t avoid[CALL_TRIES_MAX];
 	struct choice choice = { .service = part->service,
 				 .avoid = avoid,
-				 .usual_us = call->usual->us,
+				 .baseline_us = call->baseline->us,
 				 .goal_us = call->route->goal_us,
 				 .now = calls->now };
 	struct live_target *target;
@@ -271,7 +271,7 @@
 	for (size_t i = 0; i < part->ntried; i++)
 		if (!(part->rejected & 1U << i))
 			avoid[choice.navoid++] = part->tried[i];
-	target = roster_choose(calls->roster, &choice);
+	target = balancer_choose(calls->balancer, &choice);
 	if (!target || calls->now < target->wary_until ||
 	    find_tried(part, target->key) == part->ntried)
 		return NULL;
@@ -284,13 +284,13 @@
 	struct choice choice = { .service = part->service,
 				 .avoid = part->tried,
 				 .navoid = part->ntried,
-				 .usual_us = call->usual->us,
+				 .baseline_us = call->baseline->us,
 				 .goal_us = call->route->goal_us,
 				 .now = calls->now };
 	struct live_target *target = NULL;
 
 	if (has_fresh_tries(call, part))
-		target = roster_choose(calls->roster, &choice);
+		target = balancer_choose(calls->balancer, &choice);
 	if (!target && part->rejected &&
 	    call_has(calls, MECHANISM_RETRY_REJECTED))
 		target = choose_again(calls, call, part);
@@ -334,7 +334,7 @@
 	p->held_by = result;
 	if (result == SEND_NO_TARGET && call->kind->in_line && !p->open &&
 	    !p->waits && call_has(calls, MECHANISM_LINE))
-		call_line_join(calls, call, part);
+		call_queue_join(calls, call, part);
 	return result;
 }
 
@@ -419,13 +419,13 @@
 	if (judge(reply) == REPLY_GOOD) {
 		metric_latency(&calls->notes->metrics, LATENCY_TARGET,
 			       calls->now - copy.sent_at);
-		usual_add(copy.usual, calls->now - copy.sent_at);
+		baseline_add(copy.baseline, calls->now - copy.sent_at);
 	}
 	judge_request(calls, call, &copy, reply);
 	if (reply->cold_us > 0)
 		copy.target->cold_until = calls->now + reply->cold_us;
-	roster_answered(calls->roster, copy.target, judge(reply), copy.usual_us,
-			copy.sent_at, calls->now);
+	balancer_on_reply(calls->balancer, copy.target, judge(reply),
+			  copy.baseline_us, copy.sent_at, calls->now);
 	if (!call)
 		return;
 	if (reply->result != FETCH_REFUSED && !reply->not_run && !reply->other)
@@ -449,7 +449,7 @@
 		return;
 	service = attempt->target->service;
 	take_reply(calls, id, reply);
-	call_line_serve(calls, service);
+	call_queue_serve(calls, service);
 }
 
 void call_due(struct calls *calls, const struct timer *due)
@@ -464,7 +464,7 @@
 			uint64_t service = attempt->target->service;
 
 			attempt_cut(calls, attempt);
-			call_line_serve(calls, service);
+			call_queue_serve(calls, service);
 		}
 		return;
 	}
--- a/call.h
+++ b/call.h
@@ -3,12 +3,12 @@
 #include "budget.h"
 #include "flow.h"
 #include "latency.h"
-#include "line.h"
+#include "wait_queue.h"
 #include "poison.h"
 #include "rng.h"
-#include "roster.h"
+#include "balancer.h"
 #include "timer.h"
-#include "usual.h"
+#include "baseline.h"
 
 /**
  * DOC: calls and attempts
@@ -28,7 +28,7 @@
  * struct attempt - a request under way to a target
  * @call: NULL when nobody waits for it any more
  * @part: index of the shard within the call
- * @usual: how long such replies take; @usual_us: when it was sent
+ * @baseline: how long such replies take; @baseline_us: when it was sent
  * @extra: not the first for its shard
  * @print, @round: of the request, for evidence against it
  * @served: its call has had a reply
@@ -39,8 +39,8 @@
 	size_t part;
 	struct live_target *target;
 	int64_t sent_at;
-	struct usual *usual;
-	double usual_us;
+	struct baseline *baseline;
+	double baseline_us;
 	bool extra;
 	struct fingerprint print;
 	int round;
@@ -139,7 +139,7 @@
  * @print: tells whether it has come before
  * @asker: node that asked on behalf of a caller, empty when a caller did
  * @asker_id: its id there
- * @usual: how long replies of its route take
+ * @baseline: how long replies of its route take
  * @give_up_at: the caller, or its route, waits no longer
  * @soft_at: what is there is answered if it is enough
  * @review_at: next review; 0 when none is planned
@@ -164,7 +164,7 @@
 	struct catalog *catalog;
 	const struct route *route;
 	const struct call_kind *kind;
-	struct usual *usual;
+	struct baseline *baseline;
 	struct str asker;
 	uint64_t asker_incarnation;
 	uint64_t asker_id;
@@ -199,8 +199,8 @@
  * @fx: effects of the event at hand
  * @open: id -> struct call
  * @attempts: id -> struct attempt
- * @usual: hash of a route's name -> struct usual
- * @lines: service -> struct line
+ * @baseline: hash of a route's name -> struct baseline
+ * @wait_queues: service -> struct line
  * @dead: ended; freed by calls_reap()
  * @shards_kind: of calls that other nodes ask this one for
  */
@@ -209,14 +209,14 @@
 	uint32_t without;
 	int64_t now;
 	struct flow_effects *fx;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct budget *budget;
 	struct timers timers;
 	struct rng rng;
 	apr_hash_t *open;
 	apr_hash_t *attempts;
-	apr_hash_t *usual;
-	apr_hash_t *lines;
+	apr_hash_t *baseline;
+	apr_hash_t *wait_queues;
 	uint64_t next_id;
 	struct call *dead;
 	size_t nopen;
--- /dev/null
+++ b/call_queue.c
@@ -0,0 +1,96 @@
+#include "call_queue.h"
+
+/*
+ * Return: the part still waits; one that does not is taken out of the line. A
+ * part that was sent meanwhile does not: whether it may be sent again is for
+ * its call to decide, which may need another node's leave for it.
+ */
+static bool still_waits(struct calls *calls, struct wait_queue *wait_queue,
+			size_t index)
+{
+	const struct waiter *waiter = &wait_queue->list[index];
+	struct call *call = call_find(calls, waiter->call);
+	struct part *part = call ? &call->parts[waiter->part] : NULL;
+
+	if (part && part->nsent == waiter->sends) {
+		if (!part->done && !part->batched)
+			return true;
+		part->waits = false;
+	}
+	wait_queue_remove(wait_queue, index);
+	return false;
+}
+
+/*
+ * Lines are looked through when a target replies. Where all targets of a shard
+ * are gone none does, and each question would leave its waiter for good.
+ */
+void call_queue_join(struct calls *calls, struct call *call, size_t index)
+{
+	struct part *part = &call->parts[index];
+	struct wait_queue *wait_queue =
+		wait_queue_find(calls->wait_queues, part->service);
+
+	if (wait_queue && wait_queue->count > calls->nopen)
+		for (size_t i = 0; i < wait_queue->count;)
+			i += still_waits(calls, wait_queue, i);
+	part->waits = true;
+	wait_queue_add(calls->wait_queues, part->service,
+		       (struct waiter){ call->id, index, part->nsent });
+}
+
+static struct wait_priority claim_of(const struct calls *calls,
+				     const struct call *call)
+{
+	return (struct wait_priority){
+		.in_time = calls->now + (int64_t)call->baseline->us <=
+			   call->soft_at,
+		.soft_at = call->soft_at,
+		.start = call->start,
+	};
+}
+
+/* Return: place of the one to be served first, or SIZE_MAX. */
+static size_t first_in_line(struct calls *calls, struct wait_queue *wait_queue)
+{
+	struct wait_priority best_claim;
+	size_t best = SIZE_MAX;
+
+	for (size_t i = 0; i < wait_queue->count;) {
+		struct wait_priority wait_priority;
+
+		if (!still_waits(calls, wait_queue, i))
+			continue;
+		wait_priority = claim_of(
+			calls, call_find(calls, wait_queue->list[i].call));
+		if (best == SIZE_MAX ||
+		    wait_queue_precedes(&wait_priority, &best_claim)) {
+			best = i;
+			best_claim = wait_priority;
+		}
+		i++;
+	}
+	return best;
+}
+
+void call_queue_serve(struct calls *calls, uint64_t service)
+{
+	struct wait_queue *wait_queue =
+		wait_queue_find(calls->wait_queues, service);
+	size_t first;
+
+	while (wait_queue &&
+	       (first = first_in_line(calls, wait_queue)) != SIZE_MAX) {
+		struct waiter waiter = wait_queue->list[first];
+		struct call *call = call_find(calls, waiter.call);
+		enum send_result result = call_send(calls, call, waiter.part);
+
+		/* Those behind must not wait for one that may not be sent. */
+		if (result == SEND_HELD || result == SEND_BLOCKED) {
+			call->parts[waiter.part].waits = false;
+			wait_queue_remove(wait_queue, first);
+		} else if (result != SEND_DONE) {
+			return;
+		}
+	}
+}
--- a/directory.c
+++ b/directory.c
@@ -31,12 +31,12 @@
 static const double FAR_CONNS_PART = 0.64;
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
-		    const struct dialect *dialect, struct roster *roster,
+		    const struct dialect *dialect, struct balancer *balancer,
 		    struct note_book *notes)
 {
 	*dir = (struct directory){ .pool = pool,
 				   .dialect = dialect,
-				   .roster = roster,
+				   .balancer = balancer,
 				   .notes = notes,
 				   .nodes = 1 };
 	dir->keys = hash_make(pool);
@@ -105,13 +105,15 @@
 	for (size_t i = 0; dir->catalog && i < dir->catalog->nservices; i++) {
 		const struct service *service = &dir->catalog->services[i];
 
-		roster_cold_bound(dir->roster, service->key,
-				  service->cold_per_s > 0
-					  ? cold_part(dir, service->cold_per_s)
-					  : 0);
-		roster_conn_bound(dir->roster, service->key,
-				  directory_conns(service->max_conns, dir->near,
-						  dir->nodes - dir->near));
+		balancer_set_cold_limit(
+			dir->balancer, service->key,
+			service->cold_per_s > 0
+				? cold_part(dir, service->cold_per_s)
+				: 0);
+		balancer_set_conn_limit(
+			dir->balancer, service->key,
+			directory_conns(service->max_conns, dir->near,
+					dir->nodes - dir->near));
 	}
 }
 
@@ -192,13 +194,13 @@
 			    held->revision);
 		/* An entry that cannot be read names no target to use. */
 		if (fact.kind == FACT_TARGET && fact.target.id.len)
-			roster_drop(dir->roster, fact.target.id, now);
+			balancer_unpublish(dir->balancer, fact.target.id, now);
 	} else if (fact.kind == FACT_CATALOG) {
 		take_catalog(dir, fact.catalog, held->revision, now);
 	} else if (fact.kind == FACT_TARGET) {
-		roster_put(dir->roster, &fact.target, now);
+		balancer_put(dir->balancer, &fact.target, now);
 	} else if (fact.kind == FACT_DOMAIN_OUT) {
-		roster_domain(dir->roster, fact.domain, true);
+		balancer_set_domain(dir->balancer, fact.domain, true);
 		note_belief(dir->notes, now, "failure domain out", fact.domain,
 			    "operators took it out", held->revision);
 	}
@@ -216,11 +218,11 @@
 	/* Only the key matters; the value was the last one. */
 	dir->dialect->decode(held->key, held->value, &fact, pool, &err);
 	if (fact.kind == FACT_TARGET && fact.target.id.len) {
-		roster_drop(dir->roster, fact.target.id, now);
+		balancer_unpublish(dir->balancer, fact.target.id, now);
 		note_belief(dir->notes, now, "target gone", fact.target.id,
 			    "its entry is gone", held->revision);
 	} else if (fact.kind == FACT_DOMAIN_OUT) {
-		roster_domain(dir->roster, fact.domain, false);
+		balancer_set_domain(dir->balancer, fact.domain, false);
 		note_belief(dir->notes, now, "failure domain in", fact.domain,
 			    "operators took it back", held->revision);
 	}
--- a/directory.h
+++ b/directory.h
@@ -2,7 +2,7 @@
 
 #include "flow.h"
 #include "note.h"
-#include "roster.h"
+#include "balancer.h"
 
 /**
  * DOC: what is published, as this node knows it
@@ -29,7 +29,7 @@
 struct directory {
 	apr_pool_t *pool;
 	const struct dialect *dialect;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct note_book *notes;
 	apr_hash_t *keys;
 	struct catalog *catalog;
@@ -57,7 +57,7 @@
 };
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
-		    const struct dialect *dialect, struct roster *roster,
+		    const struct dialect *dialect, struct balancer *balancer,
 		    struct note_book *notes);
 void directory_destroy(struct directory *dir);
 /** directory_apply() - take items that are newer than what is held. */
--- a/forward.c
+++ b/forward.c
@@ -98,7 +98,7 @@
 	call->nparts = 1;
 	call->parts = apr_pcalloc(call->pool, sizeof(*call->parts));
 	call->parts[0].service = forward_share(calls, call->route);
-	if (!roster_first(calls->roster, call->parts[0].service)) {
+	if (!balancer_first(calls->balancer, call->parts[0].service)) {
 		call_refuse(calls, call, 503, "no target of the service",
 			    RETRY_AFTER_US);
 		return;
--- a/merge.c
+++ b/merge.c
@@ -94,7 +94,8 @@
 			   const struct attempt *attempt)
 {
 	int64_t late =
-		(int64_t)(track_reply_us(attempt->target, attempt->usual_us) *
+		(int64_t)(target_health_expected_us(attempt->target,
+						    attempt->baseline_us) *
 			  HEDGE_TIMES);
 	int64_t most =
 		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_PART);
@@ -168,7 +169,8 @@
 
 		if (part->done || part->open || part->batched ||
 		    (waits && call_may_send(call, part) &&
-		     roster_any(calls->roster, part->service, calls->now)))
+		     balancer_has_usable(calls->balancer, part->service,
+					 calls->now)))
 			possible++;
 	}
 	return possible;
@@ -328,8 +330,8 @@
 	size_t reachable = 0;
 
 	for (size_t i = 0; i < call->nparts; i++)
-		if (roster_any(calls->roster, call->parts[i].service,
-			       calls->now))
+		if (balancer_has_usable(calls->balancer, call->parts[i].service,
+					calls->now))
 			reachable++;
 	return reachable;
 }
@@ -359,8 +361,8 @@
 
 		if (!is_idle(part))
 			continue;
-		if (roster_holds(calls->roster, part->service, domain,
-				 calls->now))
+		if (balancer_has_target_in(calls->balancer, part->service,
+					   domain, calls->now))
 			parts[count++] = (uint16_t)i;
 	}
 	return count;
@@ -415,14 +417,14 @@
 
 static void send_near(struct calls *calls, struct call *call)
 {
-	struct choice choice = { .usual_us = call->usual->us,
+	struct choice choice = { .baseline_us = call->baseline->us,
 				 .goal_us = call->route->goal_us,
 				 .now = calls->now };
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		choice.service = call->parts[i].service;
 		if (is_idle(&call->parts[i]) &&
-		    roster_near_first(calls->roster, &choice))
+		    balancer_prefers_near(calls->balancer, &choice))
 			call_send(calls, call, i);
 	}
 }
--- a/reader.c
+++ b/reader.c
@@ -124,7 +124,7 @@
 			    why, reader->dir->revision);
 	for (int i = 1; i < reader->failures && pause < PAUSE_MOST_US; i++)
 		pause *= 2;
-	roster_store_lost(reader->dir->roster, now);
+	balancer_on_store_lost(reader->dir->balancer, now);
 	reader->state = READER_IDLE;
 	reader->next_at = now + pause;
 }
--- a/share.c
+++ b/share.c
@@ -87,7 +87,7 @@
 		     uint64_t since, struct str body, bool pass_on, int64_t now)
 {
 	struct flow_effect *fx = flow_add(share->fx, FLOW_PEER_SEND);
-	int64_t lost = now - roster_store_lost_at(share->dir->roster);
+	int64_t lost = now - balancer_store_lost_at(share->dir->balancer);
 
 	fx->addr = str_dup(share->fx->pool, addr);
 	fx->msg.kind = kind;
@@ -262,7 +262,7 @@
 		return;
 	}
 	if (msg->wait_us)
-		roster_store_lost(dir->roster, now - msg->wait_us);
+		balancer_on_store_lost(dir->balancer, now - msg->wait_us);
 	directory_merge(dir, items, count, now);
 	apr_pool_destroy(pool);
 	/* What changed between is missing: ask for it. */
--- a/spread.c
+++ b/spread.c
@@ -49,10 +49,10 @@
 };
 
 void spread_init(struct spread *spread, struct gossip *gossip,
-		 struct roster *roster, struct rng *rng, uint32_t without)
+		 struct balancer *balancer, struct rng *rng, uint32_t without)
 {
 	*spread = (struct spread){ .gossip = gossip,
-				   .roster = roster,
+				   .balancer = balancer,
 				   .rng = rng,
 				   .without = without };
 }
@@ -81,12 +81,14 @@
 	uint64_t seen[SPREAD_DOMAINS_MAX];
 	size_t nseen = 0;
 
-	for (struct live_target *target = roster_first(spread->roster, service);
+	for (struct live_target *target =
+		     balancer_first(spread->balancer, service);
 	     target; target = target->next) {
 		struct cover *cover =
 			cover_get(covers, count, target->domain_key);
 		bool counted = false;
-		enum target_use use = roster_use(spread->roster, target, now);
+		enum target_use use =
+			balancer_availability(spread->balancer, target, now);
 
 		if (!cover || use == USE_LEAVING || use == USE_DOMAIN_OUT)
 			continue;
@@ -277,7 +279,8 @@
 	bound = directory_conns(service->max_conns, near,
 				merging - merging / (int)domains);
 	for (size_t i = 0; i < route->nshards; i++)
-		roster_conn_bound(spread->roster, route->shards[i], bound);
+		balancer_set_conn_limit(spread->balancer, route->shards[i],
+					bound);
 }
 
 static void make_plan(struct spread *spread, struct spread_plan *plan,
--- a/spread.h
+++ b/spread.h
@@ -2,7 +2,7 @@
 
 #include "catalog.h"
 #include "gossip.h"
-#include "roster.h"
+#include "balancer.h"
 
 /**
  * DOC: which node merges a question
@@ -44,7 +44,7 @@
  */
 struct spread {
 	struct gossip *gossip;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct rng *rng;
 	bool met;
 	uint32_t without;
@@ -52,7 +52,7 @@
 };
 
 void spread_init(struct spread *spread, struct gossip *gossip,
-		 struct roster *roster, struct rng *rng, uint32_t without);
+		 struct balancer *balancer, struct rng *rng, uint32_t without);
 /** spread_here() - this node merges questions of @route. */
 bool spread_here(struct spread *spread, const struct catalog *catalog,
 		 const struct route *route, int64_t now);
--- a/track.c
+++ b/target_health.c
@@ -1,4 +1,4 @@
-#include "track.h"
+#include "target_health.h"
 
 enum {
 	/* A reply over this multiple of the usual time is overdue. */
@@ -39,7 +39,7 @@
 /* Weight of a new reply in the smoothed slowness: follows in about five. */
 static const double SMOOTHING = 0.2;
 
-double track_slowness(const struct live_target *target, int64_t now)
+double target_health_slowness(const struct live_target *target, int64_t now)
 {
 	/* A first slow reply may be a pause, which ends by itself. */
 	int confirmed = target->slow_tries > 1 ? target->slow_tries - 1 : 0;
@@ -56,19 +56,20 @@
 	return slowness;
 }
 
-bool track_is_overdue(const struct live_target *target, int64_t now)
+bool target_health_is_overdue(const struct live_target *target, int64_t now)
 {
 	int64_t age = target->asked_at ? now - target->asked_at : 0;
 
 	return age > (int64_t)(target->asked_us * OVERDUE_TIMES);
 }
 
-double track_reply_us(const struct live_target *target, double usual_us)
+double target_health_expected_us(const struct live_target *target,
+				 double baseline_us)
 {
-	return usual_us * target->slowness;
+	return baseline_us * target->slowness;
 }
 
-double track_faults(const struct live_target *target, int64_t now)
+double target_health_error_rate(const struct live_target *target, int64_t now)
 {
 	int64_t age = now - target->faults_at;
 
@@ -77,17 +78,19 @@
 
 static void count_fault(struct live_target *target, bool fault, int64_t now)
 {
-	double known = track_faults(target, now);
+	double known = target_health_error_rate(target, now);
 
 	target->faults = known + SMOOTHING * ((fault ? 1.0 : 0.0) - known);
 	target->faults_at = now;
 }
 
-void track_sent(struct live_target *target, double usual_us, int64_t now)
+void target_health_on_send(struct live_target *target, double baseline_us,
+			   int64_t now)
 {
 	if (!target->open++) {
 		target->asked_at = now;
-		target->asked_us = track_reply_us(target, usual_us);
+		target->asked_us =
+			target_health_expected_us(target, baseline_us);
 	}
 	if (now < target->cold_until) {
 		if (now - target->cold_second >= SECOND_US) {
@@ -101,7 +104,7 @@
 static void count_slow_try(struct live_target *target, double times,
 			   int64_t now)
 {
-	double known = track_slowness(target, now);
+	double known = target_health_slowness(target, now);
 
 	if (times * QUICK_TIMES < known) {
 		target->slow_tries = 0;
@@ -115,7 +118,7 @@
 
 static void smooth(struct live_target *target, double times, int64_t now)
 {
-	double known = track_slowness(target, now);
+	double known = target_health_slowness(target, now);
 
 	target->slowness = known + SMOOTHING * (times - known);
 	target->slowness_at = now;
@@ -130,10 +133,10 @@
 	return us;
 }
 
-void track_answered(struct live_target *target, enum target_reply what,
-		    double usual_us, int64_t sent_at, int64_t now)
+void target_health_on_reply(struct live_target *target, enum target_reply what,
+			    double baseline_us, int64_t sent_at, int64_t now)
 {
-	double times = (double)(now - sent_at) / usual_us;
+	double times = (double)(now - sent_at) / baseline_us;
 
 	target->open--;
 	/* The others were sent at this one's time or later. */
--- a/track.h
+++ b/target_health.h
@@ -74,19 +74,24 @@
 	REPLY_DROPPED, /* nobody waited for it any more */
 };
 
-/** track_sent() - a request went out whose reply usually takes @usual_us. */
-void track_sent(struct live_target *target, double usual_us, int64_t now);
-/** track_answered() - what came of the one sent at @sent_at. */
-void track_answered(struct live_target *target, enum target_reply what,
-		    double usual_us, int64_t sent_at, int64_t now);
-/** track_reply_us() - time to its reply, if nothing else keeps it busy. */
-double track_reply_us(const struct live_target *target, double usual_us);
-/** track_slowness() - multiple of what is usual, as far as still believed. */
-double track_slowness(const struct live_target *target, int64_t now);
-/** track_faults() - share of requests that it does not serve. */
-double track_faults(const struct live_target *target, int64_t now);
+/** target_health_on_send() - a request went out whose reply usually takes
+ * @baseline_us. */
+void target_health_on_send(struct live_target *target, double baseline_us,
+			   int64_t now);
+/** target_health_on_reply() - what came of the one sent at @sent_at. */
+void target_health_on_reply(struct live_target *target, enum target_reply what,
+			    double baseline_us, int64_t sent_at, int64_t now);
+/** target_health_expected_us() - time to its reply, if nothing else keeps it
+ * busy. */
+double target_health_expected_us(const struct live_target *target,
+				 double baseline_us);
+/** target_health_slowness() - multiple of what is usual, as far as still
+ * believed. */
+double target_health_slowness(const struct live_target *target, int64_t now);
+/** target_health_error_rate() - share of requests that it does not serve. */
+double target_health_error_rate(const struct live_target *target, int64_t now);
 /**
- * track_is_overdue() - it has not answered within a multiple of its usual time:
- * a pause, mostly
+ * target_health_is_overdue() - it has not answered within a multiple of its
+ * usual time: a pause, mostly
  */
-bool track_is_overdue(const struct live_target *target, int64_t now);
+bool target_health_is_overdue(const struct live_target *target, int64_t now);
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -54,14 +54,14 @@
 	flow_effects_init(&reading->fx, pool);
 	reading->notes.fx = &reading->fx;
 	directory_init(&reading->dir, pool, &platform_dialect,
-		       roster_create(pool, STR("z"), 0), &reading->notes);
+		       balancer_create(pool, STR("z"), 0), &reading->notes);
 	return reading;
 }
 
 static void reading_destroy(struct reading *reading)
 {
 	directory_destroy(&reading->dir);
-	roster_destroy(reading->dir.roster);
+	balancer_destroy(reading->dir.balancer);
 	flow_effects_free(&reading->fx);
 }
 
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -11,12 +11,12 @@
 #include "../call.h"
 #include "../directory.h"
 #include "../head.h"
-#include "../line.h"
+#include "../wait_queue.h"
 #include "../poison_news.h"
 #include "../note.h"
 #include "../platform/platform.h"
 #include "../records.h"
-#include "../roster.h"
+#include "../balancer.h"
 #include "suite.h"
 
 enum {
@@ -271,83 +271,85 @@
 				      .slots = 2 };
 }
 
-static struct live_target *find(struct roster *roster, const char *id)
+static struct live_target *find(struct balancer *balancer, const char *id)
 {
-	struct live_target *target = roster_first(roster, 5);
+	struct live_target *target = balancer_first(balancer, 5);
 
 	while (target && !str_eq(target->id, str_of(id)))
 		target = target->next;
 	return target;
 }
 
-static void reply(struct roster *roster, enum target_reply what, int64_t us,
+static void reply(struct balancer *balancer, enum target_reply what, int64_t us,
 		  int64_t now)
 {
-	struct live_target *a = find(roster, "a");
+	struct live_target *a = find(balancer, "a");
 
 	for (int i = 0; i < 5; i++) {
-		track_sent(a, USUAL_US, now - us);
-		roster_answered(roster, a, what, USUAL_US, now - us, now);
+		target_health_on_send(a, USUAL_US, now - us);
+		balancer_on_reply(balancer, a, what, USUAL_US, now - us, now);
 	}
 }
 
-static void apply(struct roster *roster, int facts, int64_t now)
+static void apply(struct balancer *balancer, int facts, int64_t now)
 {
 	struct target_entry leaving = entry("a", "here");
 
 	leaving.leaving = true;
 	if (facts & BUSY_A) {
-		track_sent(find(roster, "a"), USUAL_US, now);
-		track_sent(find(roster, "a"), USUAL_US, now);
+		target_health_on_send(find(balancer, "a"), USUAL_US, now);
+		target_health_on_send(find(balancer, "a"), USUAL_US, now);
 	}
 	if (facts & STUCK_A)
-		track_sent(find(roster, "a"), USUAL_US, now - 50000);
+		target_health_on_send(find(balancer, "a"), USUAL_US,
+				      now - 50000);
 	if (facts & SLOW_A)
-		reply(roster, REPLY_GOOD, 200000, now);
+		reply(balancer, REPLY_GOOD, 200000, now);
 	if (facts & SLOW_LONG_AGO_A)
-		reply(roster, REPLY_GOOD, 200000, now - 6 * SECOND_US);
+		reply(balancer, REPLY_GOOD, 200000, now - 6 * SECOND_US);
 	if (facts & SHEDS_A)
-		reply(roster, REPLY_FULL, 1000, now - 20000);
+		reply(balancer, REPLY_FULL, 1000, now - 20000);
 	if (facts & DOWN_A)
-		reply(roster, REPLY_DOWN, 1000, now);
+		reply(balancer, REPLY_DOWN, 1000, now);
 	if (facts & LEAVING_A)
-		roster_put(roster, &leaving, now);
+		balancer_put(balancer, &leaving, now);
 	if (facts & LAPSED_A)
-		roster_store_lost(roster, now - SECOND_US);
+		balancer_on_store_lost(balancer, now - SECOND_US);
 	if (facts & (GONE_A | LAPSED_A))
-		roster_drop(roster, STR("a"), now - SECOND_US / 2);
+		balancer_unpublish(balancer, STR("a"), now - SECOND_US / 2);
 	if (facts & OUT_A)
-		roster_domain(roster, STR("here"), true);
+		balancer_set_domain(balancer, STR("here"), true);
 }
 
 START_TEST(test_choice)
 {
 	const struct choice_case *c = &choice_cases[_i];
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	struct target_entry b = entry("b", c->facts & FAR_B ? "there" : "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	uint64_t tried[2];
-	struct choice choice = {
-		.service = 5, .avoid = tried, .usual_us = USUAL_US, .now = now
-	};
+	struct choice choice = { .service = 5,
+				 .avoid = tried,
+				 .baseline_us = USUAL_US,
+				 .now = now };
 	struct live_target *got;
 
-	roster_put(roster, &a, now - 20 * SECOND_US);
-	roster_put(roster, &b, now - 20 * SECOND_US);
-	apply(roster, c->facts, now);
+	balancer_put(balancer, &a, now - 20 * SECOND_US);
+	balancer_put(balancer, &b, now - 20 * SECOND_US);
+	apply(balancer, c->facts, now);
 	if (c->facts & TRIED_A)
 		tried[choice.navoid++] = str_hash(STR("a"));
 	if (c->facts & TRIED_B)
 		tried[choice.navoid++] = str_hash(STR("b"));
-	got = roster_choose(roster, &choice);
+	got = balancer_choose(balancer, &choice);
 	if (*c->want) {
 		ck_assert_ptr_nonnull(got);
 		ck_assert(str_eq(got->id, str_of(c->want)));
 	} else {
 		ck_assert_ptr_null(got);
 	}
-	roster_destroy(roster);
+	balancer_destroy(balancer);
 }
 END_TEST
 
@@ -357,19 +359,23 @@
  */
 START_TEST(test_target_starts_again)
 {
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 
 	a.born_ms = 1;
-	roster_put(roster, &a, now);
-	reply(roster, REPLY_DOWN, 1000, now);
-	roster_drop(roster, STR("a"), now);
-	ck_assert_int_ne(roster_use(roster, find(roster, "a"), now), USE_OK);
+	balancer_put(balancer, &a, now);
+	reply(balancer, REPLY_DOWN, 1000, now);
+	balancer_unpublish(balancer, STR("a"), now);
+	ck_assert_int_ne(
+		balancer_availability(balancer, find(balancer, "a"), now),
+		USE_OK);
 	a.born_ms = 2;
-	roster_put(roster, &a, now);
-	ck_assert_int_eq(roster_use(roster, find(roster, "a"), now), USE_OK);
-	roster_destroy(roster);
+	balancer_put(balancer, &a, now);
+	ck_assert_int_eq(
+		balancer_availability(balancer, find(balancer, "a"), now),
+		USE_OK);
+	balancer_destroy(balancer);
 }
 END_TEST
 
@@ -380,37 +386,38 @@
  */
 START_TEST(test_silent_target)
 {
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	struct target_entry b = entry("b", "there");
 	int64_t now = 100 * (int64_t)SECOND_US;
-	struct choice choice = { .service = 5, .usual_us = USUAL_US };
+	struct choice choice = { .service = 5, .baseline_us = USUAL_US };
 	struct live_target *target;
 
-	roster_put(roster, &a, now);
-	roster_put(roster, &b, now);
-	target = find(roster, "a");
+	balancer_put(balancer, &a, now);
+	balancer_put(balancer, &b, now);
+	target = find(balancer, "a");
 	for (int i = 0; i < 3; i++) {
-		track_sent(target, USUAL_US, now);
+		target_health_on_send(target, USUAL_US, now);
 		now += 150000;
 		choice.now = now;
-		ck_assert_ptr_eq(roster_choose(roster, &choice),
-				 find(roster, "b"));
-		roster_answered(roster, target, REPLY_DROPPED, USUAL_US,
-				now - 150000, now);
+		ck_assert_ptr_eq(balancer_choose(balancer, &choice),
+				 find(balancer, "b"));
+		balancer_on_reply(balancer, target, REPLY_DROPPED, USUAL_US,
+				  now - 150000, now);
 	}
 	choice.now = now + 500000;
-	ck_assert_ptr_eq(roster_choose(roster, &choice), find(roster, "b"));
+	ck_assert_ptr_eq(balancer_choose(balancer, &choice),
+			 find(balancer, "b"));
 	choice.now = now + 10 * (int64_t)SECOND_US;
-	ck_assert_ptr_eq(roster_choose(roster, &choice), target);
+	ck_assert_ptr_eq(balancer_choose(balancer, &choice), target);
 	for (int i = 0; i < 10; i++) {
-		track_sent(target, USUAL_US, now);
-		roster_answered(roster, target, REPLY_GOOD, USUAL_US, now,
-				now + 9000);
+		target_health_on_send(target, USUAL_US, now);
+		balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
+				  now + 9000);
 	}
 	choice.now = now + 9000;
-	ck_assert_ptr_eq(roster_choose(roster, &choice), target);
-	roster_destroy(roster);
+	ck_assert_ptr_eq(balancer_choose(balancer, &choice), target);
+	balancer_destroy(balancer);
 }
 END_TEST
 
@@ -421,24 +428,24 @@
  */
 START_TEST(test_two_kinds)
 {
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
-	roster_put(roster, &a, now);
-	target = find(roster, "a");
+	balancer_put(balancer, &a, now);
+	target = find(balancer, "a");
 	for (int i = 0; i < 30; i++) {
-		track_sent(target, 3 * USUAL_US, now);
+		target_health_on_send(target, 3 * USUAL_US, now);
 		now += 6 * USUAL_US;
-		roster_answered(roster, target, REPLY_GOOD, 3 * USUAL_US,
-				now - 6 * USUAL_US, now);
+		balancer_on_reply(balancer, target, REPLY_GOOD, 3 * USUAL_US,
+				  now - 6 * USUAL_US, now);
 	}
-	ck_assert_double_eq_tol(track_reply_us(target, 3 * USUAL_US),
+	ck_assert_double_eq_tol(target_health_expected_us(target, 3 * USUAL_US),
 				6 * USUAL_US, USUAL_US / 10.0);
-	ck_assert_double_eq_tol(track_reply_us(target, USUAL_US), 2 * USUAL_US,
-				USUAL_US / 10.0);
-	roster_destroy(roster);
+	ck_assert_double_eq_tol(target_health_expected_us(target, USUAL_US),
+				2 * USUAL_US, USUAL_US / 10.0);
+	balancer_destroy(balancer);
 }
 END_TEST
 
@@ -462,13 +469,13 @@
 START_TEST(test_usual)
 {
 	const struct usual_case *c = &usual_cases[_i];
-	struct usual usual = { .us = 500 };
+	struct baseline baseline = { .us = 500 };
 
 	for (int i = 0; i < 100; i++)
 		if (c->replies[i % 10])
-			usual_add(&usual, c->replies[i % 10]);
-	ck_assert_double_ge(usual.us, c->least);
-	ck_assert_double_le(usual.us, c->most);
+			baseline_add(&baseline, c->replies[i % 10]);
+	ck_assert_double_ge(baseline.us, c->least);
+	ck_assert_double_le(baseline.us, c->most);
 }
 END_TEST
 
@@ -523,7 +530,7 @@
 	calls.fx = &fx;
 	calls.notes = &notes;
 	calls.now = 100 * (int64_t)SECOND_US;
-	calls.roster = roster_create(pool, STR("here"), 0);
+	calls.balancer = balancer_create(pool, STR("here"), 0);
 	poison_init(&poison, pool, (struct poison_targets){ 0 });
 	calls.budget = budget_create(
 		pool, (struct budget_rules){ 1, 100, 10 * SECOND_US });
@@ -532,8 +539,8 @@
 	call->parts = &part;
 	call->nparts = 1;
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_NO_TARGET);
-	roster_put(calls.roster, &a, calls.now);
-	roster_put(calls.roster, &b, calls.now);
+	balancer_put(calls.balancer, &a, calls.now);
+	balancer_put(calls.balancer, &b, calls.now);
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_DONE);
 	call_replied(&calls, call->attempts->id, &failed);
 	ck_assert_uint_eq(part.nsent, 1);
@@ -542,7 +549,7 @@
 	calls_destroy(&calls);
 	poison_destroy(&poison);
 	budget_destroy(calls.budget);
-	roster_destroy(calls.roster);
+	balancer_destroy(calls.balancer);
 	flow_effects_free(&fx);
 }
 END_TEST
@@ -576,26 +583,26 @@
 			     "\"cold_left_ms\":0,\"seq\":1}"),
 		.revision = c->revision,
 	};
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct flow_effects fx;
 	struct note_book notes = { .fx = &fx };
 	struct directory dir;
 
 	flow_effects_init(&fx, pool);
-	directory_init(&dir, pool, &platform_dialect, roster, &notes);
+	directory_init(&dir, pool, &platform_dialect, balancer, &notes);
 	dir.revision = 50;
 	directory_merge(&dir, &item, 1, SECOND_US);
-	ck_assert_msg(roster_count(roster) == c->taken, "%s", c->name);
+	ck_assert_msg(balancer_count(balancer) == c->taken, "%s", c->name);
 	directory_destroy(&dir);
-	roster_destroy(roster);
+	balancer_destroy(balancer);
 	flow_effects_free(&fx);
 }
 END_TEST
 
 /** struct turn_case - two that wait for the same place */
 struct turn_case {
-	struct claim a;
-	struct claim b;
+	struct wait_priority a;
+	struct wait_priority b;
 	bool a_first;
 };
 
@@ -618,7 +625,7 @@
 {
 	const struct turn_case *c = &turn_cases[_i];
 
-	ck_assert_int_eq(line_before(&c->a, &c->b), c->a_first);
+	ck_assert_int_eq(wait_queue_precedes(&c->a, &c->b), c->a_first);
 }
 END_TEST
 
@@ -628,20 +635,22 @@
  */
 START_TEST(test_address_of_another)
 {
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 
-	roster_put(roster, &a, now);
-	reply(roster, REPLY_OTHER, 1000, now);
-	roster_put(roster, &a, now + SECOND_US);
-	ck_assert_int_eq(roster_use(roster, find(roster, "a"), now + SECOND_US),
+	balancer_put(balancer, &a, now);
+	reply(balancer, REPLY_OTHER, 1000, now);
+	balancer_put(balancer, &a, now + SECOND_US);
+	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
+					       now + SECOND_US),
 			 USE_LEAVING);
 	a.addr = STR("10.0.0.2:1");
-	roster_put(roster, &a, now + SECOND_US);
-	ck_assert_int_eq(roster_use(roster, find(roster, "a"), now + SECOND_US),
+	balancer_put(balancer, &a, now + SECOND_US);
+	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
+					       now + SECOND_US),
 			 USE_OK);
-	roster_destroy(roster);
+	balancer_destroy(balancer);
 }
 END_TEST
 
@@ -651,23 +660,24 @@
  */
 START_TEST(test_gone_target_is_forgotten)
 {
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
-	roster_put(roster, &a, now);
-	target = find(roster, "a");
-	track_sent(target, USUAL_US, now);
-	roster_drop(roster, STR("a"), now);
-	roster_sweep(roster, now + 40 * (int64_t)SECOND_US);
-	ck_assert_uint_eq(roster_count(roster), 1);
-	roster_answered(roster, target, REPLY_GOOD, USUAL_US, now, now + 1000);
-	roster_sweep(roster, now + SECOND_US);
-	ck_assert_uint_eq(roster_count(roster), 1);
-	roster_sweep(roster, now + 40 * (int64_t)SECOND_US);
-	ck_assert_uint_eq(roster_count(roster), 0);
-	roster_destroy(roster);
+	balancer_put(balancer, &a, now);
+	target = find(balancer, "a");
+	target_health_on_send(target, USUAL_US, now);
+	balancer_unpublish(balancer, STR("a"), now);
+	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
+	ck_assert_uint_eq(balancer_count(balancer), 1);
+	balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
+			  now + 1000);
+	balancer_remove_expired(balancer, now + SECOND_US);
+	ck_assert_uint_eq(balancer_count(balancer), 1);
+	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
+	ck_assert_uint_eq(balancer_count(balancer), 0);
+	balancer_destroy(balancer);
 }
 END_TEST
 
@@ -677,24 +687,29 @@
  */
 START_TEST(test_cold_target)
 {
-	struct roster *roster = roster_create(pool, STR("here"), 0);
+	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
 	a.cold_us = 3 * SECOND_US;
-	roster_put(roster, &a, now);
-	roster_cold_bound(roster, 5, 2);
-	target = find(roster, "a");
+	balancer_put(balancer, &a, now);
+	balancer_set_cold_limit(balancer, 5, 2);
+	target = find(balancer, "a");
 	for (int i = 0; i < 2; i++) {
-		ck_assert_int_eq(roster_use(roster, target, now), USE_OK);
-		track_sent(target, USUAL_US, now);
+		ck_assert_int_eq(balancer_availability(balancer, target, now),
+				 USE_OK);
+		target_health_on_send(target, USUAL_US, now);
 	}
-	ck_assert_int_eq(roster_use(roster, target, now), USE_COLD);
-	ck_assert_int_eq(roster_use(roster, target, now + SECOND_US), USE_OK);
-	ck_assert_int_eq(roster_use(roster, target, now + 4 * SECOND_US),
-			 USE_OK);
-	roster_destroy(roster);
+	ck_assert_int_eq(balancer_availability(balancer, target, now),
+			 USE_COLD);
+	ck_assert_int_eq(
+		balancer_availability(balancer, target, now + SECOND_US),
+		USE_OK);
+	ck_assert_int_eq(
+		balancer_availability(balancer, target, now + 4 * SECOND_US),
+		USE_OK);
+	balancer_destroy(balancer);
 }
 END_TEST
 
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -11,7 +11,7 @@
 
 #include "../parcel.h"
 #include "../poison.h"
-#include "../roster.h"
+#include "../balancer.h"
 
 #define COUNT(table) (int)(sizeof(table) / sizeof(*(table)))
 
@@ -228,7 +228,7 @@
 /** struct scene - a book of evidence, and the table of targets beside it */
 struct scene {
 	apr_pool_t *pool;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct poison poison;
 	int64_t now;
 };
@@ -243,30 +243,30 @@
 
 static bool lives(const void *ctx, const struct poison_crash *crash)
 {
-	return roster_lists(ctx, crash->key, crash->born_ms);
+	return balancer_is_published(ctx, crash->key, crash->born_ms);
 }
 
 static void scene_init(struct scene *scene)
 {
 	apr_pool_create(&scene->pool, NULL);
 	scene->now = 100 * (int64_t)SECOND_US;
-	scene->roster = roster_create(scene->pool, STR("here"), 0);
+	scene->balancer = balancer_create(scene->pool, STR("here"), 0);
 	poison_init(&scene->poison, scene->pool,
-		    (struct poison_targets){ lives, scene->roster });
+		    (struct poison_targets){ lives, scene->balancer });
 	for (int i = 0; i < POISON_TARGETS_MAX; i++) {
 		struct target_entry entry = { .id = target_id(scene, i),
 					      .service = 1,
 					      .addr = STR("10.0.0.1:80"),
 					      .domain = STR("here") };
 
-		roster_put(scene->roster, &entry, scene->now);
+		balancer_put(scene->balancer, &entry, scene->now);
 	}
 }
 
 static void scene_destroy(struct scene *scene)
 {
 	poison_destroy(&scene->poison);
-	roster_destroy(scene->roster);
+	balancer_destroy(scene->balancer);
 	apr_pool_destroy(scene->pool);
 }
 
@@ -306,8 +306,8 @@
 		scene->now += step->target * (int64_t)SECOND_US;
 		break;
 	case STEP_GONE:
-		roster_drop(scene->roster, target_id(scene, step->target),
-			    scene->now);
+		balancer_unpublish(scene->balancer,
+				   target_id(scene, step->target), scene->now);
 		break;
 	case STEP_SETTLE:
 		poison_settle(&scene->poison, true, scene->now);
--- a/tier.c
+++ b/tier.c
@@ -54,7 +54,7 @@
 	const struct dialect *dialect;
 	uint64_t incarnation;
 	struct flow_effects *fx;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct note_book notes;
 	struct directory dir;
 	struct reader reader;
@@ -119,7 +119,7 @@
 
 static bool is_published(const void *ctx, const struct poison_crash *crash)
 {
-	return roster_lists(ctx, crash->key, crash->born_ms);
+	return balancer_is_published(ctx, crash->key, crash->born_ms);
 }
 
 struct tier *tier_create(const struct tier_options *opt, int64_t now,
@@ -135,15 +135,15 @@
 	tier->incarnation = opt->incarnation;
 	tier->fx = fx;
 	tier->notes.fx = fx;
-	tier->roster =
-		roster_create(tier->pool, tier->settings.domain, opt->without);
-	directory_init(&tier->dir, tier->pool, opt->dialect, tier->roster,
+	tier->balancer = balancer_create(tier->pool, tier->settings.domain,
+					 opt->without);
+	directory_init(&tier->dir, tier->pool, opt->dialect, tier->balancer,
 		       &tier->notes);
 	tier->dir.cold_factor = tier->settings.cold_factor;
 	tier->dir.cold_extra = tier->settings.cold_extra;
 	reader_init(&tier->reader, &tier->dir, fx, now);
 	calls_init(&tier->calls, tier->pool, opt->seed);
-	tier->calls.roster = tier->roster;
+	tier->calls.balancer = tier->balancer;
 	tier->calls.budget =
 		budget_create(tier->pool, rules_of(&tier->settings));
 	tier->calls.without = opt->without;
@@ -155,13 +155,13 @@
 		   tier->settings.first_start ||
 			   !mechanism_on(opt->without, MECHANISM_QUICK_START),
 		   now);
-	spread_init(&tier->spread, &tier->gossip, tier->roster,
+	spread_init(&tier->spread, &tier->gossip, tier->balancer,
 		    &tier->calls.rng, opt->without);
 	batch_book_init(&tier->batches, tier->pool, &tier->gossip,
 			&tier->spread);
 	merge_init(&tier->calls, &tier->batches);
 	poison_init(&tier->poison, tier->pool,
-		    (struct poison_targets){ is_published, tier->roster });
+		    (struct poison_targets){ is_published, tier->balancer });
 	tier->poison_news = (struct poison_news){
 		.poison = &tier->poison,
 		.links = { spread_news, send_news, tier },
@@ -181,7 +181,7 @@
 	budget_destroy(tier->calls.budget);
 	reader_destroy(&tier->reader);
 	directory_destroy(&tier->dir);
-	roster_destroy(tier->roster);
+	balancer_destroy(tier->balancer);
 	apr_pool_destroy(tier->pool);
 	free(tier);
 }
@@ -351,7 +351,7 @@
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
 	return now - tier->dir.read_at < FRESH_US &&
-	       now - roster_store_lost_at(tier->roster) > AWAY_US;
+	       now - balancer_store_lost_at(tier->balancer) > AWAY_US;
 }
 
 static void on_msg(struct tier *tier, const struct flow_event *event)
@@ -434,7 +434,7 @@
 	if (tier->calls.now < tier->sweep_at)
 		return;
 	tier->sweep_at = tier->calls.now + SWEEP_US;
-	roster_sweep(tier->roster, tier->calls.now);
+	balancer_remove_expired(tier->balancer, tier->calls.now);
 	directory_sweep(&tier->dir, tier->calls.now);
 	poison_settle(&tier->poison, store_is_fresh(tier, tier->calls.now),
 		      tier->calls.now);
@@ -537,9 +537,9 @@
 		     tier->calls.nopen);
 	metric_gauge(out, "waiting",
 		     "shards of requests that wait for a target",
-		     lines_count(tier->calls.lines));
+		     wait_queues_count(tier->calls.wait_queues));
 	metric_gauge(out, "targets", "targets in the table",
-		     roster_count(tier->roster));
+		     balancer_count(tier->balancer));
 	metric_gauge(out, "nodes", "nodes that share bounds with this one",
 		     (uint64_t)dir->nodes);
 	metric_gauge(out, "configuration_version", "in force",
--- /dev/null
+++ b/wait_queue.c
@@ -0,0 +1,86 @@
+#include "wait_queue.h"
+
+#include <stdlib.h>
+
+#include "xmalloc.h"
+
+enum {
+	FIRST_CAP = 8,
+};
+
+struct wait_queue *wait_queue_find(apr_hash_t *wait_queues, uint64_t service)
+{
+	return apr_hash_get(wait_queues, &service, sizeof(service));
+}
+
+void wait_queue_add(apr_hash_t *wait_queues, uint64_t service,
+		    struct waiter waiter)
+{
+	struct wait_queue *wait_queue = wait_queue_find(wait_queues, service);
+
+	if (!wait_queue) {
+		wait_queue = xcalloc(1, sizeof(*wait_queue));
+		wait_queue->service = service;
+		apr_hash_set(wait_queues, &wait_queue->service,
+			     sizeof(wait_queue->service), wait_queue);
+	}
+	if (wait_queue->count == wait_queue->cap) {
+		wait_queue->cap =
+			wait_queue->cap ? wait_queue->cap * 2 : FIRST_CAP;
+		wait_queue->list =
+			xrealloc(wait_queue->list,
+				 wait_queue->cap * sizeof(*wait_queue->list));
+	}
+	wait_queue->list[wait_queue->count++] = waiter;
+}
+
+void wait_queue_remove(struct wait_queue *wait_queue, size_t index)
+{
+	wait_queue->list[index] = wait_queue->list[--wait_queue->count];
+}
+
+size_t wait_queues_count(apr_hash_t *wait_queues)
+{
+	apr_hash_index_t *it;
+	size_t count = 0;
+
+	for (it = apr_hash_first(NULL, wait_queues); it;
+	     it = apr_hash_next(it)) {
+		void *value;
+
+		apr_hash_this(it, NULL, NULL, &value);
+		count += ((struct wait_queue *)value)->count;
+	}
+	return count;
+}
+
+void wait_queues_free(apr_hash_t *wait_queues)
+{
+	apr_hash_index_t *it;
+
+	for (it = apr_hash_first(NULL, wait_queues); it;
+	     it = apr_hash_next(it)) {
+		struct wait_queue *wait_queue;
+		void *value;
+
+		apr_hash_this(it, NULL, NULL, &value);
+		wait_queue = value;
+		free(wait_queue->list);
+		free(wait_queue);
+	}
+}
+
+/*
+ * Of those that can be in time the one with least time left. The others are
+ * late whatever happens: the newest of them has most of its time left, and the
+ * oldest would mostly end without an answer after all.
+ */
+bool wait_queue_precedes(const struct wait_priority *a,
+			 const struct wait_priority *b)
+{
+	if (a->in_time != b->in_time)
+		return a->in_time;
+	if (a->in_time)
+		return a->soft_at < b->soft_at;
+	return a->start > b->start;
+}
--- a/line.h
+++ b/wait_queue.h
@@ -24,34 +24,36 @@
 	size_t sends;
 };
 
-/** struct line - those that wait for one service */
-struct line {
+/** struct wait_queue - those that wait for one service */
+struct wait_queue {
 	uint64_t service;
 	struct waiter *list;
 	size_t count;
 	size_t cap;
 };
 
-/** line_add() - @lines: service -> struct line. */
-void line_add(apr_hash_t *lines, uint64_t service, struct waiter waiter);
-/** line_find() - those that wait for @service, or NULL. */
-struct line *line_find(apr_hash_t *lines, uint64_t service);
-void line_drop(struct line *line, size_t index);
-/** lines_count() - that wait for any service. */
-size_t lines_count(apr_hash_t *lines);
-void lines_free(apr_hash_t *lines);
+/** wait_queue_add() - @wait_queues: service -> struct wait_queue. */
+void wait_queue_add(apr_hash_t *wait_queues, uint64_t service,
+		    struct waiter waiter);
+/** wait_queue_find() - those that wait for @service, or NULL. */
+struct wait_queue *wait_queue_find(apr_hash_t *wait_queues, uint64_t service);
+void wait_queue_remove(struct wait_queue *wait_queue, size_t index);
+/** wait_queues_count() - that wait for any service. */
+size_t wait_queues_count(apr_hash_t *wait_queues);
+void wait_queues_free(apr_hash_t *wait_queues);
 
 /**
- * struct claim - what a waiter could make of a free place
+ * struct wait_priority - what a waiter could make of a free place
  * @in_time: its answer can still be worth all
  * @soft_at: when it is answered with what is there
  * @start: of the question
  */
-struct claim {
+struct wait_priority {
 	bool in_time;
 	int64_t soft_at;
 	int64_t start;
 };
 
-/** line_before() - @a gets the place rather than @b. */
-bool line_before(const struct claim *a, const struct claim *b);
+/** wait_queue_precedes() - @a gets the place rather than @b. */
+bool wait_queue_precedes(const struct wait_priority *a,
+			 const struct wait_priority *b);
