--- a/balancer.c
+++ b/balancer.c
@@ -9,38 +9,38 @@
 	 * What a request to a target with an overdue reply is expected to wait
 	 * on top: the rest of a pause, which lasts a tenth of a second or so.
 	 */
-	OVERDUE_WAIT_US = 60000,
+	OVERDUE_COST_US = 60000,
 	/*
 	 * Another failure domain costs two more hops, and bytes between
 	 * domains that are paid for: worth a wait of this long.
 	 */
-	FAR_WAIT_US = 35000,
+	FAR_COST_US = 35000,
 	/*
 	 * What a request costs that is not served: a part of the retry budget,
 	 * which is soon used up, and then the shard is missing. More than most
 	 * waits, so a target that rejects gets the overflow only.
 	 */
-	FAULT_WAIT_US = 250000,
+	FAILURE_COST_US = 250000,
 	/*
 	 * Entries that lapsed while the store was away come back within two
 	 * seconds of its return if their target lives.
 	 */
-	LAPSE_US = 2000000,
+	ENTRY_LAPSE_US = 2000000,
 	/* Targets that are gone are remembered until no late word can come. */
-	KEPT_US = 30000000,
+	GONE_RETENTION_US = 30000000,
 	SECOND_US = 1000000,
 };
 
 /**
- * struct group - targets of a service, and what bounds them
+ * struct service_targets - targets of a service, and what bounds them
  * @cold_per_second: requests that this node may send to a cold one, 0: any
  * @conns: requests of this node that one may have, 0: any
  */
-struct group {
+struct service_targets {
 	uint64_t service;
 	struct live_target *first;
 	int cold_per_second;
-	struct conn_bound conns;
+	struct conn_limit conns;
 };
 
 /** struct balancer - @without: mechanisms that are off */
@@ -49,7 +49,7 @@
 	uint32_t without;
 	struct str domain;
 	apr_hash_t *targets; /* key -> struct live_target */
-	apr_hash_t *groups; /* service -> struct group */
+	apr_hash_t *services; /* service -> struct service_targets */
 	apr_hash_t *out; /* hash of a failure domain taken out */
 	int64_t store_lost_at;
 	size_t count;
@@ -67,7 +67,7 @@
 	balancer->domain = str_dup(pool, domain);
 	balancer->without = without;
 	balancer->targets = hash_make(pool);
-	balancer->groups = hash_make(pool);
+	balancer->services = hash_make(pool);
 	balancer->out = hash_make(pool);
 	balancer->store_lost_at = INT64_MIN / 2;
 	return balancer;
@@ -96,32 +96,34 @@
 		free_strings(target);
 		free(target);
 	}
-	for (it = apr_hash_first(NULL, balancer->groups); it;
+	for (it = apr_hash_first(NULL, balancer->services); it;
 	     it = apr_hash_next(it)) {
-		void *group = hash_value(it);
+		void *service_targets = hash_value(it);
 
-		free(group);
+		free(service_targets);
 	}
 	apr_pool_destroy(balancer->pool);
 }
 
-static struct group *group_get(struct balancer *balancer, uint64_t service)
+static struct service_targets *service_targets_get(struct balancer *balancer,
+						   uint64_t service)
 {
-	struct group *group =
-		apr_hash_get(balancer->groups, &service, sizeof(service));
+	struct service_targets *service_targets =
+		apr_hash_get(balancer->services, &service, sizeof(service));
 
-	if (group)
-		return group;
-	group = xcalloc(1, sizeof(*group));
-	group->service = service;
-	apr_hash_set(balancer->groups, &group->service, sizeof(group->service),
-		     group);
-	return group;
+	if (service_targets)
+		return service_targets;
+	service_targets = xcalloc(1, sizeof(*service_targets));
+	service_targets->service = service;
+	apr_hash_set(balancer->services, &service_targets->service,
+		     sizeof(service_targets->service), service_targets);
+	return service_targets;
 }
 
 static void unlink_target(struct balancer *balancer, struct live_target *target)
 {
-	struct live_target **at = &group_get(balancer, target->service)->first;
+	struct live_target **at =
+		&service_targets_get(balancer, target->service)->first;
 
 	while (*at && *at != target)
 		at = &(*at)->next;
@@ -129,7 +131,7 @@
 		*at = target->next;
 }
 
-static void forget(struct balancer *balancer, struct live_target *target)
+static void remove_target(struct balancer *balancer, struct live_target *target)
 {
 	unlink_target(balancer, target);
 	apr_hash_set(balancer->targets, &target->key, sizeof(target->key),
@@ -143,7 +145,8 @@
 			       const struct target_entry *entry)
 {
 	struct live_target *target = xcalloc(1, sizeof(*target));
-	struct group *group = group_get(balancer, entry->service);
+	struct service_targets *service_targets =
+		service_targets_get(balancer, entry->service);
 
 	target->key = key;
 	target->id = str_keep(entry->id);
@@ -154,8 +157,8 @@
 	target->service = entry->service;
 	target->born_ms = entry->born_ms;
 	target->slowness = 1;
-	target->next = group->first;
-	group->first = target;
+	target->next = service_targets->first;
+	service_targets->first = target;
 	apr_hash_set(balancer->targets, &target->key, sizeof(target->key),
 		     target);
 	balancer->count++;
@@ -185,22 +188,22 @@
 			apr_hash_set(balancer->targets, &target->key,
 				     sizeof(target->key), NULL);
 			target->service = 0;
-			target->listed = false;
+			target->published = false;
 			balancer->count--;
 		} else {
-			forget(balancer, target);
+			remove_target(balancer, target);
 		}
 		target = NULL;
 	}
 	if (!target)
 		target = add(balancer, key, entry);
-	target->listed = true;
+	target->published = true;
 	target->slots = entry->slots;
 	target->cold_until = entry->cold_us ? now + entry->cold_us : 0;
 	if (!entry->leaving)
-		target->left_at = 0;
-	else if (!target->left_at)
-		target->left_at = now;
+		target->leaving_at = 0;
+	else if (!target->leaving_at)
+		target->leaving_at = now;
 }
 
 void balancer_unpublish(struct balancer *balancer, struct str id, int64_t now)
@@ -211,9 +214,9 @@
 
 	if (!target)
 		return;
-	target->listed = false;
-	if (!target->left_at)
-		target->left_at = now;
+	target->published = false;
+	if (!target->leaving_at)
+		target->leaving_at = now;
 }
 
 void balancer_set_domain(struct balancer *balancer, struct str domain, bool out)
@@ -244,13 +247,13 @@
 void balancer_set_cold_limit(struct balancer *balancer, uint64_t service,
 			     int per_second)
 {
-	group_get(balancer, service)->cold_per_second = per_second;
+	service_targets_get(balancer, service)->cold_per_second = per_second;
 }
 
 void balancer_set_conn_limit(struct balancer *balancer, uint64_t service,
-			     struct conn_bound bound)
+			     struct conn_limit limit)
 {
-	group_get(balancer, service)->conns = bound;
+	service_targets_get(balancer, service)->conns = limit;
 }
 
 /*
@@ -258,77 +261,82 @@
  * each later one later still: so few are sent there that a reply comes within
  * half of the goal, one at least.
  */
-static bool is_busy(const struct balancer *balancer, const struct group *group,
+static bool is_busy(const struct balancer *balancer,
+		    const struct service_targets *service_targets,
 		    const struct live_target *target, double baseline_us,
 		    int64_t goal_us)
 {
 	double us = target_health_expected_us(target, baseline_us);
-	int most;
+	int limit;
 
-	if (!group)
+	if (!service_targets)
 		return false;
-	most = target->near ? group->conns.near : group->conns.far;
-	if (!most)
+	limit = target->near ? service_targets->conns.near
+			     : service_targets->conns.far;
+	if (!limit)
 		return false;
-	if (target->slots && most > target->slots)
-		most = target->slots;
+	if (target->slots && limit > target->slots)
+		limit = target->slots;
 	if (has(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
 	    us * 2 > (double)goal_us)
-		most = (int)(most * (double)goal_us / (us * 2));
-	return target->open >= (most > 1 ? most : 1);
+		limit = (int)(limit * (double)goal_us / (us * 2));
+	return target->open >= (limit > 1 ? limit : 1);
 }
 
 /* Choice. */
 
-static const struct group *group_find(const struct balancer *balancer,
-				      uint64_t service)
+static const struct service_targets *
+service_targets_find(const struct balancer *balancer, uint64_t service)
 {
-	return apr_hash_get(balancer->groups, &service, sizeof(service));
+	return apr_hash_get(balancer->services, &service, sizeof(service));
 }
 
-static bool cold_is_full(const struct group *group,
-			 const struct live_target *target, int64_t now)
+static bool cold_limit_reached(const struct service_targets *service_targets,
+			       const struct live_target *target, int64_t now)
 {
-	if (now >= target->cold_until || !group || !group->cold_per_second)
+	if (now >= target->cold_until || !service_targets ||
+	    !service_targets->cold_per_second)
 		return false;
-	return now - target->cold_second < SECOND_US &&
-	       target->cold_sent >= group->cold_per_second;
+	return now - target->cold_window_start < SECOND_US &&
+	       target->cold_sent >= service_targets->cold_per_second;
 }
 
-static enum target_use use_for(const struct balancer *balancer,
-			       const struct live_target *target,
-			       double baseline_us, int64_t goal_us, int64_t now)
+static enum target_availability
+availability_for(const struct balancer *balancer,
+		 const struct live_target *target, double baseline_us,
+		 int64_t goal_us, int64_t now)
 {
-	const struct group *group = group_find(balancer, target->service);
+	const struct service_targets *service_targets =
+		service_targets_find(balancer, target->service);
 
 	if (apr_hash_get(balancer->out, &target->domain_key,
 			 sizeof(target->domain_key)))
-		return USE_DOMAIN_OUT;
-	if (now < target->moved_until)
-		return USE_LEAVING;
+		return AVAIL_DOMAIN_OUT;
+	if (now < target->entry_ignored_until)
+		return AVAIL_LEAVING;
 	/*
 	 * While the store was away entries lapse though their targets live.
 	 * Such a target is used until its entry would have been back.
 	 */
-	if (target->left_at &&
-	    (target->listed || now - target->left_at > LAPSE_US ||
-	     target->left_at - balancer->store_lost_at > LAPSE_US))
-		return USE_LEAVING;
+	if (target->leaving_at &&
+	    (target->published || now - target->leaving_at > ENTRY_LAPSE_US ||
+	     target->leaving_at - balancer->store_lost_at > ENTRY_LAPSE_US))
+		return AVAIL_LEAVING;
 	if (now < target->down_until && has(balancer, MECHANISM_TARGET_REST))
-		return USE_DOWN;
+		return AVAIL_DOWN;
 	if (has(balancer, MECHANISM_COLD_BOUND) &&
-	    cold_is_full(group, target, now))
-		return USE_COLD;
-	if (is_busy(balancer, group, target, baseline_us, goal_us))
-		return USE_BUSY;
-	return USE_OK;
+	    cold_limit_reached(service_targets, target, now))
+		return AVAIL_COLD;
+	if (is_busy(balancer, service_targets, target, baseline_us, goal_us))
+		return AVAIL_BUSY;
+	return AVAIL_OK;
 }
 
-enum target_use balancer_availability(const struct balancer *balancer,
-				      const struct live_target *target,
-				      int64_t now)
+enum target_availability balancer_availability(const struct balancer *balancer,
+					       const struct live_target *target,
+					       int64_t now)
 {
-	return use_for(balancer, target, 0, 0, now);
+	return availability_for(balancer, target, 0, 0, now);
 }
 
 int64_t balancer_expected_us(const struct balancer *balancer,
@@ -340,27 +348,27 @@
 					   : 1);
 	int slots = target->slots > 0 ? target->slots : 1;
 	double queued = (double)target->open / slots;
-	int64_t expected = (int64_t)(us * (1 + queued));
+	int64_t expected_us = (int64_t)(us * (1 + queued));
 
 	if (has(balancer, MECHANISM_OVERDUE_COST) &&
 	    target_health_is_overdue(target, now))
-		expected += OVERDUE_WAIT_US;
+		expected_us += OVERDUE_COST_US;
 	if (now < target->cold_until)
-		expected += (int64_t)us;
+		expected_us += (int64_t)us;
 	if (has(balancer, MECHANISM_FAULT_COST))
-		expected += (int64_t)(FAULT_WAIT_US *
-				      target_health_error_rate(target, now));
-	if (has(balancer, MECHANISM_TARGET_REST) && now < target->wary_until)
-		expected += target->wary_until - now;
+		expected_us += (int64_t)(FAILURE_COST_US *
+					 target_health_error_rate(target, now));
+	if (has(balancer, MECHANISM_TARGET_REST) && now < target->backoff_until)
+		expected_us += target->backoff_until - now;
 	if (has(balancer, MECHANISM_FAR_COST) && !target->near)
-		expected += FAR_WAIT_US;
-	return expected;
+		expected_us += FAR_COST_US;
+	return expected_us;
 }
 
-static bool is_avoided(const struct choice *choice, uint64_t key)
+static bool is_excluded(const struct target_query *target_query, uint64_t key)
 {
-	for (size_t i = 0; i < choice->navoid; i++)
-		if (choice->avoid[i] == key)
+	for (size_t i = 0; i < target_query->nexcluded; i++)
+		if (target_query->excluded[i] == key)
 			return true;
 	return false;
 }
@@ -368,9 +376,10 @@
 struct live_target *balancer_first(const struct balancer *balancer,
 				   uint64_t service)
 {
-	const struct group *group = group_find(balancer, service);
+	const struct service_targets *service_targets =
+		service_targets_find(balancer, service);
 
-	return group ? group->first : NULL;
+	return service_targets ? service_targets->first : NULL;
 }
 
 /*
@@ -379,45 +388,50 @@
  * the request sent to a slow one at hand instead, its reply would come later
  * still, and a retry be spent on it.
  */
-static int64_t expect_busy(const struct balancer *balancer,
-			   const struct live_target *target,
-			   const struct choice *choice)
+static int64_t expected_when_busy(const struct balancer *balancer,
+				  const struct live_target *target,
+				  const struct target_query *target_query)
 {
-	return balancer_expected_us(balancer, target, choice->baseline_us,
-				    choice->now) +
-	       (int64_t)target_health_expected_us(target, choice->baseline_us);
+	return balancer_expected_us(balancer, target, target_query->baseline_us,
+				    target_query->now) +
+	       (int64_t)target_health_expected_us(target,
+						  target_query->baseline_us);
 }
 
 struct live_target *balancer_choose(struct balancer *balancer,
-				    const struct choice *choice)
+				    const struct target_query *target_query)
 {
 	struct live_target *best = NULL;
-	int64_t least = 0;
-	int64_t least_busy = INT64_MAX;
+	int64_t best_us = 0;
+	int64_t best_busy_us = INT64_MAX;
 
 	for (struct live_target *target =
-		     balancer_first(balancer, choice->service);
+		     balancer_first(balancer, target_query->service);
 	     target; target = target->next) {
-		enum target_use use =
-			use_for(balancer, target, choice->baseline_us,
-				choice->goal_us, choice->now);
-		int64_t expected;
+		enum target_availability availability = availability_for(
+			balancer, target, target_query->baseline_us,
+			target_query->goal_us, target_query->now);
+		int64_t expected_us;
 
-		if (is_avoided(choice, target->key))
+		if (is_excluded(target_query, target->key))
 			continue;
-		if (use == USE_BUSY && has(balancer, MECHANISM_BUSY_WAIT) &&
-		    expect_busy(balancer, target, choice) < least_busy)
-			least_busy = expect_busy(balancer, target, choice);
-		if (use != USE_OK)
+		if (availability == AVAIL_BUSY &&
+		    has(balancer, MECHANISM_BUSY_WAIT) &&
+		    expected_when_busy(balancer, target, target_query) <
+			    best_busy_us)
+			best_busy_us = expected_when_busy(balancer, target,
+							  target_query);
+		if (availability != AVAIL_OK)
 			continue;
-		expected = balancer_expected_us(
-			balancer, target, choice->baseline_us, choice->now);
-		if (!best || expected < least) {
+		expected_us = balancer_expected_us(balancer, target,
+						   target_query->baseline_us,
+						   target_query->now);
+		if (!best || expected_us < best_us) {
 			best = target;
-			least = expected;
+			best_us = expected_us;
 		}
 	}
-	return least_busy < least ? NULL : best;
+	return best_busy_us < best_us ? NULL : best;
 }
 
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
@@ -425,20 +439,22 @@
 {
 	for (struct live_target *target = balancer_first(balancer, service);
 	     target; target = target->next) {
-		enum target_use use =
+		enum target_availability availability =
 			balancer_availability(balancer, target, now);
 
 		/* What is busy or has its share of a second is soon free. */
-		if (use == USE_OK || use == USE_BUSY || use == USE_COLD)
+		if (availability == AVAIL_OK || availability == AVAIL_BUSY ||
+		    availability == AVAIL_COLD)
 			return true;
 	}
 	return false;
 }
 
 bool balancer_prefers_near(struct balancer *balancer,
-			   const struct choice *choice)
+			   const struct target_query *target_query)
 {
-	const struct live_target *target = balancer_choose(balancer, choice);
+	const struct live_target *target =
+		balancer_choose(balancer, target_query);
 
 	return target && target->near;
 }
@@ -449,7 +465,7 @@
 	for (struct live_target *target = balancer_first(balancer, service);
 	     target; target = target->next)
 		if (target->domain_key == domain &&
-		    balancer_availability(balancer, target, now) == USE_OK)
+		    balancer_availability(balancer, target, now) == AVAIL_OK)
 			return true;
 	return false;
 }
@@ -460,11 +476,11 @@
 	const struct live_target *target =
 		apr_hash_get(balancer->targets, &key, sizeof(key));
 
-	return target && target->listed && target->born_ms == born_ms;
+	return target && target->published && target->born_ms == born_ms;
 }
 
 /* Return: one that can be forgotten, or NULL. */
-static struct live_target *find_gone(struct balancer *balancer, int64_t now)
+static struct live_target *find_expired(struct balancer *balancer, int64_t now)
 {
 	apr_hash_index_t *it;
 
@@ -472,8 +488,8 @@
 	     it = apr_hash_next(it)) {
 		struct live_target *target = hash_value(it);
 
-		if (!target->listed && !target->open &&
-		    now - target->left_at > KEPT_US)
+		if (!target->published && !target->open &&
+		    now - target->leaving_at > GONE_RETENTION_US)
 			return target;
 	}
 	return NULL;
@@ -483,8 +499,8 @@
 {
 	struct live_target *gone;
 
-	while ((gone = find_gone(balancer, now)))
-		forget(balancer, gone);
+	while ((gone = find_expired(balancer, now)))
+		remove_target(balancer, gone);
 }
 
 size_t balancer_count(const struct balancer *balancer)
@@ -500,8 +516,8 @@
 	if (!target->open && !target->service) {
 		free_strings(target);
 		free(target);
-	} else if (!target->open && !target->listed &&
-		   now - target->left_at > 2 * LAPSE_US) {
-		forget(balancer, target);
+	} else if (!target->open && !target->published &&
+		   now - target->leaving_at > 2 * ENTRY_LAPSE_US) {
+		remove_target(balancer, target);
 	}
 }
--- a/balancer.h
+++ b/balancer.h
@@ -13,27 +13,27 @@
 
 struct balancer;
 
-/** enum target_use - whether new requests may go to a target */
-enum target_use {
-	USE_OK,
-	USE_LEAVING, /* it drains, or its entry is gone */
-	USE_DOMAIN_OUT,
-	USE_DOWN, /* took no connection just now */
-	USE_COLD, /* has its share of requests for this second */
-	USE_BUSY, /* has as many requests of this node as its connections bear
-		   */
+/** enum target_availability - whether new requests may go to a target */
+enum target_availability {
+	AVAIL_OK,
+	AVAIL_LEAVING, /* it drains, or its entry is gone */
+	AVAIL_DOMAIN_OUT,
+	AVAIL_DOWN, /* took no connection just now */
+	AVAIL_COLD, /* has its share of requests for this second */
+	AVAIL_BUSY, /* has as many requests of this node as its connections bear
+		     */
 };
 
 /**
- * struct choice - a request for a target
- * @avoid, @navoid: targets that have had the request already
+ * struct target_query - a request for a target
+ * @excluded, @nexcluded: targets that have had the request already
  * @baseline_us: what a reply to this kind of request usually takes
  * @goal_us: the reply is of little use after this time, 0: any time
  */
-struct choice {
+struct target_query {
 	uint64_t service;
-	const uint64_t *avoid;
-	size_t navoid;
+	const uint64_t *excluded;
+	size_t nexcluded;
 	double baseline_us;
 	int64_t goal_us;
 	int64_t now;
@@ -63,17 +63,17 @@
 void balancer_set_cold_limit(struct balancer *balancer, uint64_t service,
 			     int per_second);
 /**
- * struct conn_bound - requests of this node that a target may have at a time
+ * struct conn_limit - requests of this node that a target may have at a time
  * @near: if it is in this failure domain
  * @far: if it is not
  */
-struct conn_bound {
+struct conn_limit {
 	int near;
 	int far;
 };
 
 void balancer_set_conn_limit(struct balancer *balancer, uint64_t service,
-			     struct conn_bound bound);
+			     struct conn_limit limit);
 
 /**
  * balancer_choose() - best target for a request, or NULL when none may have it
@@ -82,21 +82,21 @@
  * requests that wait there, plus what a reply that is overdue tells of it.
  */
 struct live_target *balancer_choose(struct balancer *balancer,
-				    const struct choice *choice);
+				    const struct target_query *target_query);
 /** balancer_expected_us() - microseconds until a reply, were it asked now. */
 int64_t balancer_expected_us(const struct balancer *balancer,
 			     const struct live_target *target,
 			     double baseline_us, int64_t now);
-enum target_use balancer_availability(const struct balancer *balancer,
-				      const struct live_target *target,
-				      int64_t now);
+enum target_availability balancer_availability(const struct balancer *balancer,
+					       const struct live_target *target,
+					       int64_t now);
 /** balancer_has_usable() - some target of @service may be asked, if not at
  * once. */
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
 			 int64_t now);
 /** balancer_prefers_near() - the best target now is in this failure domain. */
 bool balancer_prefers_near(struct balancer *balancer,
-			   const struct choice *choice);
+			   const struct target_query *target_query);
 /** balancer_has_target_in() - a target in @domain may be asked now. */
 bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
 			    uint64_t domain, int64_t now);
--- a/call.c
+++ b/call.c
@@ -177,7 +177,7 @@
 
 	fx->id = attempt->id;
 	metric_add(&calls->notes->metrics, METRIC_CUT);
-	balancer_on_reply(calls->balancer, attempt->target, REPLY_DROPPED,
+	balancer_on_reply(calls->balancer, attempt->target, REPLY_CANCELLED,
 			  attempt->baseline_us, attempt->sent_at, calls->now);
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id), NULL);
 	free(attempt);
@@ -260,19 +260,19 @@
 					const struct call *call,
 					const struct part *part)
 {
-	uint64_t avoid[CALL_TRIES_MAX];
-	struct choice choice = { .service = part->service,
-				 .avoid = avoid,
-				 .baseline_us = call->baseline->us,
-				 .goal_us = call->route->goal_us,
-				 .now = calls->now };
+	uint64_t excluded[CALL_TRIES_MAX];
+	struct target_query target_query = { .service = part->service,
+					     .excluded = excluded,
+					     .baseline_us = call->baseline->us,
+					     .goal_us = call->route->goal_us,
+					     .now = calls->now };
 	struct live_target *target;
 
 	for (size_t i = 0; i < part->ntried; i++)
 		if (!(part->rejected & 1U << i))
-			avoid[choice.navoid++] = part->tried[i];
-	target = balancer_choose(calls->balancer, &choice);
-	if (!target || calls->now < target->wary_until ||
+			excluded[target_query.nexcluded++] = part->tried[i];
+	target = balancer_choose(calls->balancer, &target_query);
+	if (!target || calls->now < target->backoff_until ||
 	    find_tried(part, target->key) == part->ntried)
 		return NULL;
 	return target;
@@ -281,16 +281,16 @@
 static struct live_target *choose(struct calls *calls, const struct call *call,
 				  const struct part *part)
 {
-	struct choice choice = { .service = part->service,
-				 .avoid = part->tried,
-				 .navoid = part->ntried,
-				 .baseline_us = call->baseline->us,
-				 .goal_us = call->route->goal_us,
-				 .now = calls->now };
+	struct target_query target_query = { .service = part->service,
+					     .excluded = part->tried,
+					     .nexcluded = part->ntried,
+					     .baseline_us = call->baseline->us,
+					     .goal_us = call->route->goal_us,
+					     .now = calls->now };
 	struct live_target *target = NULL;
 
 	if (has_fresh_tries(call, part))
-		target = balancer_choose(calls->balancer, &choice);
+		target = balancer_choose(calls->balancer, &target_query);
 	if (!target && part->rejected &&
 	    call_has(calls, MECHANISM_RETRY_REJECTED))
 		target = choose_again(calls, call, part);
@@ -359,9 +359,9 @@
 		break;
 	}
 	if (reply->other)
-		return REPLY_OTHER;
+		return REPLY_WRONG_TARGET;
 	if (reply->not_run)
-		return REPLY_FULL;
+		return REPLY_REJECTED;
 	return reply->status / 100 == 2 ? REPLY_GOOD : REPLY_FAILED;
 }
 
--- a/directory.c
+++ b/directory.c
@@ -79,10 +79,10 @@
 	return mine > 0 ? mine : 1;
 }
 
-struct conn_bound directory_conns(int max_conns, int near, int far)
+struct conn_limit directory_conns(int max_conns, int near, int far)
 {
 	int all = (int)(max_conns * CONNS_PART);
-	struct conn_bound bound = { .near = NEAR_CONNS_LEAST,
+	struct conn_limit bound = { .near = NEAR_CONNS_LEAST,
 				    .far = FAR_CONNS_LEAST };
 	int each;
 
--- a/directory.h
+++ b/directory.h
@@ -82,7 +82,7 @@
  * @near, @far: nodes that use it from its failure domain and from elsewhere;
  *              @near of 0: not known yet, the least is used
  */
-struct conn_bound directory_conns(int max_conns, int near, int far);
+struct conn_limit directory_conns(int max_conns, int near, int far);
 /** directory_sweep() - forget keys that were deleted long ago. */
 void directory_sweep(struct directory *dir, int64_t now);
 /** directory_pack() - all that changed after revision @since. */
--- a/merge.c
+++ b/merge.c
@@ -417,14 +417,14 @@
 
 static void send_near(struct calls *calls, struct call *call)
 {
-	struct choice choice = { .baseline_us = call->baseline->us,
-				 .goal_us = call->route->goal_us,
-				 .now = calls->now };
+	struct target_query target_query = { .baseline_us = call->baseline->us,
+					     .goal_us = call->route->goal_us,
+					     .now = calls->now };
 
 	for (size_t i = 0; i < call->nparts; i++) {
-		choice.service = call->parts[i].service;
+		target_query.service = call->parts[i].service;
 		if (is_idle(&call->parts[i]) &&
-		    balancer_prefers_near(calls->balancer, &choice))
+		    balancer_prefers_near(calls->balancer, &target_query))
 			call_send(calls, call, i);
 	}
 }
--- a/spread.c
+++ b/spread.c
@@ -87,10 +87,10 @@
 		struct cover *cover =
 			cover_get(covers, count, target->domain_key);
 		bool counted = false;
-		enum target_use use =
+		enum target_availability use =
 			balancer_availability(spread->balancer, target, now);
 
-		if (!cover || use == USE_LEAVING || use == USE_DOMAIN_OUT)
+		if (!cover || use == AVAIL_LEAVING || use == AVAIL_DOMAIN_OUT)
 			continue;
 		for (size_t i = 0; i < nseen; i++)
 			counted = counted || seen[i] == target->domain_key;
@@ -269,7 +269,7 @@
 		catalog_service(catalog, route->shards[0]);
 	int merging = (int)plan->count + plan->self;
 	int near = plan->self;
-	struct conn_bound bound;
+	struct conn_limit bound;
 
 	if (!service || !plan->self || !domains || !spread->met ||
 	    !mechanism_on(spread->without, MECHANISM_SHARED_CONNS))
--- a/target_health.c
+++ b/target_health.c
@@ -2,49 +2,49 @@
 
 enum {
 	/* A reply over this multiple of the usual time is overdue. */
-	OVERDUE_TIMES = 2,
+	OVERDUE_FACTOR = 2,
 	/*
 	 * Slow targets must be seen to have recovered: without requests the
 	 * smoothed slowness halves each second, until one tries it again.
 	 */
-	FORGET_HALF_US = 1000000,
+	SLOWNESS_HALF_LIFE_US = 1000000,
 	/*
 	 * A try that finds it as slow doubles that time, at most so often: each
 	 * such try makes a question late or costs a retry, and slowness
 	 * that has lasted is likely to last.
 	 */
-	SLOW_TRIES_MAX = 4,
+	SLOW_PROBES_MAX = 4,
 	/* Replies after a pause come together and are one finding. */
-	SLOW_TRY_GAP_US = 300000,
+	SLOW_PROBE_INTERVAL_US = 300000,
 	/* A target that failed waits, doubled with each failure in a row. */
-	REST_US = 100000,
-	REST_MAX_US = 1600000,
+	BACKOFF_MIN_US = 100000,
+	BACKOFF_MAX_US = 1600000,
 	/* A target that did not serve is tried again as this halves. */
-	FAULT_HALF_US = 1500000,
+	ERROR_RATE_HALF_US = 1500000,
 	/* One that was full rests for about the time of a request. */
-	REST_FULL_US = 15000,
+	REJECTED_BACKOFF_US = 15000,
 	/*
 	 * A target whose address another one has is gone, but its entry may be
 	 * written a few times more. Longer than entries outlive their target.
 	 */
-	MOVED_US = 10000000,
+	STALE_ENTRY_US = 10000000,
 	SECOND_US = 1000000,
 };
 
 /* One that is this much quicker than was believed has recovered. */
-static const double QUICK_TIMES = 2;
+static const double RECOVERED_FACTOR = 2;
 /* A reply is slow if it takes this multiple of what was expected. */
-static const double SLOW_TIMES = 1.5;
+static const double SLOW_FACTOR = 1.5;
 
 /* Weight of a new reply in the smoothed slowness: follows in about five. */
-static const double SMOOTHING = 0.2;
+static const double SMOOTHING_WEIGHT = 0.2;
 
 double target_health_slowness(const struct live_target *target, int64_t now)
 {
 	/* A first slow reply may be a pause, which ends by itself. */
-	int confirmed = target->slow_tries > 1 ? target->slow_tries - 1 : 0;
-	double half = (double)(FORGET_HALF_US << confirmed);
-	double halvings = (double)(now - target->slowness_at) / half;
+	int confirmed = target->slow_probes > 1 ? target->slow_probes - 1 : 0;
+	double half_life = (double)(SLOWNESS_HALF_LIFE_US << confirmed);
+	double halvings = (double)(now - target->slowness_at) / half_life;
 	double slowness = target->slowness;
 
 	if (!target->slowness_at || halvings < 0.1)
@@ -58,9 +58,9 @@
 
 bool target_health_is_overdue(const struct live_target *target, int64_t now)
 {
-	int64_t age = target->asked_at ? now - target->asked_at : 0;
+	int64_t age = target->oldest_sent_at ? now - target->oldest_sent_at : 0;
 
-	return age > (int64_t)(target->asked_us * OVERDUE_TIMES);
+	return age > (int64_t)(target->oldest_expected_us * OVERDUE_FACTOR);
 }
 
 double target_health_expected_us(const struct live_target *target,
@@ -71,64 +71,69 @@
 
 double target_health_error_rate(const struct live_target *target, int64_t now)
 {
-	int64_t age = now - target->faults_at;
+	int64_t age = now - target->error_rate_at;
 
-	return target->faults * FAULT_HALF_US / (double)(FAULT_HALF_US + age);
+	return target->error_rate * ERROR_RATE_HALF_US /
+	       (double)(ERROR_RATE_HALF_US + age);
 }
 
-static void count_fault(struct live_target *target, bool fault, int64_t now)
+static void update_error_rate(struct live_target *target, bool failed,
+			      int64_t now)
 {
-	double known = target_health_error_rate(target, now);
+	double current = target_health_error_rate(target, now);
 
-	target->faults = known + SMOOTHING * ((fault ? 1.0 : 0.0) - known);
-	target->faults_at = now;
+	target->error_rate =
+		current + SMOOTHING_WEIGHT * ((failed ? 1.0 : 0.0) - current);
+	target->error_rate_at = now;
 }
 
 void target_health_on_send(struct live_target *target, double baseline_us,
 			   int64_t now)
 {
 	if (!target->open++) {
-		target->asked_at = now;
-		target->asked_us =
+		target->oldest_sent_at = now;
+		target->oldest_expected_us =
 			target_health_expected_us(target, baseline_us);
 	}
 	if (now < target->cold_until) {
-		if (now - target->cold_second >= SECOND_US) {
-			target->cold_second = now;
+		if (now - target->cold_window_start >= SECOND_US) {
+			target->cold_window_start = now;
 			target->cold_sent = 0;
 		}
 		target->cold_sent++;
 	}
 }
 
-static void count_slow_try(struct live_target *target, double times,
-			   int64_t now)
+static void update_slow_probes(struct live_target *target, double ratio,
+			       int64_t now)
 {
-	double known = target_health_slowness(target, now);
+	double current = target_health_slowness(target, now);
 
-	if (times * QUICK_TIMES < known) {
-		target->slow_tries = 0;
+	if (ratio * RECOVERED_FACTOR < current) {
+		target->slow_probes = 0;
 		return;
 	}
-	if (times > known * SLOW_TIMES &&
-	    now - target->slowness_at > SLOW_TRY_GAP_US &&
-	    target->slow_tries < SLOW_TRIES_MAX)
-		target->slow_tries++;
+	if (ratio > current * SLOW_FACTOR &&
+	    now - target->slowness_at > SLOW_PROBE_INTERVAL_US &&
+	    target->slow_probes < SLOW_PROBES_MAX)
+		target->slow_probes++;
 }
 
-static void smooth(struct live_target *target, double times, int64_t now)
+static void update_slowness(struct live_target *target, double ratio,
+			    int64_t now)
 {
-	double known = target_health_slowness(target, now);
+	double current = target_health_slowness(target, now);
 
-	target->slowness = known + SMOOTHING * (times - known);
+	target->slowness = current + SMOOTHING_WEIGHT * (ratio - current);
 	target->slowness_at = now;
 }
 
-static int64_t rest_us(const struct live_target *target)
+static int64_t backoff_us(const struct live_target *target)
 {
-	int64_t us = REST_US;
+	int64_t us = BACKOFF_MIN_US;
 
-	for (int i = 1; i < target->failures && us < REST_MAX_US; i++)
+	for (int i = 1; i < target->consecutive_failures && us < BACKOFF_MAX_US;
+	     i++)
 		us *= 2;
 	return us;
 }
@@ -136,38 +141,38 @@
 void target_health_on_reply(struct live_target *target, enum target_reply what,
 			    double baseline_us, int64_t sent_at, int64_t now)
 {
-	double times = (double)(now - sent_at) / baseline_us;
+	double ratio = (double)(now - sent_at) / baseline_us;
 
 	target->open--;
 	/* The others were sent at this one's time or later. */
-	target->asked_at = target->open ? now : 0;
+	target->oldest_sent_at = target->open ? now : 0;
 	switch (what) {
 	case REPLY_GOOD:
-		count_fault(target, false, now);
-		target->failures = 0;
-		count_slow_try(target, times, now);
-		smooth(target, times, now);
+		update_error_rate(target, false, now);
+		target->consecutive_failures = 0;
+		update_slow_probes(target, ratio, now);
+		update_slowness(target, ratio, now);
 		break;
-	case REPLY_FULL:
-		count_fault(target, true, now);
-		target->wary_until = now + REST_FULL_US;
+	case REPLY_REJECTED:
+		update_error_rate(target, true, now);
+		target->backoff_until = now + REJECTED_BACKOFF_US;
 		break;
 	case REPLY_FAILED:
-		count_fault(target, true, now);
-		target->failures++;
-		target->wary_until = now + rest_us(target);
+		update_error_rate(target, true, now);
+		target->consecutive_failures++;
+		target->backoff_until = now + backoff_us(target);
 		break;
 	case REPLY_DOWN:
-		target->failures++;
-		target->down_until = now + rest_us(target);
+		target->consecutive_failures++;
+		target->down_until = now + backoff_us(target);
 		break;
-	case REPLY_OTHER:
-		target->moved_until = now + MOVED_US;
+	case REPLY_WRONG_TARGET:
+		target->entry_ignored_until = now + STALE_ENTRY_US;
 		break;
-	case REPLY_DROPPED:
+	case REPLY_CANCELLED:
 		/* At least this long: a slow target must not look quick. */
-		if (times > target->slowness)
-			smooth(target, times, now);
+		if (ratio > target->slowness)
+			update_slowness(target, ratio, now);
 		break;
 	}
 }
--- a/target_health.h
+++ b/target_health.h
@@ -17,22 +17,24 @@
  * @key: hash of the id
  * @domain_key: hash of its failure domain
  * @near: in this node's failure domain
- * @listed: its entry is in the store
- * @left_at: when its entry went, or said that it is leaving; 0: it has not
- * @moved_until: its address was found to be another target's, until then its
- *               entry is not believed
+ * @published: its entry is in the store
+ * @leaving_at: when its entry went, or said that it is leaving; 0: it has not
+ * @entry_ignored_until: its address was found to be another target's, until
+ * then its entry is not believed
  * @cold_until: it is cold until then
  * @down_until: takes no connections, and is not tried until then
- * @wary_until: failed or was full just now: others go first until then
- * @failures: in a row
- * @faults: smoothed share of requests that it did not serve, at @faults_at
+ * @backoff_until: failed or was full just now: others go first until then
+ * @consecutive_failures: in a row
+ * @error_rate: smoothed share of requests that it did not serve, at
+ * @error_rate_at
  * @open: requests of this node that it has not answered
- * @asked_at: when the oldest of them was sent; 0 when there is none
- * @asked_us: what its reply was expected to take
+ * @oldest_sent_at: when the oldest of them was sent; 0 when there is none
+ * @oldest_expected_us: what its reply was expected to take
  * @slowness: smoothed time from sending to the reply, as a multiple of what is
  *            usual for the kind of request, at @slowness_at
- * @slow_tries: times that it was tried again and was as slow as before
- * @cold_second, @cold_sent: requests sent in the present second while cold
+ * @slow_probes: times that it was tried again and was as slow as before
+ * @cold_window_start, @cold_sent: requests sent in the present second while
+ * cold
  */
 struct live_target {
 	struct str id;
@@ -44,22 +46,22 @@
 	int64_t born_ms;
 	int slots;
 	bool near;
-	bool listed;
-	int64_t left_at;
-	int64_t moved_until;
+	bool published;
+	int64_t leaving_at;
+	int64_t entry_ignored_until;
 	int64_t cold_until;
 	int64_t down_until;
-	int64_t wary_until;
-	int failures;
-	double faults;
-	int64_t faults_at;
+	int64_t backoff_until;
+	int consecutive_failures;
+	double error_rate;
+	int64_t error_rate_at;
 	int open;
-	int64_t asked_at;
-	double asked_us;
+	int64_t oldest_sent_at;
+	double oldest_expected_us;
 	double slowness;
 	int64_t slowness_at;
-	int slow_tries;
-	int64_t cold_second;
+	int slow_probes;
+	int64_t cold_window_start;
 	int cold_sent;
 	struct live_target *next; /* of the same service */
 };
@@ -67,11 +69,11 @@
 /** enum target_reply - what a reply says of its target */
 enum target_reply {
 	REPLY_GOOD,
-	REPLY_FULL, /* it did not run the request */
+	REPLY_REJECTED, /* it did not run the request */
 	REPLY_FAILED, /* an error, a broken connection, no reply in time */
 	REPLY_DOWN, /* no connection */
-	REPLY_OTHER, /* another target has its address */
-	REPLY_DROPPED, /* nobody waited for it any more */
+	REPLY_WRONG_TARGET, /* another target has its address */
+	REPLY_CANCELLED, /* nobody waited for it any more */
 };
 
 /** target_health_on_send() - a request went out whose reply usually takes
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -308,7 +308,7 @@
 	if (facts & SLOW_LONG_AGO_A)
 		reply(balancer, REPLY_GOOD, 200000, now - 6 * SECOND_US);
 	if (facts & SHEDS_A)
-		reply(balancer, REPLY_FULL, 1000, now - 20000);
+		reply(balancer, REPLY_REJECTED, 1000, now - 20000);
 	if (facts & DOWN_A)
 		reply(balancer, REPLY_DOWN, 1000, now);
 	if (facts & LEAVING_A)
@@ -329,20 +329,20 @@
 	struct target_entry b = entry("b", c->facts & FAR_B ? "there" : "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	uint64_t tried[2];
-	struct choice choice = { .service = 5,
-				 .avoid = tried,
-				 .baseline_us = USUAL_US,
-				 .now = now };
+	struct target_query target_query = { .service = 5,
+					     .excluded = tried,
+					     .baseline_us = USUAL_US,
+					     .now = now };
 	struct live_target *got;
 
 	balancer_put(balancer, &a, now - 20 * SECOND_US);
 	balancer_put(balancer, &b, now - 20 * SECOND_US);
 	apply(balancer, c->facts, now);
 	if (c->facts & TRIED_A)
-		tried[choice.navoid++] = str_hash(STR("a"));
+		tried[target_query.nexcluded++] = str_hash(STR("a"));
 	if (c->facts & TRIED_B)
-		tried[choice.navoid++] = str_hash(STR("b"));
-	got = balancer_choose(balancer, &choice);
+		tried[target_query.nexcluded++] = str_hash(STR("b"));
+	got = balancer_choose(balancer, &target_query);
 	if (*c->want) {
 		ck_assert_ptr_nonnull(got);
 		ck_assert(str_eq(got->id, str_of(c->want)));
@@ -369,12 +369,12 @@
 	balancer_unpublish(balancer, STR("a"), now);
 	ck_assert_int_ne(
 		balancer_availability(balancer, find(balancer, "a"), now),
-		USE_OK);
+		AVAIL_OK);
 	a.born_ms = 2;
 	balancer_put(balancer, &a, now);
 	ck_assert_int_eq(
 		balancer_availability(balancer, find(balancer, "a"), now),
-		USE_OK);
+		AVAIL_OK);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -390,7 +390,8 @@
 	struct target_entry a = entry("a", "here");
 	struct target_entry b = entry("b", "there");
 	int64_t now = 100 * (int64_t)SECOND_US;
-	struct choice choice = { .service = 5, .baseline_us = USUAL_US };
+	struct target_query target_query = { .service = 5,
+					     .baseline_us = USUAL_US };
 	struct live_target *target;
 
 	balancer_put(balancer, &a, now);
@@ -399,24 +400,24 @@
 	for (int i = 0; i < 3; i++) {
 		target_health_on_send(target, USUAL_US, now);
 		now += 150000;
-		choice.now = now;
-		ck_assert_ptr_eq(balancer_choose(balancer, &choice),
+		target_query.now = now;
+		ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
 				 find(balancer, "b"));
-		balancer_on_reply(balancer, target, REPLY_DROPPED, USUAL_US,
+		balancer_on_reply(balancer, target, REPLY_CANCELLED, USUAL_US,
 				  now - 150000, now);
 	}
-	choice.now = now + 500000;
-	ck_assert_ptr_eq(balancer_choose(balancer, &choice),
+	target_query.now = now + 500000;
+	ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
 			 find(balancer, "b"));
-	choice.now = now + 10 * (int64_t)SECOND_US;
-	ck_assert_ptr_eq(balancer_choose(balancer, &choice), target);
+	target_query.now = now + 10 * (int64_t)SECOND_US;
+	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
 	for (int i = 0; i < 10; i++) {
 		target_health_on_send(target, USUAL_US, now);
 		balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
 				  now + 9000);
 	}
-	choice.now = now + 9000;
-	ck_assert_ptr_eq(balancer_choose(balancer, &choice), target);
+	target_query.now = now + 9000;
+	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -640,16 +641,16 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 
 	balancer_put(balancer, &a, now);
-	reply(balancer, REPLY_OTHER, 1000, now);
+	reply(balancer, REPLY_WRONG_TARGET, 1000, now);
 	balancer_put(balancer, &a, now + SECOND_US);
 	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
 					       now + SECOND_US),
-			 USE_LEAVING);
+			 AVAIL_LEAVING);
 	a.addr = STR("10.0.0.2:1");
 	balancer_put(balancer, &a, now + SECOND_US);
 	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
 					       now + SECOND_US),
-			 USE_OK);
+			 AVAIL_OK);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -698,17 +699,17 @@
 	target = find(balancer, "a");
 	for (int i = 0; i < 2; i++) {
 		ck_assert_int_eq(balancer_availability(balancer, target, now),
-				 USE_OK);
+				 AVAIL_OK);
 		target_health_on_send(target, USUAL_US, now);
 	}
 	ck_assert_int_eq(balancer_availability(balancer, target, now),
-			 USE_COLD);
+			 AVAIL_COLD);
 	ck_assert_int_eq(
 		balancer_availability(balancer, target, now + SECOND_US),
-		USE_OK);
+		AVAIL_OK);
 	ck_assert_int_eq(
 		balancer_availability(balancer, target, now + 4 * SECOND_US),
-		USE_OK);
+		AVAIL_OK);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -735,7 +736,7 @@
 {
 	const struct fleet_case *c = &fleet_cases[_i];
 	int far = c->nodes - c->near;
-	struct conn_bound bound = directory_conns(c->max_conns, c->near, far);
+	struct conn_limit bound = directory_conns(c->max_conns, c->near, far);
 	int all = c->near * bound.near + far * bound.far;
 
 	ck_assert_int_gt(all, 0);
