--- a/batch.c
+++ b/batch.c
@@ -77,7 +77,7 @@
 
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
-		size_t nparts, bool may_hand_on, size_t tried)
+		size_t nparts, bool may_delegate, size_t tried)
 {
 	struct flow_effect *fx = tell(calls, member->addr, 0, MSG_ASK);
 	struct batch *batch = apr_pcalloc(call->pool, sizeof(*batch));
@@ -102,9 +102,9 @@
 	parcel_request(&call->request, &body);
 	fx->msg.id = batch->id;
 	fx->msg.version = call->catalog->version;
-	fx->msg.state = may_hand_on;
+	fx->msg.state = may_delegate;
 	fx->msg.attempt = (uint32_t)tried;
-	fx->msg.remaining_us = call->give_up_at - calls->now;
+	fx->msg.remaining_us = call->deadline - calls->now;
 	fx->msg.wait_us = calls->now - call->start + HOP_US;
 	fx->msg.hash = call->print.content[0];
 	fx->msg.hash2 = call->print.content[1];
@@ -241,7 +241,7 @@
 	if (batch->go)
 		return;
 	batch->wants_go = true;
-	if (batch->call->asker.len && !batch->call->go)
+	if (batch->call->origin.len && !batch->call->go)
 		return;
 	batch->go = true;
 	tell(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
@@ -267,7 +267,7 @@
 {
 	if (!msg->ran)
 		return batch->tried;
-	return msg->attempt ? batch->tried + msg->attempt : CALL_TRIES_MAX;
+	return msg->attempt ? batch->tried + msg->attempt : CALL_TARGETS_MAX;
 }
 
 void batch_on_reply(struct calls *calls, struct str from, const struct msg *msg)
@@ -303,7 +303,7 @@
 		if (nparts)
 			calls->batches->replied(calls, call, parts, nparts,
 						msg);
-		if (batch->nparts && !call->over)
+		if (batch->nparts && !call->finished)
 			calls->batches->failed(calls, call, batch->parts,
 					       batch->nparts,
 					       tries_used(batch, msg));
@@ -403,16 +403,16 @@
 			   catalog, route);
 	call->print = print;
 	call->start -= msg->wait_us + late_us;
-	call->give_up_at = calls->now + remaining_us;
-	call->asker = str_dup(call->pool, from);
-	call->asker_incarnation = incarnation;
-	call->asker_id = msg->id;
+	call->deadline = calls->now + remaining_us;
+	call->origin = str_dup(call->pool, from);
+	call->origin_incarnation = incarnation;
+	call->origin_id = msg->id;
 	call->nwanted = msg->name.len / sizeof(uint16_t);
 	call->wanted = apr_palloc(call->pool, msg->name.len + 1);
 	memcpy(call->wanted, msg->name.ptr, msg->name.len);
-	call->may_hand_on = msg->state;
-	call->tried =
-		msg->attempt < CALL_TRIES_MAX ? msg->attempt : CALL_TRIES_MAX;
+	call->may_delegate = msg->state;
+	call->tried = msg->attempt < CALL_TARGETS_MAX ? msg->attempt
+						      : CALL_TARGETS_MAX;
 	call->kind = calls->shards_kind;
 	call->kind->begin(calls, call);
 	apr_pool_destroy(pool);
@@ -428,7 +428,7 @@
 	     it = apr_hash_next(it)) {
 		struct call *call = hash_value(it);
 
-		if (call->asker_id == id && str_eq(call->asker, from))
+		if (call->origin_id == id && str_eq(call->origin, from))
 			return call;
 	}
 	return NULL;
@@ -476,10 +476,10 @@
 		const uint16_t *parts, size_t nparts, struct str records,
 		struct str signatures, bool last)
 {
-	struct flow_effect *fx = tell(calls, call->asker,
-				      call->asker_incarnation, MSG_ASK_REPLY);
+	struct flow_effect *fx = tell(calls, call->origin,
+				      call->origin_incarnation, MSG_ASK_REPLY);
 
-	fx->msg.id = call->asker_id;
+	fx->msg.id = call->origin_id;
 	fx->msg.state = last;
 	fx->msg.ran = true;
 	fx->msg.attempt = last ? tries_told(calls, call) : 0;
--- a/batch.h
+++ b/batch.h
@@ -59,12 +59,12 @@
 		     struct gossip *gossip, struct spread *spread);
 /**
  * batch_send() - hand @nparts shards of @call to @member
- * @may_hand_on: it may in turn hand on those that are far from it
+ * @may_delegate: it may in turn hand on those that are far from it
  * @tried: targets of each shard that may have been asked already
  */
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
-		size_t nparts, bool may_hand_on, size_t tried);
+		size_t nparts, bool may_delegate, size_t tried);
 /** batch_cancel_all() - the call wants none of its batches any more. */
 void batch_cancel_all(struct calls *calls, struct call *call);
 /** batch_overdue() - give up on those of the call that have not replied. */
--- a/call.c
+++ b/call.c
@@ -14,17 +14,17 @@
 	 * which keeps its connection; then it is cut, so that a target does not
 	 * work for callers that have gone. Callers count half a second.
 	 */
-	ORPHAN_US = 250000,
+	ORPHAN_TIMEOUT_US = 250000,
 	/* Callers' returns are spread over this part of the time to it. */
-	SPREAD_PART = 4,
+	JITTER_DIVISOR = 4,
 	/* Past the time told to a target, for its own refusal to arrive. */
 	REPLY_SLACK_US = 30000,
 	/* A reply is taken to need this part of the goal until some have come.
 	 */
-	GUESS_GOAL_PART = 8,
+	INITIAL_BASELINE_DIVISOR = 8,
 };
 
-bool call_has(const struct calls *calls, enum mechanism mechanism)
+bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism)
 {
 	return mechanism_on(calls->without, mechanism);
 }
@@ -107,12 +107,13 @@
 	call->request = copy_request(pool, request);
 	call->catalog = catalog_ref(catalog);
 	call->route = route;
-	call->baseline = baseline_get(calls->baseline, str_hash(route->name),
-				      route->goal_us / GUESS_GOAL_PART);
+	call->baseline =
+		baseline_get(calls->baseline, str_hash(route->name),
+			     route->goal_us / INITIAL_BASELINE_DIVISOR);
 	call->start = calls->now;
 	if (request->time_left_us >= 0 && request->time_left_us < wait)
 		wait = request->time_left_us;
-	call->give_up_at = calls->now + wait;
+	call->deadline = calls->now + wait;
 	apr_hash_set(calls->open, &call->id, sizeof(call->id), call);
 	calls->nopen++;
 	return call;
@@ -123,11 +124,11 @@
 	return apr_hash_get(calls->open, &id, sizeof(id));
 }
 
-void call_review_at(struct calls *calls, struct call *call, int64_t when)
+void call_schedule_review(struct calls *calls, struct call *call, int64_t when)
 {
-	if (call->review_at && call->review_at <= when)
+	if (call->next_review_at && call->next_review_at <= when)
 		return;
-	call->review_at = when;
+	call->next_review_at = when;
 	timer_add(&calls->timers, when, TIMER_QUESTION, call->id);
 }
 
@@ -144,7 +145,7 @@
 
 static void attempt_orphan(struct calls *calls, struct attempt *attempt)
 {
-	int64_t until = attempt->sent_at + ORPHAN_US;
+	int64_t until = attempt->sent_at + ORPHAN_TIMEOUT_US;
 
 	attempt->served = attempt->call->served;
 	attempt->call = NULL;
@@ -171,7 +172,7 @@
 	call->parts[part].open = 0;
 }
 
-static void attempt_cut(struct calls *calls, struct attempt *attempt)
+static void attempt_cancel(struct calls *calls, struct attempt *attempt)
 {
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_CANCEL);
 
@@ -184,7 +185,7 @@
 }
 
 /* Return: its place, or @part->ntried when it has not been asked. */
-static size_t find_tried(const struct part *part, uint64_t key)
+static size_t tried_index(const struct part *part, uint64_t key)
 {
 	size_t at = 0;
 
@@ -193,9 +194,9 @@
 	return at;
 }
 
-static void remember_tried(struct part *part, uint64_t key)
+static void record_tried(struct part *part, uint64_t key)
 {
-	size_t at = find_tried(part, key);
+	size_t at = tried_index(part, key);
 
 	if (at == part->ntried)
 		part->ntried++;
@@ -225,30 +226,31 @@
 	call->attempts = attempt;
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id),
 		     attempt);
-	remember_tried(p, target->key);
+	record_tried(p, target->key);
 	p->nsent++;
-	p->waits = false;
+	p->queued = false;
 	p->open++;
 	target_health_on_send(target, attempt->baseline_us, calls->now);
 	fx->id = attempt->id;
 	fx->addr = str_dup(calls->fx->pool, target->addr);
 	fx->expected = str_dup(calls->fx->pool, target->id);
 	fx->request = &call->request;
-	fx->time_left_us = call->give_up_at - calls->now;
+	fx->time_left_us = call->deadline - calls->now;
 	fx->timeout_us = fx->time_left_us + REPLY_SLACK_US;
 }
 
-static bool has_fresh_tries(const struct call *call, const struct part *part)
+static bool has_untried_targets(const struct call *call,
+				const struct part *part)
 {
 	return (int)part->ntried < call->route->attempts &&
-	       part->ntried < CALL_TRIES_MAX;
+	       part->ntried < CALL_TARGETS_MAX;
 }
 
 bool call_may_send(const struct call *call, const struct part *part)
 {
 	if (part->nsent >= CALL_SENDS_MAX)
 		return false;
-	return has_fresh_tries(call, part) || part->rejected;
+	return has_untried_targets(call, part) || part->rejected;
 }
 
 /*
@@ -256,11 +258,11 @@
  * is on targets, not on sends. So it is asked once more when no other can be:
  * else the shard is missing while one of its targets is full or in a pause.
  */
-static struct live_target *choose_again(struct calls *calls,
-					const struct call *call,
-					const struct part *part)
+static struct live_target *choose_rejected(struct calls *calls,
+					   const struct call *call,
+					   const struct part *part)
 {
-	uint64_t excluded[CALL_TRIES_MAX];
+	uint64_t excluded[CALL_TARGETS_MAX];
 	struct target_query target_query = { .service = part->service,
 					     .excluded = excluded,
 					     .baseline_us = call->baseline->us,
@@ -273,7 +275,7 @@
 			excluded[target_query.nexcluded++] = part->tried[i];
 	target = balancer_choose(calls->balancer, &target_query);
 	if (!target || calls->now < target->backoff_until ||
-	    find_tried(part, target->key) == part->ntried)
+	    tried_index(part, target->key) == part->ntried)
 		return NULL;
 	return target;
 }
@@ -289,11 +291,11 @@
 					     .now = calls->now };
 	struct live_target *target = NULL;
 
-	if (has_fresh_tries(call, part))
+	if (has_untried_targets(call, part))
 		target = balancer_choose(calls->balancer, &target_query);
 	if (!target && part->rejected &&
-	    call_has(calls, MECHANISM_RETRY_REJECTED))
-		target = choose_again(calls, call, part);
+	    call_mechanism_on(calls, MECHANISM_RETRY_REJECTED))
+		target = choose_rejected(calls, call, part);
 	return target;
 }
 
@@ -302,17 +304,17 @@
 {
 	struct part *p = &call->parts[part];
 	struct live_target *target;
-	enum send_result leave;
+	enum send_result permission;
 
 	if (!call_may_send(call, p))
 		return SEND_NO_TRIES;
-	leave = trial_may_send(calls, call, p);
-	if (leave != SEND_DONE)
-		return leave;
+	permission = trial_may_send(calls, call, p);
+	if (permission != SEND_DONE)
+		return permission;
 	target = choose(calls, call, p);
 	if (!target)
 		return SEND_NO_TARGET;
-	if (!p->ntried && !p->again) {
+	if (!p->ntried && !p->sent_elsewhere) {
 		budget_first(calls->budget, p->service, calls->now);
 		metric_add(&calls->notes->metrics, METRIC_SENT);
 	} else if (budget_take(calls->budget, p->service, call->retry_share,
@@ -331,22 +333,22 @@
 	enum send_result result = try_send(calls, call, part);
 	struct part *p = &call->parts[part];
 
-	p->held_by = result;
-	if (result == SEND_NO_TARGET && call->kind->in_line && !p->open &&
-	    !p->waits && call_has(calls, MECHANISM_LINE))
+	p->last_send_result = result;
+	if (result == SEND_NO_TARGET && call->kind->may_queue && !p->open &&
+	    !p->queued && call_mechanism_on(calls, MECHANISM_LINE))
 		call_queue_join(calls, call, part);
 	return result;
 }
 
 static void mark_rejected(struct part *part, uint64_t key)
 {
-	size_t at = find_tried(part, key);
+	size_t at = tried_index(part, key);
 
 	if (at < part->ntried)
 		part->rejected |= 1U << at;
 }
 
-static enum target_reply judge(const struct flow_reply *reply)
+static enum target_reply classify_reply(const struct flow_reply *reply)
 {
 	switch (reply->result) {
 	case FETCH_REFUSED:
@@ -365,7 +367,7 @@
 	return reply->status / 100 == 2 ? REPLY_GOOD : REPLY_FAILED;
 }
 
-void call_served(struct calls *calls, struct call *call)
+void call_mark_served(struct calls *calls, struct call *call)
 {
 	call->served = true;
 	if (poison_served(calls->poison, &call->print, calls->now))
@@ -374,18 +376,18 @@
 }
 
 /* What a reply, or a broken connection, says of its request. */
-static void judge_request(struct calls *calls, struct call *call,
-			  const struct attempt *attempt,
-			  const struct flow_reply *reply)
+static void record_evidence(struct calls *calls, struct call *call,
+			    const struct attempt *attempt,
+			    const struct flow_reply *reply)
 {
 	struct poison_crash crash = { .key = attempt->target->key,
 				      .born_ms = attempt->target->born_ms,
 				      .at = calls->now };
 	const struct poison_entry *entry;
 
-	if (call && judge(reply) == REPLY_GOOD)
-		call_served(calls, call);
-	if (!call_has(calls, MECHANISM_POISON) ||
+	if (call && classify_reply(reply) == REPLY_GOOD)
+		call_mark_served(calls, call);
+	if (!call_mechanism_on(calls, MECHANISM_POISON) ||
 	    reply->result != FETCH_BROKEN ||
 	    (call ? call->served : attempt->served))
 		return;
@@ -398,8 +400,8 @@
 	poison_news_send(calls->news, calls->now);
 }
 
-static void take_reply(struct calls *calls, uint64_t id,
-		       const struct flow_reply *reply)
+static void handle_reply(struct calls *calls, uint64_t id,
+			 const struct flow_reply *reply)
 {
 	struct attempt *attempt =
 		apr_hash_get(calls->attempts, &id, sizeof(id));
@@ -414,17 +416,17 @@
 	copy = *attempt;
 	apr_hash_set(calls->attempts, &copy.id, sizeof(copy.id), NULL);
 	free(attempt);
-	if (call && judge(reply) != REPLY_GOOD)
+	if (call && classify_reply(reply) != REPLY_GOOD)
 		note_tried(calls->notes, calls->now, call, &copy, reply);
-	if (judge(reply) == REPLY_GOOD) {
+	if (classify_reply(reply) == REPLY_GOOD) {
 		metric_latency(&calls->notes->metrics, LATENCY_TARGET,
 			       calls->now - copy.sent_at);
 		baseline_add(copy.baseline, calls->now - copy.sent_at);
 	}
-	judge_request(calls, call, &copy, reply);
+	record_evidence(calls, call, &copy, reply);
 	if (reply->cold_us > 0)
 		copy.target->cold_until = calls->now + reply->cold_us;
-	balancer_on_reply(calls->balancer, copy.target, judge(reply),
+	balancer_on_reply(calls->balancer, copy.target, classify_reply(reply),
 			  copy.baseline_us, copy.sent_at, calls->now);
 	if (!call)
 		return;
@@ -438,8 +440,8 @@
 		orphan_part(calls, call, copy.part);
 }
 
-void call_replied(struct calls *calls, uint64_t id,
-		  const struct flow_reply *reply)
+void call_on_reply(struct calls *calls, uint64_t id,
+		   const struct flow_reply *reply)
 {
 	const struct attempt *attempt =
 		apr_hash_get(calls->attempts, &id, sizeof(id));
@@ -448,11 +450,11 @@
 	if (!attempt)
 		return;
 	service = attempt->target->service;
-	take_reply(calls, id, reply);
+	handle_reply(calls, id, reply);
 	call_queue_serve(calls, service);
 }
 
-void call_due(struct calls *calls, const struct timer *due)
+void call_on_timer(struct calls *calls, const struct timer *due)
 {
 	struct attempt *attempt;
 	struct call *call;
@@ -463,15 +465,15 @@
 		if (attempt && !attempt->call) {
 			uint64_t service = attempt->target->service;
 
-			attempt_cut(calls, attempt);
+			attempt_cancel(calls, attempt);
 			call_queue_serve(calls, service);
 		}
 		return;
 	}
 	call = call_find(calls, due->id);
-	if (!call || call->review_at != due->when)
+	if (!call || call->next_review_at != due->when)
 		return;
-	call->review_at = 0;
+	call->next_review_at = 0;
 	call->kind->review(calls, call);
 }
 
@@ -481,9 +483,9 @@
  * Other nodes know of it before its caller is answered, and may try again
  * there. What another node no longer wanted was mostly answered elsewhere.
  */
-static void tell_unserved(struct calls *calls, const struct call *call)
+static void report_unserved(struct calls *calls, const struct call *call)
 {
-	if (call->served || (call->asker.len && call->abandoned))
+	if (call->served || (call->origin.len && call->abandoned))
 		return;
 	poison_unserved(calls->poison, &call->print);
 	poison_news_send(calls->news, calls->now);
@@ -491,7 +493,7 @@
 
 static void call_end(struct calls *calls, struct call *call)
 {
-	tell_unserved(calls, call);
+	report_unserved(calls, call);
 	while (call->attempts) {
 		struct attempt *attempt = call->attempts;
 
@@ -507,7 +509,7 @@
 	}
 	if (call->kind->ended)
 		call->kind->ended(calls, call);
-	call->over = true;
+	call->finished = true;
 	apr_hash_set(calls->open, &call->id, sizeof(call->id), NULL);
 	calls->nopen--;
 	call->next_dead = calls->dead;
@@ -520,7 +522,7 @@
 	struct flow_effect *fx;
 
 	note_final(calls->notes, calls->now, call, final);
-	tell_unserved(calls, call);
+	report_unserved(calls, call);
 	fx = flow_add(calls->fx, FLOW_ANSWER);
 	fx->id = call->id;
 	fx->status = final->status;
@@ -533,17 +535,17 @@
 	call_end(calls, call);
 }
 
-int64_t call_spread(struct calls *calls, int64_t us)
+int64_t call_jitter(struct calls *calls, int64_t us)
 {
-	uint64_t most = (uint64_t)us / SPREAD_PART + 1;
+	uint64_t range = (uint64_t)us / JITTER_DIVISOR + 1;
 
-	if (!call_has(calls, MECHANISM_RETURN_SPREAD))
+	if (!call_mechanism_on(calls, MECHANISM_RETURN_SPREAD))
 		return us;
-	return us - (int64_t)rng_below(&calls->rng, most);
+	return us - (int64_t)rng_below(&calls->rng, range);
 }
 
-static int code_of(const struct calls *calls, const struct call *call,
-		   int status)
+static int error_code(const struct calls *calls, const struct call *call,
+		      int status)
 {
 	if (poison_verdict(calls->poison, &call->print) == POISON_BLOCKED)
 		return ERR_BLOCKED;
@@ -562,8 +564,8 @@
 					      "application/json\r\n") };
 
 	if (retry_after_us)
-		final.retry_after_us = call_spread(calls, retry_after_us);
-	error_json(&body, code_of(calls, call, status), why,
+		final.retry_after_us = call_jitter(calls, retry_after_us);
+	error_json(&body, error_code(calls, call, status), why,
 		   final.retry_after_us / 1000);
 	final.body = buf_str(&body);
 	call_answer(calls, call, &final);
--- a/call.h
+++ b/call.h
@@ -52,13 +52,13 @@
  * struct call_kind - what a kind of call does
  * @begin: first sends
  * @replied: a reply to one of its attempts, which is no longer among them
- * @review: its time has come; sets call->review_at anew
- * @in_line: its parts wait in line for room at a target
+ * @review: its time has come; sets call->next_review_at anew
+ * @may_queue: its parts wait in line for room at a target
  * @ended: nothing more is wanted of other nodes; may be NULL
  */
 struct call_kind {
 	const char *name;
-	bool in_line;
+	bool may_queue;
 	void (*begin)(struct calls *calls, struct call *call);
 	void (*replied)(struct calls *calls, struct call *call,
 			const struct attempt *attempt,
@@ -80,27 +80,27 @@
 /** enum trial_state - leave to try a suspect request */
 enum trial_state {
 	TRIAL_NONE,
-	TRIAL_ASKED,
+	TRIAL_REQUESTED,
 	TRIAL_GRANTED,
 	TRIAL_DENIED,
 };
 
 /**
  * struct trial - a call whose request is suspect
- * @until: the leave is waited for until then
+ * @grant_deadline: the leave is waited for until then
  * @sends: made with that leave
  * @held: some send was held back
  */
 struct trial {
 	enum trial_state state;
-	int64_t until;
+	int64_t grant_deadline;
 	int sends;
 	bool held;
 };
 
 enum {
 	/* Targets of a shard that are kept in mind. */
-	CALL_TRIES_MAX = 4,
+	CALL_TARGETS_MAX = 4,
 	/* Sends of a shard: few targets reject so often in a row. */
 	CALL_SENDS_MAX = 5,
 };
@@ -114,13 +114,13 @@
  * @done: a good reply is in
  * @ran: some target may have run it
  * @batched: another node was asked for it and has not answered
- * @again: another node may have sent it already
- * @waits: it stands in line for room at a target
- * @held_by: why the last try at sending it was not made
+ * @sent_elsewhere: another node may have sent it already
+ * @queued: it stands in line for room at a target
+ * @last_send_result: why the last try at sending it was not made
  */
 struct part {
 	uint64_t service;
-	uint64_t tried[CALL_TRIES_MAX];
+	uint64_t tried[CALL_TARGETS_MAX];
 	size_t ntried;
 	unsigned int rejected;
 	size_t nsent;
@@ -128,32 +128,32 @@
 	bool done;
 	bool ran;
 	bool batched;
-	bool again;
-	bool waits;
-	enum send_result held_by;
+	bool sent_elsewhere;
+	bool queued;
+	enum send_result last_send_result;
 };
 
 /**
  * struct call - one request of a caller
  * @id: of the caller's request, or drawn here for another node's
  * @print: tells whether it has come before
- * @asker: node that asked on behalf of a caller, empty when a caller did
- * @asker_id: its id there
+ * @origin: node that asked on behalf of a caller, empty when a caller did
+ * @origin_id: its id there
  * @baseline: how long replies of its route take
- * @give_up_at: the caller, or its route, waits no longer
- * @soft_at: what is there is answered if it is enough
- * @review_at: next review; 0 when none is planned
- * @wanted, @nwanted: shards that @asker wants; all of them for a caller
- * @may_hand_on: @asker handed over a whole question, far shards included
- * @go: @asker knows that further targets are asked from here
+ * @deadline: the caller, or its route, waits no longer
+ * @soft_deadline: what is there is answered if it is enough
+ * @next_review_at: next review; 0 when none is planned
+ * @wanted, @nwanted: shards that @origin wants; all of them for a caller
+ * @may_delegate: @origin handed over a whole question, far shards included
+ * @go: @origin knows that further targets are asked from here
  * @retry_share: this node's part of the free retries; 0: of all nodes alike
- * @tried: targets of each shard that @asker, or a node it asked, may have had
+ * @tried: targets of each shard that @origin, or a node it asked, may have had
  * @batches: shards that other nodes were asked for
- * @handed: times that a whole question was handed over
+ * @handovers: times that a whole question was handed over
  * @trial: of a suspect request
  * @served: some target has answered it
  * @abandoned: who asked wants it no more
- * @over: it has ended; freed once all effects are carried out
+ * @finished: it has ended; freed once all effects are carried out
  * @state: of its kind
  */
 struct call {
@@ -165,29 +165,29 @@
 	const struct route *route;
 	const struct call_kind *kind;
 	struct baseline *baseline;
-	struct str asker;
-	uint64_t asker_incarnation;
-	uint64_t asker_id;
+	struct str origin;
+	uint64_t origin_incarnation;
+	uint64_t origin_id;
 	int64_t start;
-	int64_t give_up_at;
-	int64_t soft_at;
-	int64_t review_at;
+	int64_t deadline;
+	int64_t soft_deadline;
+	int64_t next_review_at;
 	struct part *parts;
 	size_t nparts;
 	size_t ndone;
 	struct attempt *attempts;
 	uint16_t *wanted;
 	size_t nwanted;
-	bool may_hand_on;
+	bool may_delegate;
 	bool go;
 	double retry_share;
 	size_t tried;
 	struct batch *batches;
-	int handed;
+	int handovers;
 	struct trial trial;
 	bool served;
 	bool abandoned;
-	bool over;
+	bool finished;
 	void *state;
 	struct call *next_dead;
 };
@@ -228,8 +228,8 @@
 	const struct call_kind *shards_kind;
 };
 
-/** call_has() - the mechanism is on. */
-bool call_has(const struct calls *calls, enum mechanism mechanism);
+/** call_mechanism_on() - the mechanism is on. */
+bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism);
 void calls_init(struct calls *calls, apr_pool_t *pool, uint64_t seed);
 void calls_destroy(struct calls *calls);
 /** calls_reap() - free what ended; no effect may point there any more. */
@@ -244,15 +244,16 @@
 bool call_may_send(const struct call *call, const struct part *part);
 /** call_send() - one more attempt for a part, to the best target left. */
 enum send_result call_send(struct calls *calls, struct call *call, size_t part);
-/** call_review_at() - plan the next review for @when, if that is earlier. */
-void call_review_at(struct calls *calls, struct call *call, int64_t when);
-/** call_served() - some target has answered it: it crashes none. */
-void call_served(struct calls *calls, struct call *call);
-/** call_replied() - a target replied; ends in the call's kind. */
-void call_replied(struct calls *calls, uint64_t id,
-		  const struct flow_reply *reply);
-/** call_due() - a timer of @id has come. */
-void call_due(struct calls *calls, const struct timer *due);
+/** call_schedule_review() - plan the next review for @when, if that is earlier.
+ */
+void call_schedule_review(struct calls *calls, struct call *call, int64_t when);
+/** call_mark_served() - some target has answered it: it crashes none. */
+void call_mark_served(struct calls *calls, struct call *call);
+/** call_on_reply() - a target replied; ends in the call's kind. */
+void call_on_reply(struct calls *calls, uint64_t id,
+		   const struct flow_reply *reply);
+/** call_on_timer() - a timer of @id has come. */
+void call_on_timer(struct calls *calls, const struct timer *due);
 
 /**
  * struct final - the last word to a caller
@@ -273,8 +274,8 @@
 /** call_answer() - give the final answer; the call ends. */
 void call_answer(struct calls *calls, struct call *call,
 		 const struct final *final);
-/** call_spread() - @us less up to a quarter, so that not all return together */
-int64_t call_spread(struct calls *calls, int64_t us);
+/** call_jitter() - @us less up to a quarter, so that not all return together */
+int64_t call_jitter(struct calls *calls, int64_t us);
 /** call_refuse() - end with an error of this node's own. */
 void call_refuse(struct calls *calls, struct call *call, int status,
 		 const char *why, int64_t retry_after_us);
--- a/call_queue.c
+++ b/call_queue.c
@@ -5,8 +5,8 @@
  * part that was sent meanwhile does not: whether it may be sent again is for
  * its call to decide, which may need another node's leave for it.
  */
-static bool still_waits(struct calls *calls, struct wait_queue *wait_queue,
-			size_t index)
+static bool is_waiting(struct calls *calls, struct wait_queue *wait_queue,
+		       size_t index)
 {
 	const struct waiter *waiter = &wait_queue->list[index];
 	struct call *call = call_find(calls, waiter->call);
@@ -15,7 +15,7 @@
 	if (part && part->nsent == waiter->sends) {
 		if (!part->done && !part->batched)
 			return true;
-		part->waits = false;
+		part->queued = false;
 	}
 	wait_queue_remove(wait_queue, index);
 	return false;
@@ -33,40 +33,40 @@
 
 	if (wait_queue && wait_queue->count > calls->nopen)
 		for (size_t i = 0; i < wait_queue->count;)
-			i += still_waits(calls, wait_queue, i);
-	part->waits = true;
+			i += is_waiting(calls, wait_queue, i);
+	part->queued = true;
 	wait_queue_add(calls->wait_queues, part->service,
 		       (struct waiter){ call->id, index, part->nsent });
 }
 
-static struct wait_priority claim_of(const struct calls *calls,
-				     const struct call *call)
+static struct wait_priority priority_of(const struct calls *calls,
+					const struct call *call)
 {
 	return (struct wait_priority){
 		.in_time = calls->now + (int64_t)call->baseline->us <=
-			   call->soft_at,
-		.soft_at = call->soft_at,
+			   call->soft_deadline,
+		.soft_deadline = call->soft_deadline,
 		.start = call->start,
 	};
 }
 
 /* Return: place of the one to be served first, or SIZE_MAX. */
-static size_t first_in_line(struct calls *calls, struct wait_queue *wait_queue)
+static size_t first_waiter(struct calls *calls, struct wait_queue *wait_queue)
 {
-	struct wait_priority best_claim;
+	struct wait_priority best_priority;
 	size_t best = SIZE_MAX;
 
 	for (size_t i = 0; i < wait_queue->count;) {
 		struct wait_priority wait_priority;
 
-		if (!still_waits(calls, wait_queue, i))
+		if (!is_waiting(calls, wait_queue, i))
 			continue;
-		wait_priority = claim_of(
+		wait_priority = priority_of(
 			calls, call_find(calls, wait_queue->list[i].call));
 		if (best == SIZE_MAX ||
-		    wait_queue_precedes(&wait_priority, &best_claim)) {
+		    wait_queue_precedes(&wait_priority, &best_priority)) {
 			best = i;
-			best_claim = wait_priority;
+			best_priority = wait_priority;
 		}
 		i++;
 	}
@@ -80,14 +80,14 @@
 	size_t first;
 
 	while (wait_queue &&
-	       (first = first_in_line(calls, wait_queue)) != SIZE_MAX) {
+	       (first = first_waiter(calls, wait_queue)) != SIZE_MAX) {
 		struct waiter waiter = wait_queue->list[first];
 		struct call *call = call_find(calls, waiter.call);
 		enum send_result result = call_send(calls, call, waiter.part);
 
 		/* Those behind must not wait for one that may not be sent. */
 		if (result == SEND_HELD || result == SEND_BLOCKED) {
-			call->parts[waiter.part].waits = false;
+			call->parts[waiter.part].queued = false;
 			wait_queue_remove(wait_queue, first);
 		} else if (result != SEND_DONE) {
 			return;
--- a/forward.c
+++ b/forward.c
@@ -45,7 +45,7 @@
 	trial_excuse(calls, call, &why, &retry_us);
 	if (!part->ran && !part->open)
 		call_refuse(calls, call, 503, why, retry_us);
-	else if (calls->now >= call->give_up_at)
+	else if (calls->now >= call->deadline)
 		call_refuse(calls, call, 504, why, 0);
 	else
 		call_refuse(calls, call, 502, why, 0);
@@ -79,12 +79,13 @@
 	case SEND_NO_TARGET:
 	case SEND_NO_BUDGET:
 		if (calls->now + LOOK_AGAIN_US < wait_until(call)) {
-			call_review_at(calls, call, calls->now + LOOK_AGAIN_US);
+			call_schedule_review(calls, call,
+					     calls->now + LOOK_AGAIN_US);
 			return;
 		}
 		break;
 	case SEND_HELD:
-		call_review_at(calls, call, calls->now + LOOK_AGAIN_US);
+		call_schedule_review(calls, call, calls->now + LOOK_AGAIN_US);
 		return;
 	case SEND_NO_TRIES:
 	case SEND_BLOCKED:
@@ -105,14 +106,14 @@
 	}
 	try_again(calls, call, "no target may be asked");
 	if (call->attempts)
-		call_review_at(calls, call,
-			       call->route->repeatable ? hedge_at(call)
-						       : call->give_up_at);
+		call_schedule_review(calls, call,
+				     call->route->repeatable ? hedge_at(call)
+							     : call->deadline);
 }
 
 static void review(struct calls *calls, struct call *call)
 {
-	if (calls->now >= call->give_up_at) {
+	if (calls->now >= call->deadline) {
 		give_up(calls, call, "out of time");
 		return;
 	}
@@ -125,10 +126,10 @@
 		if (!call->attempts)
 			return;
 	} else if (call->route->repeatable && call->parts[0].open == 1 &&
-		   call_has(calls, MECHANISM_HEDGES)) {
+		   call_mechanism_on(calls, MECHANISM_HEDGES)) {
 		call_send(calls, call, 0);
 	}
-	call_review_at(calls, call, call->give_up_at);
+	call_schedule_review(calls, call, call->deadline);
 }
 
 static void pass_on(struct calls *calls, struct call *call,
@@ -187,7 +188,7 @@
 	}
 	try_again(calls, call, why);
 	if (call->attempts)
-		call_review_at(calls, call, call->give_up_at);
+		call_schedule_review(calls, call, call->deadline);
 }
 
 const struct call_kind forward_kind = {
--- a/merge.c
+++ b/merge.c
@@ -130,7 +130,7 @@
 {
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ran || call->parts[i].open ||
-		    call->parts[i].again || call->parts[i].batched)
+		    call->parts[i].sent_elsewhere || call->parts[i].batched)
 			return true;
 	return false;
 }
@@ -141,7 +141,7 @@
 	int64_t retry_us = RETRY_AFTER_US;
 
 	trial_excuse(calls, call, &why, &retry_us);
-	if (calls->now >= call->give_up_at)
+	if (calls->now >= call->deadline)
 		call_refuse(calls, call, 504, why, 0);
 	else if (any_ran(call))
 		call_refuse(calls, call, 502, why, retry_us);
@@ -159,16 +159,16 @@
  */
 static size_t count_possible(const struct calls *calls, const struct call *call)
 {
-	bool waits = (call_has(calls, MECHANISM_LATE_ANSWERS) ||
-		      calls->now < call->soft_at) &&
-		     !trial_hopeless(calls, call);
+	bool can_wait = (call_mechanism_on(calls, MECHANISM_LATE_ANSWERS) ||
+			 calls->now < call->soft_deadline) &&
+			!trial_hopeless(calls, call);
 	size_t possible = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
 		if (part->done || part->open || part->batched ||
-		    (waits && call_may_send(call, part) &&
+		    (can_wait && call_may_send(call, part) &&
 		     balancer_has_usable(calls->balancer, part->service,
 					 calls->now)))
 			possible++;
@@ -179,7 +179,7 @@
 /* For a caller. Return: true when the call has ended. */
 static bool settle_answer(struct calls *calls, struct call *call)
 {
-	bool late = calls->now >= call->soft_at;
+	bool late = calls->now >= call->soft_deadline;
 	size_t possible = count_possible(calls, call);
 
 	if (call->ndone == call->nparts) {
@@ -195,7 +195,7 @@
 		answer(calls, call, late ? "soft deadline" : "nothing more");
 		return true;
 	}
-	if (calls->now >= call->give_up_at) {
+	if (calls->now >= call->deadline) {
 		give_up(calls, call, "out of time");
 		return true;
 	}
@@ -227,10 +227,9 @@
 static bool settle_batch(struct calls *calls, struct call *call)
 {
 	const struct merge_state *state = call->state;
-	bool late = calls->now >= call->soft_at;
+	bool late = calls->now >= call->soft_deadline;
 	bool last = count_possible(calls, call) == call->ndone ||
-		    calls->now >= call->give_up_at ||
-		    trial_hopeless(calls, call);
+		    calls->now >= call->deadline || trial_hopeless(calls, call);
 
 	if (last || (late && state->nfresh) ||
 	    (!state->told && calls->now >= merge_tell_at(call)))
@@ -242,8 +241,8 @@
 
 static bool settle(struct calls *calls, struct call *call)
 {
-	return call->asker.len ? settle_batch(calls, call)
-			       : settle_answer(calls, call);
+	return call->origin.len ? settle_batch(calls, call)
+				: settle_answer(calls, call);
 }
 
 /* Of two times the earlier, unless it is over. */
@@ -254,11 +253,11 @@
 
 static void plan_review(struct calls *calls, struct call *call)
 {
-	int64_t when = sooner(call->give_up_at, call->soft_at, calls->now);
+	int64_t when = sooner(call->deadline, call->soft_deadline, calls->now);
 
 	if (call->batches)
 		when = sooner(when, merge_batch_at(call), calls->now);
-	if (call->asker.len)
+	if (call->origin.len)
 		when = sooner(when, merge_tell_at(call), calls->now);
 	for (const struct attempt *at = call->attempts; at; at = at->next) {
 		int64_t due = at->sent_at + hedge_after(call, at);
@@ -277,7 +276,7 @@
 		    calls->now + LOOK_AGAIN_US < when)
 			when = calls->now + LOOK_AGAIN_US;
 	}
-	call_review_at(calls, call, when);
+	call_schedule_review(calls, call, when);
 }
 
 /*
@@ -289,7 +288,7 @@
 {
 	const struct merge_state *state = call->state;
 
-	if (!call->asker.len || call->go || !call->parts[part].ntried)
+	if (!call->origin.len || call->go || !call->parts[part].ntried)
 		call_send(calls, call, part);
 	else if (!state->told)
 		tell_asker(calls, call, false);
@@ -303,7 +302,7 @@
 		if (is_idle(part))
 			send_again(calls, call, i);
 	}
-	if (!call_has(calls, MECHANISM_HEDGES))
+	if (!call_mechanism_on(calls, MECHANISM_HEDGES))
 		return;
 	/* call_send() puts new attempts in front of those that are walked. */
 	for (struct attempt *at = call->attempts; at; at = at->next)
@@ -318,7 +317,7 @@
 		return;
 	if (calls->now >= merge_batch_at(call))
 		batch_overdue(calls, call);
-	if (call->over)
+	if (call->finished)
 		return;
 	trial_over(calls, call);
 	hedge(calls, call);
@@ -340,11 +339,11 @@
 		      struct member_info *member, const uint16_t *parts,
 		      size_t nparts, size_t tried)
 {
-	bool whole = !call->asker.len &&
+	bool whole = !call->origin.len &&
 		     !spread_here(calls->batches->spread, call->catalog,
 				  call->route, calls->now);
 
-	call->handed += whole;
+	call->handovers += whole;
 	for (size_t i = 0; i < nparts; i++)
 		call->parts[parts[i]].batched = true;
 	batch_send(calls, call, member, parts, nparts, whole, tried);
@@ -396,9 +395,9 @@
 	uint16_t *parts =
 		apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 
-	for (int i = 0;
-	     i < SPREAD_DOMAINS_MAX && call_has(calls, MECHANISM_BATCHES) &&
-	     !is_suspect(calls, call);
+	for (int i = 0; i < SPREAD_DOMAINS_MAX &&
+			call_mechanism_on(calls, MECHANISM_BATCHES) &&
+			!is_suspect(calls, call);
 	     i++) {
 		uint64_t domain = best_domain(calls, call, parts);
 		struct member_info *member;
@@ -436,10 +435,10 @@
 			call_send(calls, call, i);
 }
 
-static void send_all(struct calls *calls, struct call *call, bool may_hand_on)
+static void send_all(struct calls *calls, struct call *call, bool may_delegate)
 {
 	send_near(calls, call);
-	if (may_hand_on)
+	if (may_delegate)
 		send_far(calls, call);
 	send_rest(calls, call);
 }
@@ -467,8 +466,8 @@
 /* Targets that other nodes asked: not known by name, only that they count. */
 static void mark_tried(struct part *part, size_t tried)
 {
-	part->again = tried > 0;
-	while (part->ntried < tried && part->ntried < CALL_TRIES_MAX)
+	part->sent_elsewhere = tried > 0;
+	while (part->ntried < tried && part->ntried < CALL_TARGETS_MAX)
 		part->tried[part->ntried++] = 0;
 }
 
@@ -485,9 +484,9 @@
 	records_init(&state->records, route->top, call->pool);
 	state->fresh = apr_palloc(call->pool,
 				  (route->nshards + 1) * sizeof(*state->fresh));
-	call->soft_at = call_has(calls, MECHANISM_SOFT_DEADLINE)
-				? merge_soft_at(call)
-				: call->give_up_at;
+	call->soft_deadline = call_mechanism_on(calls, MECHANISM_SOFT_DEADLINE)
+				      ? merge_soft_at(call)
+				      : call->deadline;
 	call->retry_share = spread_share(calls->batches->spread, call->catalog,
 					 route, calls->now);
 	call->nparts = call->wanted ? call->nwanted : route->nshards;
@@ -503,8 +502,8 @@
 static void begin(struct calls *calls, struct call *call)
 {
 	prepare(calls, call);
-	if (call->asker.len) {
-		send_all(calls, call, call->may_hand_on);
+	if (call->origin.len) {
+		send_all(calls, call, call->may_delegate);
 		if (!settle(calls, call))
 			plan_review(calls, call);
 		return;
@@ -563,7 +562,7 @@
 		send_again(calls, call, attempt->part);
 	}
 	if (trial_over(calls, call))
-		send_all(calls, call, call->may_hand_on || !call->asker.len);
+		send_all(calls, call, call->may_delegate || !call->origin.len);
 	if (!settle(calls, call) && !is_part(reply))
 		plan_review(calls, call);
 }
@@ -578,10 +577,10 @@
 		take_part(call, parts[i]);
 	if (nparts) {
 		take(call, msg->body, msg->text);
-		call_served(calls, call);
+		call_mark_served(calls, call);
 	}
 	/* It may be about to retry, of which this one's asker must know. */
-	if (!msg->state && call->asker.len && !state->told)
+	if (!msg->state && call->origin.len && !state->told)
 		tell_asker(calls, call, false);
 	settle(calls, call);
 }
@@ -596,8 +595,8 @@
 	struct spread *spread = calls->batches->spread;
 	struct member_info *member;
 
-	if (call->asker.len || nparts < BATCH_LEAST ||
-	    call->handed >= HANDED_MOST ||
+	if (call->origin.len || nparts < BATCH_LEAST ||
+	    call->handovers >= HANDED_MOST ||
 	    (int)tried >= call->route->attempts || is_suspect(calls, call) ||
 	    spread_here(spread, call->catalog, call->route, calls->now))
 		return false;
@@ -638,7 +637,7 @@
 
 const struct call_kind merge_kind = {
 	.name = "merge",
-	.in_line = true,
+	.may_queue = true,
 	.begin = begin,
 	.replied = replied,
 	.review = review,
--- a/note.c
+++ b/note.c
@@ -89,7 +89,7 @@
 	add_print(line, &call->print);
 	buf_printf(line, ",\"after_ms\":%.1f,\"left_ms\":%.1f",
 		   (double)(now - call->start) / 1000,
-		   (double)(call->give_up_at - now) / 1000);
+		   (double)(call->deadline - now) / 1000);
 	if (call->nparts > 1)
 		buf_printf(line, ",\"shards\":%zu,\"in\":%zu", call->nparts,
 			   call->ndone);
@@ -140,7 +140,7 @@
 		else if (part->batched)
 			nodes++;
 		else
-			held[part->held_by]++;
+			held[part->last_send_result]++;
 	}
 	buf_printf(line, ",\"missing\":{\"reply\":%d,\"node\":%d", replies,
 		   nodes);
@@ -195,7 +195,7 @@
 	struct buf line = { 0 };
 
 	/* Shards that another node no longer wants are no caller's. */
-	if (!call->asker.len)
+	if (!call->origin.len)
 		metric_add(&notes->metrics, METRIC_CALLERS_GONE);
 	if (!admit(notes, now, NOTE_FINAL))
 		return;
@@ -203,8 +203,8 @@
 	add_call(&line, now, call);
 	add_missing(&line, call);
 	buf_printf(&line, ",\"why\":\"%s\"}",
-		   call->asker.len ? "the asking node has its answer"
-				   : "the caller closed");
+		   call->origin.len ? "the asking node has its answer"
+				    : "the caller closed");
 	put(notes, &line, false);
 }
 
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -507,7 +507,7 @@
 START_TEST(test_no_place_after_a_send)
 {
 	static const struct call_kind kind = { .name = "test",
-					       .in_line = true,
+					       .may_queue = true,
 					       .replied = leave_it };
 	static const struct route route = { .attempts = 3, .goal_us = 100000 };
 	struct flow_reply failed = { .result = FETCH_BROKEN };
@@ -543,7 +543,7 @@
 	balancer_put(calls.balancer, &a, calls.now);
 	balancer_put(calls.balancer, &b, calls.now);
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_DONE);
-	call_replied(&calls, call->attempts->id, &failed);
+	call_on_reply(&calls, call->attempts->id, &failed);
 	ck_assert_uint_eq(part.nsent, 1);
 	ck_assert_int_eq(part.open, 0);
 	call_finish(&calls, call);
--- a/tier.c
+++ b/tier.c
@@ -209,7 +209,7 @@
 {
 	bool store_away = tier->reader.failures > 0;
 
-	return call_spread(&tier->calls, store_away ? STORE_AWAY_RETRY_US
+	return call_jitter(&tier->calls, store_away ? STORE_AWAY_RETRY_US
 						    : STARTING_RETRY_US);
 }
 
@@ -445,7 +445,7 @@
 	struct timer due;
 
 	while (timer_pop(&tier->calls.timers, tier->calls.now, &due))
-		call_due(&tier->calls, &due);
+		call_on_timer(&tier->calls, &due);
 }
 
 void tier_reduce(struct tier *tier, const struct flow_event *event,
@@ -469,7 +469,7 @@
 		on_caller_gone(tier, event->id);
 		break;
 	case FLOW_REPLY:
-		call_replied(&tier->calls, event->id, event->reply);
+		call_on_reply(&tier->calls, event->id, event->reply);
 		break;
 	case FLOW_STORE:
 		reader_reply(&tier->reader, event->store, event->now);
--- a/trial.c
+++ b/trial.c
@@ -38,8 +38,8 @@
 			poison_lease(calls->poison, &call->print, calls->now));
 		return;
 	}
-	call->trial.state = TRIAL_ASKED;
-	call->trial.until = calls->now + LEAVE_US;
+	call->trial.state = TRIAL_REQUESTED;
+	call->trial.grant_deadline = calls->now + LEAVE_US;
 	fx = flow_add(calls->fx, FLOW_PEER_SEND);
 	fx->addr = str_dup(calls->fx->pool, owner->addr);
 	fx->msg.kind = MSG_TRY;
@@ -68,7 +68,7 @@
 {
 	struct call *call = call_find(calls, msg->id);
 
-	if (!call || call->trial.state != TRIAL_ASKED)
+	if (!call || call->trial.state != TRIAL_REQUESTED)
 		return;
 	set_leave(calls, call, msg->state);
 	call->kind->review(calls, call);
@@ -77,8 +77,8 @@
 /* Return: the leave is still waited for. */
 static bool waits_for_leave(const struct calls *calls, const struct call *call)
 {
-	return call->trial.state == TRIAL_ASKED &&
-	       calls->now < call->trial.until;
+	return call->trial.state == TRIAL_REQUESTED &&
+	       calls->now < call->trial.grant_deadline;
 }
 
 static bool has_leave(const struct call *call)
@@ -101,7 +101,7 @@
 	if (call->attempts || call->batches)
 		return false;
 	/* Trials are for the node that has the caller. */
-	if (call->asker.len)
+	if (call->origin.len)
 		return true;
 	return call->trial.state != TRIAL_NONE &&
 	       !waits_for_leave(calls, call) && !has_leave(call);
@@ -127,7 +127,7 @@
 	call->trial.held = true;
 	if (trial_hopeless(calls, call))
 		return SEND_BLOCKED;
-	if (call->attempts || call->batches || call->asker.len ||
+	if (call->attempts || call->batches || call->origin.len ||
 	    has_better(call, part))
 		return SEND_HELD;
 	if (call->trial.state == TRIAL_NONE)
--- a/wait_queue.c
+++ b/wait_queue.c
@@ -5,7 +5,7 @@
 #include "xmalloc.h"
 
 enum {
-	FIRST_CAP = 8,
+	INITIAL_CAPACITY = 8,
 };
 
 struct wait_queue *wait_queue_find(apr_hash_t *wait_queues, uint64_t service)
@@ -25,8 +25,8 @@
 			     sizeof(wait_queue->service), wait_queue);
 	}
 	if (wait_queue->count == wait_queue->cap) {
-		wait_queue->cap =
-			wait_queue->cap ? wait_queue->cap * 2 : FIRST_CAP;
+		wait_queue->cap = wait_queue->cap ? wait_queue->cap * 2
+						  : INITIAL_CAPACITY;
 		wait_queue->list =
 			xrealloc(wait_queue->list,
 				 wait_queue->cap * sizeof(*wait_queue->list));
@@ -81,6 +81,6 @@
 	if (a->in_time != b->in_time)
 		return a->in_time;
 	if (a->in_time)
-		return a->soft_at < b->soft_at;
+		return a->soft_deadline < b->soft_deadline;
 	return a->start > b->start;
 }
--- a/wait_queue.h
+++ b/wait_queue.h
@@ -45,12 +45,12 @@
 /**
  * struct wait_priority - what a waiter could make of a free place
  * @in_time: its answer can still be worth all
- * @soft_at: when it is answered with what is there
+ * @soft_deadline: when it is answered with what is there
  * @start: of the question
  */
 struct wait_priority {
 	bool in_time;
-	int64_t soft_at;
+	int64_t soft_deadline;
 	int64_t start;
 };
 
