--- a/merge.c
+++ b/merge.c
@@ -9,44 +9,45 @@
 	 * A reply is late after this multiple of its target's usual time: few
 	 * replies that are merely slow are then asked for twice.
 	 */
-	HEDGE_TIMES = 2,
+	HEDGE_FACTOR = 2,
 	/* Never sooner, so that a round trip's noise does not count. */
-	HEDGE_LEAST_US = 12000,
+	HEDGE_MIN_US = 12000,
 	/* A part that no target could be asked for is looked at again. */
-	LOOK_AGAIN_US = 10000,
+	REVIEW_INTERVAL_US = 10000,
 	/* On a refusal: targets that rest are back within about this time. */
 	RETRY_AFTER_US = 300000,
 	/* The way back to the caller, and what a busy core needs to answer. */
-	RETURN_US = 12000,
+	RESPONSE_MARGIN_US = 12000,
 	/* Nodes that refuse, as they have another version, are not asked on. */
-	HANDED_MOST = 2,
+	HANDOVERS_MAX = 2,
 	/* A message to another node costs as much as a request to a target. */
-	BATCH_LEAST = 2,
+	BATCH_SHARDS_MIN = 2,
 };
 
 /* A hedge at a slow target must still be in time itself. */
-static const double HEDGE_GOAL_PART = 0.3;
+static const double HEDGE_GOAL_FRACTION = 0.3;
 /* Goals are short where little is merged; the return takes its part of them. */
-static const double SOFT_GOAL_PART = 0.85;
+static const double SOFT_GOAL_FRACTION = 0.85;
 /*
  * Another node hedges by itself, so it is given longer than a target; then it
  * is taken to be stuck, while targets can still be asked in time from here.
  */
-static const double BATCH_GOAL_PART = 0.5;
+static const double BATCH_GOAL_FRACTION = 0.5;
 /* By then it tells what it has, so that it is not taken to be stuck. */
-static const double TELL_GOAL_PART = 0.35;
+static const double PROGRESS_GOAL_FRACTION = 0.35;
 
 /**
  * struct merge_state - what is there of the answer
- * @fresh, @nfresh: shards in @records that the asking node was not told of
- * @told: it was told something
+ * @unreported, @nunreported: shards in @records that the asking node was not
+ * told of
+ * @reported: it was told something
  */
 struct merge_state {
 	struct records records;
 	struct buf signatures;
-	uint16_t *fresh;
-	size_t nfresh;
-	bool told;
+	uint16_t *unreported;
+	size_t nunreported;
+	bool reported;
 };
 
 static apr_status_t free_state(void *data)
@@ -62,32 +63,33 @@
 	return poison_verdict(calls->poison, &call->print) != POISON_NONE;
 }
 
-bool merge_enough(const struct route *route, size_t done)
+bool merge_has_coverage(const struct route *route, size_t done)
 {
-	double need = route->least * (double)route->nshards;
+	double required = route->least * (double)route->nshards;
 
-	return done > 0 && (double)done + 1e-9 >= need;
+	return done > 0 && (double)done + 1e-9 >= required;
 }
 
-int64_t merge_soft_at(const struct call *call)
+int64_t merge_soft_deadline(const struct call *call)
 {
 	int64_t goal = call->route->goal_us;
-	int64_t soft = (int64_t)((double)goal * SOFT_GOAL_PART);
+	int64_t soft = (int64_t)((double)goal * SOFT_GOAL_FRACTION);
 
-	return call->start +
-	       (soft < goal - RETURN_US ? soft : goal - RETURN_US);
+	return call->start + (soft < goal - RESPONSE_MARGIN_US
+				      ? soft
+				      : goal - RESPONSE_MARGIN_US);
 }
 
-static int64_t merge_tell_at(const struct call *call)
+static int64_t progress_due_at(const struct call *call)
 {
 	return call->start +
-	       (int64_t)((double)call->route->goal_us * TELL_GOAL_PART);
+	       (int64_t)((double)call->route->goal_us * PROGRESS_GOAL_FRACTION);
 }
 
-static int64_t merge_batch_at(const struct call *call)
+static int64_t batch_due_at(const struct call *call)
 {
 	return call->start +
-	       (int64_t)((double)call->route->goal_us * BATCH_GOAL_PART);
+	       (int64_t)((double)call->route->goal_us * BATCH_GOAL_FRACTION);
 }
 
 static int64_t hedge_after(const struct call *call,
@@ -96,12 +98,12 @@
 	int64_t late =
 		(int64_t)(target_health_expected_us(attempt->target,
 						    attempt->baseline_us) *
-			  HEDGE_TIMES);
+			  HEDGE_FACTOR);
 	int64_t most =
-		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_PART);
+		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 
-	if (late < HEDGE_LEAST_US)
-		late = HEDGE_LEAST_US;
+	if (late < HEDGE_MIN_US)
+		late = HEDGE_MIN_US;
 	return late < most ? late : most;
 }
 
@@ -121,12 +123,12 @@
 	call_answer(calls, call, &final);
 }
 
-static bool is_idle(const struct part *part)
+static bool is_unassigned(const struct part *part)
 {
 	return !part->done && !part->open && !part->batched;
 }
 
-static bool any_ran(const struct call *call)
+static bool may_have_run(const struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ran || call->parts[i].open ||
@@ -143,7 +145,7 @@
 	trial_excuse(calls, call, &why, &retry_us);
 	if (calls->now >= call->deadline)
 		call_refuse(calls, call, 504, why, 0);
-	else if (any_ran(call))
+	else if (may_have_run(call))
 		call_refuse(calls, call, 502, why, retry_us);
 	else
 		call_refuse(calls, call, 503, why, retry_us);
@@ -177,7 +179,7 @@
 }
 
 /* For a caller. Return: true when the call has ended. */
-static bool settle_answer(struct calls *calls, struct call *call)
+static bool finish_answer(struct calls *calls, struct call *call)
 {
 	bool late = calls->now >= call->soft_deadline;
 	size_t possible = count_possible(calls, call);
@@ -190,7 +192,7 @@
 		give_up(calls, call, "no target may have it");
 		return true;
 	}
-	if (merge_enough(call->route, call->ndone) &&
+	if (merge_has_coverage(call->route, call->ndone) &&
 	    (late || possible == call->ndone)) {
 		answer(calls, call, late ? "soft deadline" : "nothing more");
 		return true;
@@ -199,22 +201,22 @@
 		give_up(calls, call, "out of time");
 		return true;
 	}
-	if (!merge_enough(call->route, possible)) {
+	if (!merge_has_coverage(call->route, possible)) {
 		give_up(calls, call, "too few shards can be reached");
 		return true;
 	}
 	return false;
 }
 
-static void tell_asker(struct calls *calls, struct call *call, bool last)
+static void report_to_origin(struct calls *calls, struct call *call, bool last)
 {
 	struct merge_state *state = call->state;
 
-	batch_tell(calls, call, state->fresh, state->nfresh,
+	batch_tell(calls, call, state->unreported, state->nunreported,
 		   records_str(&state->records), buf_str(&state->signatures),
 		   last);
-	state->told = true;
-	state->nfresh = 0;
+	state->reported = true;
+	state->nunreported = 0;
 	state->records.count = 0;
 	state->signatures.len = 0;
 }
@@ -224,57 +226,57 @@
  * it knows that this one is at work; again at the soft deadline, and then each
  * shard as it comes.
  */
-static bool settle_batch(struct calls *calls, struct call *call)
+static bool finish_batch(struct calls *calls, struct call *call)
 {
 	const struct merge_state *state = call->state;
 	bool late = calls->now >= call->soft_deadline;
 	bool last = count_possible(calls, call) == call->ndone ||
 		    calls->now >= call->deadline || trial_hopeless(calls, call);
 
-	if (last || (late && state->nfresh) ||
-	    (!state->told && calls->now >= merge_tell_at(call)))
-		tell_asker(calls, call, last);
+	if (last || (late && state->nunreported) ||
+	    (!state->reported && calls->now >= progress_due_at(call)))
+		report_to_origin(calls, call, last);
 	if (last)
 		call_finish(calls, call);
 	return last;
 }
 
-static bool settle(struct calls *calls, struct call *call)
+static bool finish_if_settled(struct calls *calls, struct call *call)
 {
-	return call->origin.len ? settle_batch(calls, call)
-				: settle_answer(calls, call);
+	return call->origin.len ? finish_batch(calls, call)
+				: finish_answer(calls, call);
 }
 
 /* Of two times the earlier, unless it is over. */
-static int64_t sooner(int64_t when, int64_t other, int64_t now)
+static int64_t earlier(int64_t when, int64_t other, int64_t now)
 {
 	return other > now && other < when ? other : when;
 }
 
 static void plan_review(struct calls *calls, struct call *call)
 {
-	int64_t when = sooner(call->deadline, call->soft_deadline, calls->now);
+	int64_t when = earlier(call->deadline, call->soft_deadline, calls->now);
 
 	if (call->batches)
-		when = sooner(when, merge_batch_at(call), calls->now);
+		when = earlier(when, batch_due_at(call), calls->now);
 	if (call->origin.len)
-		when = sooner(when, merge_tell_at(call), calls->now);
+		when = earlier(when, progress_due_at(call), calls->now);
 	for (const struct attempt *at = call->attempts; at; at = at->next) {
 		int64_t due = at->sent_at + hedge_after(call, at);
 
 		if (!call_may_send(call, &call->parts[at->part]))
 			continue;
 		if (due <= calls->now)
-			due = calls->now + LOOK_AGAIN_US;
+			due = calls->now + REVIEW_INTERVAL_US;
 		if (due < when)
 			when = due;
 	}
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
-		if (is_idle(part) && call_may_send(call, part) &&
-		    calls->now + LOOK_AGAIN_US < when)
-			when = calls->now + LOOK_AGAIN_US;
+		if (is_unassigned(part) && call_may_send(call, part) &&
+		    calls->now + REVIEW_INTERVAL_US < when)
+			when = calls->now + REVIEW_INTERVAL_US;
 	}
 	call_schedule_review(calls, call, when);
 }
@@ -284,23 +286,23 @@
  * should it hear nothing more from here, it would ask yet others itself, and
  * all together more than the route allows.
  */
-static void send_again(struct calls *calls, struct call *call, size_t part)
+static void send_retry(struct calls *calls, struct call *call, size_t part)
 {
 	const struct merge_state *state = call->state;
 
 	if (!call->origin.len || call->go || !call->parts[part].ntried)
 		call_send(calls, call, part);
-	else if (!state->told)
-		tell_asker(calls, call, false);
+	else if (!state->reported)
+		report_to_origin(calls, call, false);
 }
 
-static void hedge(struct calls *calls, struct call *call)
+static void send_retries(struct calls *calls, struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++) {
 		struct part *part = &call->parts[i];
 
-		if (is_idle(part))
-			send_again(calls, call, i);
+		if (is_unassigned(part))
+			send_retry(calls, call, i);
 	}
 	if (!call_mechanism_on(calls, MECHANISM_HEDGES))
 		return;
@@ -308,19 +310,19 @@
 	for (struct attempt *at = call->attempts; at; at = at->next)
 		if (call->parts[at->part].open == 1 &&
 		    calls->now - at->sent_at >= hedge_after(call, at))
-			send_again(calls, call, at->part);
+			send_retry(calls, call, at->part);
 }
 
 static void review(struct calls *calls, struct call *call)
 {
-	if (settle(calls, call))
+	if (finish_if_settled(calls, call))
 		return;
-	if (calls->now >= merge_batch_at(call))
+	if (calls->now >= batch_due_at(call))
 		batch_overdue(calls, call);
 	if (call->finished)
 		return;
 	trial_over(calls, call);
-	hedge(calls, call);
+	send_retries(calls, call);
 	plan_review(calls, call);
 }
 
@@ -335,9 +337,9 @@
 	return reachable;
 }
 
-static void hand_over(struct calls *calls, struct call *call,
-		      struct member_info *member, const uint16_t *parts,
-		      size_t nparts, size_t tried)
+static void delegate(struct calls *calls, struct call *call,
+		     struct member_info *member, const uint16_t *parts,
+		     size_t nparts, size_t tried)
 {
 	bool whole = !call->origin.len &&
 		     !spread_here(calls->batches->spread, call->catalog,
@@ -350,15 +352,15 @@
 }
 
 /* Shards whose best target is in @domain, and that nobody has yet. */
-static size_t collect(struct calls *calls, const struct call *call,
-		      uint64_t domain, uint16_t *parts)
+static size_t collect_in_domain(struct calls *calls, const struct call *call,
+				uint64_t domain, uint16_t *parts)
 {
 	size_t count = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
-		if (!is_idle(part))
+		if (!is_unassigned(part))
 			continue;
 		if (balancer_has_target_in(calls->balancer, part->service,
 					   domain, calls->now))
@@ -375,10 +377,10 @@
 	uint64_t domains[SPREAD_DOMAINS_MAX];
 	size_t count = spread_domains(spread, domains);
 	uint64_t best = 0;
-	size_t most = BATCH_LEAST - 1;
+	size_t most = BATCH_SHARDS_MIN - 1;
 
 	for (size_t i = 0; i < count; i++) {
-		size_t held = collect(calls, call, domains[i], parts);
+		size_t held = collect_in_domain(calls, call, domains[i], parts);
 
 		if (held <= most)
 			continue;
@@ -389,7 +391,7 @@
 }
 
 /* Shards without a good target in this failure domain go to nodes elsewhere. */
-static void send_far(struct calls *calls, struct call *call)
+static void delegate_far(struct calls *calls, struct call *call)
 {
 	struct spread *spread = calls->batches->spread;
 	uint16_t *parts =
@@ -409,12 +411,12 @@
 				       domain, calls->now);
 		if (!member)
 			return;
-		count = collect(calls, call, domain, parts);
-		hand_over(calls, call, member, parts, count, call->tried);
+		count = collect_in_domain(calls, call, domain, parts);
+		delegate(calls, call, member, parts, count, call->tried);
 	}
 }
 
-static void send_near(struct calls *calls, struct call *call)
+static void send_to_near(struct calls *calls, struct call *call)
 {
 	struct target_query target_query = { .baseline_us = call->baseline->us,
 					     .goal_us = call->route->goal_us,
@@ -422,29 +424,29 @@
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		target_query.service = call->parts[i].service;
-		if (is_idle(&call->parts[i]) &&
+		if (is_unassigned(&call->parts[i]) &&
 		    balancer_prefers_near(calls->balancer, &target_query))
 			call_send(calls, call, i);
 	}
 }
 
-static void send_rest(struct calls *calls, struct call *call)
+static void send_unassigned(struct calls *calls, struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++)
-		if (is_idle(&call->parts[i]))
+		if (is_unassigned(&call->parts[i]))
 			call_send(calls, call, i);
 }
 
 static void send_all(struct calls *calls, struct call *call, bool may_delegate)
 {
-	send_near(calls, call);
+	send_to_near(calls, call);
 	if (may_delegate)
-		send_far(calls, call);
-	send_rest(calls, call);
+		delegate_far(calls, call);
+	send_unassigned(calls, call);
 }
 
 /* Return: true if another node was asked for the whole question. */
-static bool send_whole(struct calls *calls, struct call *call)
+static bool delegate_whole(struct calls *calls, struct call *call)
 {
 	struct spread *spread = calls->batches->spread;
 	struct member_info *member;
@@ -459,12 +461,12 @@
 	parts = apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 	for (size_t i = 0; i < call->nparts; i++)
 		parts[i] = (uint16_t)i;
-	hand_over(calls, call, member, parts, call->nparts, 0);
+	delegate(calls, call, member, parts, call->nparts, 0);
 	return true;
 }
 
 /* Targets that other nodes asked: not known by name, only that they count. */
-static void mark_tried(struct part *part, size_t tried)
+static void count_tried(struct part *part, size_t tried)
 {
 	part->sent_elsewhere = tried > 0;
 	while (part->ntried < tried && part->ntried < CALL_TARGETS_MAX)
@@ -482,10 +484,10 @@
 	apr_pool_cleanup_register(call->pool, state, free_state,
 				  apr_pool_cleanup_null);
 	records_init(&state->records, route->top, call->pool);
-	state->fresh = apr_palloc(call->pool,
-				  (route->nshards + 1) * sizeof(*state->fresh));
+	state->unreported = apr_palloc(
+		call->pool, (route->nshards + 1) * sizeof(*state->unreported));
 	call->soft_deadline = call_mechanism_on(calls, MECHANISM_SOFT_DEADLINE)
-				      ? merge_soft_at(call)
+				      ? merge_soft_deadline(call)
 				      : call->deadline;
 	call->retry_share = spread_share(calls->batches->spread, call->catalog,
 					 route, calls->now);
@@ -496,7 +498,7 @@
 		call->parts[i].service =
 			route->shards[call->wanted ? call->wanted[i] : i];
 	for (size_t i = 0; i < call->nparts; i++)
-		mark_tried(&call->parts[i], call->tried);
+		count_tried(&call->parts[i], call->tried);
 }
 
 static void begin(struct calls *calls, struct call *call)
@@ -504,33 +506,34 @@
 	prepare(calls, call);
 	if (call->origin.len) {
 		send_all(calls, call, call->may_delegate);
-		if (!settle(calls, call))
+		if (!finish_if_settled(calls, call))
 			plan_review(calls, call);
 		return;
 	}
-	if (!merge_enough(call->route, count_reachable(calls, call))) {
+	if (!merge_has_coverage(call->route, count_reachable(calls, call))) {
 		call_refuse(calls, call, 503, "too few shards have a target",
 			    RETRY_AFTER_US);
 		return;
 	}
 	if (is_suspect(calls, call)) {
 		/* The first shard whose target is free is the trial. */
-		send_rest(calls, call);
-		if (settle(calls, call))
+		send_unassigned(calls, call);
+		if (finish_if_settled(calls, call))
 			return;
-	} else if (!send_whole(calls, call)) {
+	} else if (!delegate_whole(calls, call)) {
 		send_all(calls, call, true);
 	}
 	plan_review(calls, call);
 }
 
-static bool is_part(const struct flow_reply *reply)
+static bool is_valid_part(const struct flow_reply *reply)
 {
 	return reply->result == FETCH_OK && reply->status / 100 == 2 &&
 	       reply->signature.len && !reply->encoded;
 }
 
-static void take(struct call *call, struct str records, struct str signatures)
+static void add_records(struct call *call, struct str records,
+			struct str signatures)
 {
 	struct merge_state *state = call->state;
 
@@ -540,14 +543,14 @@
 	buf_str_add(&state->signatures, signatures);
 }
 
-static void take_part(struct call *call, size_t index)
+static void mark_part_done(struct call *call, size_t index)
 {
 	struct merge_state *state = call->state;
 
 	call->parts[index].done = true;
 	call->parts[index].batched = false;
 	call->ndone++;
-	state->fresh[state->nfresh++] =
+	state->unreported[state->nunreported++] =
 		call->wanted ? call->wanted[index] : (uint16_t)index;
 }
 
@@ -555,15 +558,15 @@
 		    const struct attempt *attempt,
 		    const struct flow_reply *reply)
 {
-	if (is_part(reply)) {
-		take_part(call, attempt->part);
-		take(call, reply->body, reply->signature);
+	if (is_valid_part(reply)) {
+		mark_part_done(call, attempt->part);
+		add_records(call, reply->body, reply->signature);
 	} else if (!call->parts[attempt->part].open) {
-		send_again(calls, call, attempt->part);
+		send_retry(calls, call, attempt->part);
 	}
 	if (trial_over(calls, call))
 		send_all(calls, call, call->may_delegate || !call->origin.len);
-	if (!settle(calls, call) && !is_part(reply))
+	if (!finish_if_settled(calls, call) && !is_valid_part(reply))
 		plan_review(calls, call);
 }
 
@@ -574,29 +577,29 @@
 	const struct merge_state *state = call->state;
 
 	for (size_t i = 0; i < nparts; i++)
-		take_part(call, parts[i]);
+		mark_part_done(call, parts[i]);
 	if (nparts) {
-		take(call, msg->body, msg->text);
+		add_records(call, msg->body, msg->text);
 		call_mark_served(calls, call);
 	}
 	/* It may be about to retry, of which this one's asker must know. */
-	if (!msg->state && call->origin.len && !state->told)
-		tell_asker(calls, call, false);
-	settle(calls, call);
+	if (!msg->state && call->origin.len && !state->reported)
+		report_to_origin(calls, call, false);
+	finish_if_settled(calls, call);
 }
 
 /*
  * A small VM that merges by itself takes longer than the goal. It hands the
  * shards to another merging node once more. Return: false where it may not.
  */
-static bool hand_over_again(struct calls *calls, struct call *call,
-			    const uint16_t *parts, size_t nparts, size_t tried)
+static bool delegate_again(struct calls *calls, struct call *call,
+			   const uint16_t *parts, size_t nparts, size_t tried)
 {
 	struct spread *spread = calls->batches->spread;
 	struct member_info *member;
 
-	if (call->origin.len || nparts < BATCH_LEAST ||
-	    call->handovers >= HANDED_MOST ||
+	if (call->origin.len || nparts < BATCH_SHARDS_MIN ||
+	    call->handovers >= HANDOVERS_MAX ||
 	    (int)tried >= call->route->attempts || is_suspect(calls, call) ||
 	    spread_here(spread, call->catalog, call->route, calls->now))
 		return false;
@@ -604,7 +607,7 @@
 			       calls->now);
 	if (!member)
 		return false;
-	hand_over(calls, call, member, parts, nparts, tried);
+	delegate(calls, call, member, parts, nparts, tried);
 	return true;
 }
 
@@ -613,12 +616,12 @@
 {
 	for (size_t i = 0; i < nparts; i++) {
 		call->parts[parts[i]].batched = false;
-		mark_tried(&call->parts[parts[i]], tried);
+		count_tried(&call->parts[parts[i]], tried);
 	}
-	if (!hand_over_again(calls, call, parts, nparts, tried))
+	if (!delegate_again(calls, call, parts, nparts, tried))
 		for (size_t i = 0; i < nparts; i++)
-			send_again(calls, call, parts[i]);
-	if (!settle(calls, call))
+			send_retry(calls, call, parts[i]);
+	if (!finish_if_settled(calls, call))
 		plan_review(calls, call);
 }
 
--- a/merge.h
+++ b/merge.h
@@ -15,7 +15,7 @@
 
 /** merge_init() - take replies of other nodes, and questions of theirs. */
 void merge_init(struct calls *calls, struct batch_book *batches);
-/** merge_soft_at() - when what is there is answered if it is enough. */
-int64_t merge_soft_at(const struct call *call);
-/** merge_enough() - the share of shards that are in makes an answer. */
-bool merge_enough(const struct route *route, size_t done);
+/** merge_soft_deadline() - when what is there is answered if it is enough. */
+int64_t merge_soft_deadline(const struct call *call);
+/** merge_has_coverage() - the share of shards that are in makes an answer. */
+bool merge_has_coverage(const struct route *route, size_t done);
