--- a/baseline.c
+++ b/baseline.c
@@ -4,7 +4,7 @@
 
 enum {
 	/* A first reply may come at once; a time of 0 could not grow. */
-	LEAST_US = 100,
+	BASELINE_MIN_US = 100,
 	/*
 	 * Routes come and go with configurations, and their names with them.
 	 * Beyond so many, new kinds share one entry, so that the table does not
@@ -13,7 +13,8 @@
 	KINDS_MAX = 1024,
 };
 
-struct baseline *baseline_get(apr_hash_t *table, uint64_t key, int64_t guess_us)
+struct baseline *baseline_get(apr_hash_t *table, uint64_t key,
+			      int64_t initial_us)
 {
 	struct baseline *baseline = apr_hash_get(table, &key, sizeof(key));
 
@@ -25,7 +26,7 @@
 		return baseline;
 	baseline = xcalloc(1, sizeof(*baseline));
 	baseline->key = key;
-	baseline->us = (double)guess_us;
+	baseline->us = (double)initial_us;
 	apr_hash_set(table, &baseline->key, sizeof(baseline->key), baseline);
 	return baseline;
 }
@@ -38,8 +39,8 @@
 {
 	double step = 1 + 1.0 / (baseline->samples + 1);
 
-	if (us < LEAST_US)
-		us = LEAST_US;
+	if (us < BASELINE_MIN_US)
+		us = BASELINE_MIN_US;
 	if (!baseline->samples)
 		baseline->us = (double)us;
 	else if ((double)us > baseline->us)
--- a/baseline.h
+++ b/baseline.h
@@ -29,9 +29,9 @@
 
 /**
  * baseline_get() - that of the kind @key, made in @table when there is none yet
- * @guess_us: taken until replies tell
+ * @initial_us: taken until replies tell
  */
 struct baseline *baseline_get(apr_hash_t *table, uint64_t key,
-			      int64_t guess_us);
+			      int64_t initial_us);
 /** baseline_add() - a reply took @us. */
 void baseline_add(struct baseline *baseline, int64_t us);
--- a/budget.c
+++ b/budget.c
@@ -13,20 +13,20 @@
  * Kept below the bound for what a node does not know: processes that started
  * anew and forgot what they had sent, nodes that it has not heard of.
  */
-static const double MARGIN = 0.8;
+static const double SAFETY_FACTOR = 0.8;
 
-struct tally {
+struct send_counts {
 	uint64_t service;
 	int64_t slice;
 	int first[SLICES + 1];
-	int more[SLICES + 1];
+	int retries[SLICES + 1];
 };
 
 struct budget {
 	apr_pool_t *pool;
 	struct budget_rules rules;
 	int nodes;
-	apr_hash_t *tallies;
+	apr_hash_t *counts;
 };
 
 struct budget *budget_create(apr_pool_t *parent, struct budget_rules rules)
@@ -39,7 +39,7 @@
 	budget->pool = pool;
 	budget->rules = rules;
 	budget->nodes = 1;
-	budget->tallies = hash_make(pool);
+	budget->counts = hash_make(pool);
 	return budget;
 }
 
@@ -47,11 +47,11 @@
 {
 	apr_hash_index_t *it;
 
-	for (it = apr_hash_first(NULL, budget->tallies); it;
+	for (it = apr_hash_first(NULL, budget->counts); it;
 	     it = apr_hash_next(it)) {
-		void *tally = hash_value(it);
+		void *send_counts = hash_value(it);
 
-		free(tally);
+		free(send_counts);
 	}
 	apr_pool_destroy(budget->pool);
 }
@@ -61,71 +61,71 @@
 	budget->rules = rules;
 }
 
-void budget_nodes(struct budget *budget, int nodes)
+void budget_set_nodes(struct budget *budget, int nodes)
 {
 	budget->nodes = nodes > 0 ? nodes : 1;
 }
 
-static void advance(struct tally *tally, int64_t slice)
+static void advance(struct send_counts *send_counts, int64_t slice)
 {
-	for (int i = 0; tally->slice < slice && i <= SLICES; i++) {
-		tally->slice++;
-		tally->first[tally->slice % (SLICES + 1)] = 0;
-		tally->more[tally->slice % (SLICES + 1)] = 0;
+	for (int i = 0; send_counts->slice < slice && i <= SLICES; i++) {
+		send_counts->slice++;
+		send_counts->first[send_counts->slice % (SLICES + 1)] = 0;
+		send_counts->retries[send_counts->slice % (SLICES + 1)] = 0;
 	}
-	tally->slice = slice;
+	send_counts->slice = slice;
 }
 
-static struct tally *tally_get(struct budget *budget, uint64_t service,
-			       int64_t now)
+static struct send_counts *send_counts_get(struct budget *budget,
+					   uint64_t service, int64_t now)
 {
-	struct tally *tally =
-		apr_hash_get(budget->tallies, &service, sizeof(service));
+	struct send_counts *send_counts =
+		apr_hash_get(budget->counts, &service, sizeof(service));
 	int64_t slice = now * SLICES / budget->rules.window_us;
 
-	if (!tally) {
-		tally = xcalloc(1, sizeof(*tally));
-		tally->service = service;
-		tally->slice = slice;
-		apr_hash_set(budget->tallies, &tally->service,
-			     sizeof(tally->service), tally);
+	if (!send_counts) {
+		send_counts = xcalloc(1, sizeof(*send_counts));
+		send_counts->service = service;
+		send_counts->slice = slice;
+		apr_hash_set(budget->counts, &send_counts->service,
+			     sizeof(send_counts->service), send_counts);
 	}
-	advance(tally, slice);
-	return tally;
+	advance(send_counts, slice);
+	return send_counts;
 }
 
-void budget_first(struct budget *budget, uint64_t service, int64_t now)
+void budget_count_first(struct budget *budget, uint64_t service, int64_t now)
 {
-	struct tally *tally = tally_get(budget, service, now);
+	struct send_counts *send_counts = send_counts_get(budget, service, now);
 
-	tally->first[tally->slice % (SLICES + 1)]++;
+	send_counts->first[send_counts->slice % (SLICES + 1)]++;
 }
 
 int budget_left(struct budget *budget, uint64_t service, double share,
 		int64_t now)
 {
-	struct tally *tally = tally_get(budget, service, now);
+	struct send_counts *send_counts = send_counts_get(budget, service, now);
 	int first = 0;
-	int more = 0;
+	int retries = 0;
 	double allowed;
 
 	for (int i = 0; i <= SLICES; i++) {
-		first += tally->first[i];
-		more += tally->more[i];
+		first += send_counts->first[i];
+		retries += send_counts->retries[i];
 	}
 	if (share <= 0)
 		share = 1.0 / budget->nodes;
 	allowed = budget->rules.ratio * first + budget->rules.extra * share;
-	return (int)(allowed * MARGIN) - more;
+	return (int)(allowed * SAFETY_FACTOR) - retries;
 }
 
 bool budget_take(struct budget *budget, uint64_t service, double share,
 		 int64_t now)
 {
-	struct tally *tally = tally_get(budget, service, now);
+	struct send_counts *send_counts = send_counts_get(budget, service, now);
 
 	if (budget_left(budget, service, share, now) < 1)
 		return false;
-	tally->more[tally->slice % (SLICES + 1)]++;
+	send_counts->retries[send_counts->slice % (SLICES + 1)]++;
 	return true;
 }
--- a/budget.h
+++ b/budget.h
@@ -31,10 +31,10 @@
 struct budget *budget_create(apr_pool_t *parent, struct budget_rules rules);
 void budget_destroy(struct budget *budget);
 void budget_rules(struct budget *budget, struct budget_rules rules);
-/** budget_nodes() - how many nodes share the bound, at least 1. */
-void budget_nodes(struct budget *budget, int nodes);
-/** budget_first() - a first send to @service. */
-void budget_first(struct budget *budget, uint64_t service, int64_t now);
+/** budget_set_nodes() - how many nodes share the bound, at least 1. */
+void budget_set_nodes(struct budget *budget, int nodes);
+/** budget_count_first() - a first send to @service. */
+void budget_count_first(struct budget *budget, uint64_t service, int64_t now);
 /**
  * budget_take() - true, and counted, if one more send is allowed
  * @share: this node's part of the extra sends; 0 for that of all nodes alike
--- a/call.c
+++ b/call.c
@@ -315,7 +315,7 @@
 	if (!target)
 		return SEND_NO_TARGET;
 	if (!p->ntried && !p->sent_elsewhere) {
-		budget_first(calls->budget, p->service, calls->now);
+		budget_count_first(calls->budget, p->service, calls->now);
 		metric_add(&calls->notes->metrics, METRIC_SENT);
 	} else if (budget_take(calls->budget, p->service, call->retry_share,
 			       calls->now)) {
--- a/latency.c
+++ b/latency.c
@@ -2,26 +2,29 @@
 
 enum {
 	OCTAVE_BITS = 3,
-	PER_OCTAVE = 1 << OCTAVE_BITS,
-	ENOUGH = 64,
+	BUCKETS_PER_OCTAVE = 1 << OCTAVE_BITS,
+	SAMPLES_MIN = 64,
 };
 
 static int bucket_of(int64_t us)
 {
-	uint64_t value = us < PER_OCTAVE ? PER_OCTAVE : (uint64_t)us;
+	uint64_t value =
+		us < BUCKETS_PER_OCTAVE ? BUCKETS_PER_OCTAVE : (uint64_t)us;
 	int octave = 63 - __builtin_clzll(value);
-	int part = (int)(value >> (octave - OCTAVE_BITS)) & (PER_OCTAVE - 1);
-	int bucket = (octave - OCTAVE_BITS) * PER_OCTAVE + part;
+	int part = (int)(value >> (octave - OCTAVE_BITS)) &
+		   (BUCKETS_PER_OCTAVE - 1);
+	int bucket = (octave - OCTAVE_BITS) * BUCKETS_PER_OCTAVE + part;
 
 	return bucket < LATENCY_BUCKETS ? bucket : LATENCY_BUCKETS - 1;
 }
 
 static int64_t upper_edge(int bucket)
 {
-	int octave = bucket / PER_OCTAVE + OCTAVE_BITS;
-	int part = bucket % PER_OCTAVE;
+	int octave = bucket / BUCKETS_PER_OCTAVE + OCTAVE_BITS;
+	int part = bucket % BUCKETS_PER_OCTAVE;
 
-	return (int64_t)(PER_OCTAVE + part + 1) << (octave - OCTAVE_BITS);
+	return (int64_t)(BUCKETS_PER_OCTAVE + part + 1)
+	       << (octave - OCTAVE_BITS);
 }
 
 void latency_add(struct latency *latency, int64_t us)
@@ -41,7 +44,7 @@
 	uint32_t below = (uint32_t)(q * latency->total);
 	uint32_t seen = 0;
 
-	if (latency->total < ENOUGH)
+	if (latency->total < SAMPLES_MIN)
 		return 0;
 	for (int i = 0; i < LATENCY_BUCKETS; i++) {
 		seen += latency->buckets[i];
--- a/merge.c
+++ b/merge.c
@@ -537,7 +537,7 @@
 {
 	struct merge_state *state = call->state;
 
-	records_take(&state->records, records);
+	records_merge(&state->records, records);
 	if (state->signatures.len)
 		buf_str_add(&state->signatures, STR(", "));
 	buf_str_add(&state->signatures, signatures);
--- a/records.c
+++ b/records.c
@@ -2,54 +2,55 @@
 
 enum {
 	/* Most questions want no more; a route may ask for any number. */
-	ROOM_FIRST = 64,
+	INITIAL_CAPACITY = 64,
 };
 
-static void grow(struct records *records, size_t room)
+static void grow(struct records *records, size_t capacity)
 {
-	char *bytes = apr_palloc(records->pool, (room + 1) * RECORD_SIZE);
+	char *bytes = apr_palloc(records->pool, (capacity + 1) * RECORD_SIZE);
 
 	if (records->count)
 		memcpy(bytes, records->bytes, records->count * RECORD_SIZE);
 	records->bytes = bytes;
-	records->room = room;
+	records->capacity = capacity;
 }
 
-void records_init(struct records *records, size_t cap, apr_pool_t *pool)
+void records_init(struct records *records, size_t limit, apr_pool_t *pool)
 {
-	*records = (struct records){ .pool = pool, .cap = cap };
-	grow(records, cap < ROOM_FIRST ? cap : ROOM_FIRST);
+	*records = (struct records){ .pool = pool, .limit = limit };
+	grow(records, limit < INITIAL_CAPACITY ? limit : INITIAL_CAPACITY);
 }
 
-static char *at(const struct records *records, size_t i)
+static char *record_at(const struct records *records, size_t i)
 {
 	return records->bytes + i * RECORD_SIZE;
 }
 
-static void take_one(struct records *records, const char *record)
+static void insert_record(struct records *records, const char *record)
 {
-	size_t place = records->count;
+	size_t position = records->count;
 	size_t moved;
 
-	while (place && memcmp(at(records, place - 1), record, RECORD_SIZE) < 0)
-		place--;
-	if (place == records->cap)
+	while (position && memcmp(record_at(records, position - 1), record,
+				  RECORD_SIZE) < 0)
+		position--;
+	if (position == records->limit)
 		return;
-	if (records->count < records->cap) {
-		if (records->count == records->room)
-			grow(records, 2 * records->room);
+	if (records->count < records->limit) {
+		if (records->count == records->capacity)
+			grow(records, 2 * records->capacity);
 		records->count++;
 	}
-	moved = records->count - place - 1;
-	memmove(at(records, place + 1), at(records, place),
+	moved = records->count - position - 1;
+	memmove(record_at(records, position + 1), record_at(records, position),
 		moved * RECORD_SIZE);
-	memcpy(at(records, place), record, RECORD_SIZE);
+	memcpy(record_at(records, position), record, RECORD_SIZE);
 }
 
-void records_take(struct records *records, struct str body)
+void records_merge(struct records *records, struct str body)
 {
 	for (size_t i = 0; i + RECORD_SIZE <= body.len; i += RECORD_SIZE)
-		take_one(records, body.ptr + i);
+		insert_record(records, body.ptr + i);
 }
 
 struct str records_str(const struct records *records)
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -85,7 +85,7 @@
 
 	records_init(&records, c->cap, pool);
 	for (int i = 0; i < 3 && c->bodies[i]; i++)
-		records_take(&records, make_body(c->bodies[i]));
+		records_merge(&records, make_body(c->bodies[i]));
 	got = records_str(&records);
 	ck_assert_uint_eq(got.len, strlen(c->want) * RECORD_SIZE);
 	for (size_t i = 0; i < strlen(c->want); i++)
@@ -121,9 +121,9 @@
 	struct budget *budget = budget_create(pool, rules);
 	int taken = 0;
 
-	budget_nodes(budget, c->nodes);
+	budget_set_nodes(budget, c->nodes);
 	for (int i = 0; i < c->first; i++)
-		budget_first(budget, 7, SECOND_US);
+		budget_count_first(budget, 7, SECOND_US);
 	while (taken < 1000 &&
 	       budget_take(budget, 7, c->share, SECOND_US + c->later_us))
 		taken++;
--- a/tier.c
+++ b/tier.c
@@ -425,7 +425,7 @@
 	directory_bounds(&tier->dir, nodes, near);
 	tier->spread.met = met;
 	spread_forget(&tier->spread);
-	budget_nodes(tier->calls.budget, nodes);
+	budget_set_nodes(tier->calls.budget, nodes);
 }
 
 /* Tables must not grow with all targets that there ever were. */
