--- a/call.c
+++ b/call.c
@@ -10,17 +10,17 @@
 
 enum {
 	/*
-	 * An attempt that nobody waits for may end by itself within this time,
-	 * which keeps its connection; then it is cut, so that a target does not
-	 * work for callers that have gone. Callers count half a second.
+	 * An orphaned attempt may complete within this time after it was sent,
+	 * which keeps its connection reusable. Later it is cancelled, so that
+	 * targets do not work for clients that have gone. The limit that
+	 * clients check is half a second.
 	 */
 	ORPHAN_TIMEOUT_US = 250000,
-	/* Callers' returns are spread over this part of the time to it. */
+	/* Client retries are spread over the last quarter of their delay. */
 	JITTER_DIVISOR = 4,
-	/* Past the time told to a target, for its own refusal to arrive. */
+	/* Lets a target's own time-out reply arrive after its deadline. */
 	REPLY_SLACK_US = 30000,
-	/* A reply is taken to need this part of the goal until some have come.
-	 */
+	/* Initial baseline latency of a route, as a fraction of its goal. */
 	INITIAL_BASELINE_DIVISOR = 8,
 };
 
@@ -154,7 +154,7 @@
 		  TIMER_JOB, attempt->id);
 }
 
-/* The replies of a part that is done are not needed any more. */
+/* Further replies for a part that is done are not needed. */
 static void orphan_part(struct calls *calls, struct call *call, size_t part)
 {
 	struct attempt **at = &call->attempts;
@@ -184,7 +184,7 @@
 	free(attempt);
 }
 
-/* Return: its place, or @part->ntried when it has not been asked. */
+/* Return: index of @key in @part->tried, or @part->ntried if it is not there */
 static size_t tried_index(const struct part *part, uint64_t key)
 {
 	size_t at = 0;
@@ -254,9 +254,10 @@
 }
 
 /*
- * A target that rejected the request has not run it, and the bound of the route
- * is on targets, not on sends. So it is asked once more when no other can be:
- * else the shard is missing while one of its targets is full or in a pause.
+ * A target that rejected the request has not run it, and max_attempts of the
+ * route limits targets, not sends. So when no other target is left, one that
+ * rejected the request may get it again. Otherwise the shard would be missing
+ * whenever one of its targets is full or paused.
  */
 static struct live_target *choose_rejected(struct calls *calls,
 					   const struct call *call,
@@ -375,7 +376,10 @@
 	poison_news_send(calls->news, calls->now);
 }
 
-/* What a reply, or a broken connection, says of its request. */
+/*
+ * A good reply clears the request of suspicion; a connection that broke while
+ * the request was unserved counts as evidence that it crashes targets.
+ */
 static void record_evidence(struct calls *calls, struct call *call,
 			    const struct attempt *attempt,
 			    const struct flow_reply *reply)
@@ -435,7 +439,7 @@
 	else if (reply->not_run && !reply->other)
 		mark_rejected(&call->parts[copy.part], copy.target->key);
 	call->kind->replied(calls, call, &copy, reply);
-	/* The call may have ended: only its parts tell, and they still live. */
+	/* The call may have ended, but its parts live until calls_reap(). */
 	if (call->parts[copy.part].done)
 		orphan_part(calls, call, copy.part);
 }
@@ -477,11 +481,12 @@
 	call->kind->review(calls, call);
 }
 
-/* Ends. */
+/* Ending calls. */
 
 /*
- * Other nodes know of it before its caller is answered, and may try again
- * there. What another node no longer wanted was mostly answered elsewhere.
+ * Other nodes get the evidence before the client gets its answer, as the client
+ * may retry at any of them. A batch that its origin cancelled is left out: it
+ * was mostly answered elsewhere.
  */
 static void report_unserved(struct calls *calls, const struct call *call)
 {
@@ -499,8 +504,9 @@
 
 		call->attempts = attempt->next;
 		/*
-		 * What may run once only is left to end by itself: cutting it
-		 * would leave open whether it ran, also to the target's books.
+		 * A request that is not idempotent is left to complete:
+		 * cancelling it would leave open whether it ran, also in the
+		 * target's own records.
 		 */
 		if (call->route->repeatable)
 			attempt_orphan(calls, attempt);
--- a/call.h
+++ b/call.h
@@ -13,10 +13,10 @@
 /**
  * DOC: calls and attempts
  *
- * A call is one request of a caller, from its arrival to its final answer. An
- * attempt is one sending of it, or of its part for one shard, to a target.
- * What a call does with replies and with time differs by its kind: merged over
- * shards (merge.c) or passed on to one target (forward.c).
+ * A call is one client request from its arrival to its final answer. An attempt
+ * is one request sent to a target for a call, or for one shard of a call. How a
+ * call handles replies and timers depends on its kind: merged over shards
+ * (merge.c) or forwarded to one target (forward.c).
  */
 
 struct calls;
@@ -25,13 +25,15 @@
 struct poison_news;
 
 /**
- * struct attempt - a request under way to a target
- * @call: NULL when nobody waits for it any more
+ * struct attempt - an in-flight request to a target
+ * @call: NULL once the attempt is orphaned: its reply is no longer needed
  * @part: index of the shard within the call
- * @baseline: how long such replies take; @baseline_us: when it was sent
- * @extra: not the first for its shard
- * @print, @round: of the request, for evidence against it
- * @served: its call has had a reply
+ * @baseline: baseline latency of this kind of request
+ * @baseline_us: value of @baseline when the attempt was sent
+ * @extra: not the first attempt for its shard
+ * @print: fingerprint of the request, for crash evidence
+ * @round: evidence round of the request when the attempt was sent
+ * @served: the call had been served when the attempt was orphaned
  */
 struct attempt {
 	uint64_t id;
@@ -45,16 +47,16 @@
 	struct fingerprint print;
 	int round;
 	bool served;
-	struct attempt *next; /* of the same call */
+	struct attempt *next; /* next attempt of the same call */
 };
 
 /**
- * struct call_kind - what a kind of call does
- * @begin: first sends
- * @replied: a reply to one of its attempts, which is no longer among them
- * @review: its time has come; sets call->next_review_at anew
- * @may_queue: its parts wait in line for room at a target
- * @ended: nothing more is wanted of other nodes; may be NULL
+ * struct call_kind - operations of a kind of call
+ * @may_queue: parts wait in a queue when no target has capacity
+ * @begin: sends the first attempts
+ * @replied: handles the reply to an attempt, already unlinked from the call
+ * @review: handles the review timer and schedules the next review
+ * @ended: cancels work delegated to other nodes; may be NULL
  */
 struct call_kind {
 	const char *name;
@@ -67,17 +69,17 @@
 	void (*ended)(struct calls *calls, struct call *call);
 };
 
-/** enum send_result - whether an attempt was made */
+/** enum send_result - whether an attempt was sent, or why not */
 enum send_result {
 	SEND_DONE,
-	SEND_NO_TARGET, /* none may be asked now */
-	SEND_NO_BUDGET, /* hedges and retries have used up the bound */
-	SEND_NO_TRIES, /* the route allows no more targets */
-	SEND_HELD, /* suspect of crashing targets: it waits for a trial */
-	SEND_BLOCKED, /* it must not be sent at all */
+	SEND_NO_TARGET, /* no target is available now */
+	SEND_NO_BUDGET, /* the retry budget is used up */
+	SEND_NO_TRIES, /* attempts of the shard are exhausted */
+	SEND_HELD, /* suspected of crashing targets, waits for a trial */
+	SEND_BLOCKED, /* blocked: must not be sent */
 };
 
-/** enum trial_state - leave to try a suspect request */
+/** enum trial_state - permission to send a suspect request */
 enum trial_state {
 	TRIAL_NONE,
 	TRIAL_REQUESTED,
@@ -86,10 +88,10 @@
 };
 
 /**
- * struct trial - a call whose request is suspect
- * @grant_deadline: the leave is waited for until then
- * @sends: made with that leave
- * @held: some send was held back
+ * struct trial - trial of a suspect request
+ * @grant_deadline: when a pending permission request expires
+ * @sends: attempts sent with permission
+ * @held: at least one attempt was held back
  */
 struct trial {
 	enum trial_state state;
@@ -99,24 +101,27 @@
 };
 
 enum {
-	/* Targets of a shard that are kept in mind. */
+	/* Targets recorded as tried, per shard. */
 	CALL_TARGETS_MAX = 4,
-	/* Sends of a shard: few targets reject so often in a row. */
+	/* Attempts per shard: few targets reject this often in a row. */
 	CALL_SENDS_MAX = 5,
 };
 
 /**
- * struct part - a shard of a merged call, or the one target of another
- * @tried: targets that had the request
- * @rejected: bits of those in @tried that did not run it and may be asked again
- * @nsent: how often it was sent
- * @open: attempts under way
- * @done: a good reply is in
- * @ran: some target may have run it
- * @batched: another node was asked for it and has not answered
- * @sent_elsewhere: another node may have sent it already
- * @queued: it stands in line for room at a target
- * @last_send_result: why the last try at sending it was not made
+ * struct part - one shard of a merged call, or the single part of a forwarded
+ *               call
+ * @service: service whose targets serve it
+ * @tried: keys of targets that were sent the request
+ * @rejected: bitmask over @tried: targets that rejected the request without
+ *            running it and may be sent it again
+ * @nsent: number of attempts sent
+ * @open: number of attempts in flight
+ * @done: a good reply has arrived
+ * @ran: a target may have run the request
+ * @batched: delegated to another node that has not answered for it
+ * @sent_elsewhere: another node may already have sent it to a target
+ * @queued: waits in the queue of its service for a target with capacity
+ * @last_send_result: result of the last call_send()
  */
 struct part {
 	uint64_t service;
@@ -134,27 +139,31 @@
 };
 
 /**
- * struct call - one request of a caller
- * @id: of the caller's request, or drawn here for another node's
- * @print: tells whether it has come before
- * @origin: node that asked on behalf of a caller, empty when a caller did
- * @origin_id: its id there
- * @baseline: how long replies of its route take
- * @deadline: the caller, or its route, waits no longer
- * @soft_deadline: what is there is answered if it is enough
- * @next_review_at: next review; 0 when none is planned
- * @wanted, @nwanted: shards that @origin wants; all of them for a caller
- * @may_delegate: @origin handed over a whole question, far shards included
- * @go: @origin knows that further targets are asked from here
- * @retry_share: this node's part of the free retries; 0: of all nodes alike
- * @tried: targets of each shard that @origin, or a node it asked, may have had
- * @batches: shards that other nodes were asked for
- * @handovers: times that a whole question was handed over
- * @trial: of a suspect request
+ * struct call - one client request
+ * @id: id of the client request, or generated here for another node's batch
+ * @print: fingerprint that identifies repeats of the request
+ * @kind: operations of its kind
+ * @baseline: baseline latency of its route
+ * @origin: address of the node that delegated it; empty for a client request
+ * @origin_incarnation: incarnation of that node
+ * @origin_id: id of the batch at that node
+ * @deadline: time-out of the client or of the route, whichever is earlier
+ * @soft_deadline: a partial answer is sent from then on if coverage suffices
+ * @next_review_at: time of the next review, 0 if none is scheduled
+ * @wanted: shards that @origin wants, NULL for all shards of the route
+ * @nwanted: number of shards in @wanted
+ * @may_delegate: @origin delegated a whole question: this node may delegate the
+ *                far shards in turn
+ * @go: @origin has confirmed that this node may send to further targets
+ * @retry_share: this node's share of the free retries, 0 for an equal share
+ * @tried: number of targets per shard that other nodes may already have used
+ * @batches: shards delegated to other nodes
+ * @handovers: how often the whole question was delegated
+ * @trial: trial of a suspect request
  * @served: some target has answered it
- * @abandoned: who asked wants it no more
- * @finished: it has ended; freed once all effects are carried out
- * @state: of its kind
+ * @abandoned: the client or @origin no longer waits for it
+ * @finished: it has ended and is freed by calls_reap()
+ * @state: private state of its kind
  */
 struct call {
 	uint64_t id;
@@ -193,16 +202,16 @@
 };
 
 /**
- * struct calls - all calls of a node, and what they need
- * @without: mechanisms that are off
- * @now: of the event at hand
- * @fx: effects of the event at hand
+ * struct calls - all calls of a node and the modules they use
+ * @without: disabled mechanisms
+ * @now: time of the current event
+ * @fx: effects of the current event
  * @open: id -> struct call
  * @attempts: id -> struct attempt
- * @baseline: hash of a route's name -> struct baseline
- * @wait_queues: service -> struct line
- * @dead: ended; freed by calls_reap()
- * @shards_kind: of calls that other nodes ask this one for
+ * @baseline: hash of the route name -> struct baseline
+ * @wait_queues: service -> struct wait_queue
+ * @dead: ended calls, freed by calls_reap()
+ * @shards_kind: kind of the calls that other nodes delegate to this one
  */
 struct calls {
 	apr_pool_t *pool;
@@ -228,37 +237,43 @@
 	const struct call_kind *shards_kind;
 };
 
-/** call_mechanism_on() - the mechanism is on. */
+/** call_mechanism_on() - whether a mechanism is enabled */
 bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism);
 void calls_init(struct calls *calls, apr_pool_t *pool, uint64_t seed);
 void calls_destroy(struct calls *calls);
-/** calls_reap() - free what ended; no effect may point there any more. */
+/** calls_reap() - free ended calls; no effect may point to them any more */
 void calls_reap(struct calls *calls);
 
-/** call_create() - copies @request; not yet begun. */
+/** call_create() - create a call from a copy of @request, without starting it
+ */
 struct call *call_create(struct calls *calls, uint64_t id,
 			 const struct flow_request *request,
 			 struct catalog *catalog, const struct route *route);
 struct call *call_find(struct calls *calls, uint64_t id);
-/** call_may_send() - a target is left that the route allows to ask. */
+/** call_may_send() - whether the limits on attempts allow another for @part */
 bool call_may_send(const struct call *call, const struct part *part);
-/** call_send() - one more attempt for a part, to the best target left. */
+/** call_send() - send one more attempt for @part to the best target left */
 enum send_result call_send(struct calls *calls, struct call *call, size_t part);
-/** call_schedule_review() - plan the next review for @when, if that is earlier.
- */
+/** call_schedule_review() - review at @when, unless an earlier one is due */
 void call_schedule_review(struct calls *calls, struct call *call, int64_t when);
-/** call_mark_served() - some target has answered it: it crashes none. */
+/**
+ * call_mark_served() - record that a target has answered
+ *
+ * Clears the request of the suspicion that it crashes targets.
+ */
 void call_mark_served(struct calls *calls, struct call *call);
-/** call_on_reply() - a target replied; ends in the call's kind. */
+/** call_on_reply() - handle the reply to the attempt @id */
 void call_on_reply(struct calls *calls, uint64_t id,
 		   const struct flow_reply *reply);
-/** call_on_timer() - a timer of @id has come. */
+/** call_on_timer() - handle an expired timer of a call or an attempt */
 void call_on_timer(struct calls *calls, const struct timer *due);
 
 /**
- * struct final - the last word to a caller
- * @code: of an error of this node's own; 0 for a reply or a merged answer
- * @why: what led to it, for the log
+ * struct final - final answer to a call
+ * @merged: merged from shards by this node
+ * @signatures: signatures of the merged parts
+ * @missing: number of shards that the answer lacks
+ * @why: reason, for the log
  */
 struct final {
 	int status;
@@ -271,15 +286,16 @@
 	const char *why;
 };
 
-/** call_answer() - give the final answer; the call ends. */
+/** call_answer() - send the final answer and end the call */
 void call_answer(struct calls *calls, struct call *call,
 		 const struct final *final);
-/** call_jitter() - @us less up to a quarter, so that not all return together */
+/** call_jitter() - shorten @us by up to a quarter to spread client retries */
 int64_t call_jitter(struct calls *calls, int64_t us);
-/** call_refuse() - end with an error of this node's own. */
+/** call_refuse() - end the call with an error generated by this node */
 void call_refuse(struct calls *calls, struct call *call, int status,
 		 const char *why, int64_t retry_after_us);
-/** call_finish() - end without an answer to a caller: all has been said. */
+/** call_finish() - end the call without a client answer: nothing left to send
+ */
 void call_finish(struct calls *calls, struct call *call);
-/** call_abandon() - the caller is gone: end without an answer. */
+/** call_abandon() - end the call without an answer: nobody waits for it */
 void call_abandon(struct calls *calls, struct call *call);
