--- a/call_queue.c
+++ b/call_queue.c
@@ -1,9 +1,11 @@
 #include "call_queue.h"
 
 /*
- * Return: the part still waits; one that does not is taken out of the line. A
- * part that was sent meanwhile does not: whether it may be sent again is for
- * its call to decide, which may need another node's leave for it.
+ * Removes the waiter from the queue unless its part is still waiting. A part
+ * that was sent in the meantime is not: only its call can decide whether it may
+ * be sent again, as that may need another node's permission.
+ *
+ * Return: true if the part is still waiting.
  */
 static bool is_waiting(struct calls *calls, struct wait_queue *wait_queue,
 		       size_t index)
@@ -22,8 +24,10 @@
 }
 
 /*
- * Lines are looked through when a target replies. Where all targets of a shard
- * are gone none does, and each question would leave its waiter for good.
+ * Stale waiters are removed when a target replies. If all targets of a shard
+ * are gone there are no replies, and each question would leave its waiter in
+ * the queue forever; so a queue longer than the number of open calls is purged
+ * here.
  */
 void call_queue_join(struct calls *calls, struct call *call, size_t index)
 {
@@ -50,7 +54,7 @@
 	};
 }
 
-/* Return: place of the one to be served first, or SIZE_MAX. */
+/* Return: index of the waiter with the highest priority, or SIZE_MAX */
 static size_t first_waiter(struct calls *calls, struct wait_queue *wait_queue)
 {
 	struct wait_priority best_priority;
@@ -85,7 +89,7 @@
 		struct call *call = call_find(calls, waiter.call);
 		enum send_result result = call_send(calls, call, waiter.part);
 
-		/* Those behind must not wait for one that may not be sent. */
+		/* A part that must not be sent must not block the others. */
 		if (result == SEND_HELD || result == SEND_BLOCKED) {
 			call->parts[waiter.part].queued = false;
 			wait_queue_remove(wait_queue, first);
--- a/call_queue.h
+++ b/call_queue.h
@@ -3,13 +3,15 @@
 #include "call.h"
 
 /**
- * DOC: calls that wait for room at a target
+ * DOC: calls that wait for a target with free capacity
  *
- * Where all targets of a shard have as many requests as they bear, calls stand
- * in line (wait_queue.h). A target that replies has room for the first of them.
+ * When all targets of a shard have as many requests as they can take, calls
+ * wait in a queue (wait_queue.h). A reply frees capacity at its target for the
+ * call of highest priority.
  */
 
-/** call_queue_join() - shard @index of @call waits for a target of it. */
+/** call_queue_join() - queue shard @index of @call for a target */
 void call_queue_join(struct calls *calls, struct call *call, size_t index);
-/** call_queue_serve() - a target of @service has room again. */
+/** call_queue_serve() - send queued parts as targets of @service have capacity
+ */
 void call_queue_serve(struct calls *calls, uint64_t service);
--- a/wait_queue.c
+++ b/wait_queue.c
@@ -71,9 +71,10 @@
 }
 
 /*
- * Of those that can be in time the one with least time left. The others are
- * late whatever happens: the newest of them has most of its time left, and the
- * oldest would mostly end without an answer after all.
+ * Of the waiters that can be in time, the one with the earliest deadline goes
+ * first. The others are late in any case and follow, newest first: the newest
+ * has most of its time left, while the oldest would mostly end without an
+ * answer anyway.
  */
 bool wait_queue_precedes(const struct wait_priority *a,
 			 const struct wait_priority *b)
