--- a/merge.c
+++ b/merge.c
@@ -6,41 +6,48 @@
 
 enum {
 	/*
-	 * A reply is late after this multiple of its target's usual time: few
-	 * replies that are merely slow are then asked for twice.
+	 * A reply is late after this multiple of its target's expected latency.
+	 * Few replies that are merely slow are then hedged.
 	 */
 	HEDGE_FACTOR = 2,
-	/* Never sooner, so that a round trip's noise does not count. */
+	/* Minimum hedge delay, above the noise of a round trip. */
 	HEDGE_MIN_US = 12000,
-	/* A part that no target could be asked for is looked at again. */
+	/* Interval of reviews while a part has no attempt in flight. */
 	REVIEW_INTERVAL_US = 10000,
-	/* On a refusal: targets that rest are back within about this time. */
+	/* On a refusal: targets in backoff return within about this time. */
 	RETRY_AFTER_US = 300000,
-	/* The way back to the caller, and what a busy core needs to answer. */
+	/* Return path to the client, and time for a busy core to answer. */
 	RESPONSE_MARGIN_US = 12000,
-	/* Nodes that refuse, as they have another version, are not asked on. */
+	/* Nodes of another version refuse: delegate a question no more often.
+	 */
 	HANDOVERS_MAX = 2,
-	/* A message to another node costs as much as a request to a target. */
+	/* A message to a node costs as much as a request to a target. */
 	BATCH_SHARDS_MIN = 2,
 };
 
-/* A hedge at a slow target must still be in time itself. */
+/* Maximum hedge delay: the hedge's own reply must still be in time. */
 static const double HEDGE_GOAL_FRACTION = 0.3;
-/* Goals are short where little is merged; the return takes its part of them. */
+/*
+ * Goals are short where little is merged, so the return path takes a share of
+ * the goal.
+ */
 static const double SOFT_GOAL_FRACTION = 0.85;
 /*
- * Another node hedges by itself, so it is given longer than a target; then it
- * is taken to be stuck, while targets can still be asked in time from here.
+ * A node that was delegated shards hedges by itself, so it gets more time than
+ * a target. After this fraction of the goal it is considered stuck, early
+ * enough for this node to send to targets itself.
  */
 static const double BATCH_GOAL_FRACTION = 0.5;
-/* By then it tells what it has, so that it is not taken to be stuck. */
+/* Progress of a batch is reported by then, so as not to be considered stuck. */
 static const double PROGRESS_GOAL_FRACTION = 0.35;
 
 /**
- * struct merge_state - what is there of the answer
- * @unreported, @nunreported: shards in @records that the asking node was not
- * told of
- * @reported: it was told something
+ * struct merge_state - merged answer so far
+ * @records: greatest records of the parts received
+ * @signatures: signatures of these parts
+ * @unreported: shards in @records that have not been reported to the origin
+ * @nunreported: number of shards in @unreported
+ * @reported: something has been reported to the origin
  */
 struct merge_state {
 	struct records records;
@@ -137,7 +144,7 @@
 	return false;
 }
 
-/* "Not run" is promised only where it is so. */
+/* Status 503 promises that nothing ran, so it is sent only if that holds. */
 static void give_up(struct calls *calls, struct call *call, const char *why)
 {
 	int64_t retry_us = RETRY_AFTER_US;
@@ -152,12 +159,12 @@
 }
 
 /*
- * Shards that are in, or still may be: those too that wait for room at a target
- * or for a part of the retry budget. While too few are in, a late answer is
- * better than none: given up at the soft deadline, callers would ask all shards
- * anew, and the load that makes them wait would grow. Where no target of a
- * shard is left there is nothing to wait for, and the caller is told so at
- * once.
+ * Counts shards that have been received or still may be, including those that
+ * wait for a target with capacity or for the retry budget. Without sufficient
+ * coverage a late answer is better than none: if calls gave up at the soft
+ * deadline, clients would query all shards again and increase the load that
+ * makes them wait. A shard without usable targets is not waited for, and the
+ * client gets the error at once.
  */
 static size_t count_possible(const struct calls *calls, const struct call *call)
 {
@@ -178,7 +185,7 @@
 	return possible;
 }
 
-/* For a caller. Return: true when the call has ended. */
+/* For a client request. Return: true if the call has ended. */
 static bool finish_answer(struct calls *calls, struct call *call)
 {
 	bool late = calls->now >= call->soft_deadline;
@@ -189,7 +196,7 @@
 		return true;
 	}
 	if (!call->ndone && trial_hopeless(calls, call)) {
-		give_up(calls, call, "no target may have it");
+		give_up(calls, call, "request may not be sent to any target");
 		return true;
 	}
 	if (merge_has_coverage(call->route, call->ndone) &&
@@ -222,9 +229,11 @@
 }
 
 /*
- * For another node, which knows what is enough: it is told once early, so that
- * it knows that this one is at work; again at the soft deadline, and then each
- * shard as it comes.
+ * For a batch of another node, which checks coverage itself. Reports progress
+ * once early, so that the origin does not consider this node stuck, again at
+ * the soft deadline, and from then on each shard as it arrives.
+ *
+ * Return: true if the call has ended.
  */
 static bool finish_batch(struct calls *calls, struct call *call)
 {
@@ -247,7 +256,7 @@
 				: finish_answer(calls, call);
 }
 
-/* Of two times the earlier, unless it is over. */
+/* Return: the earlier of @when and @other, or @when if @other has passed */
 static int64_t earlier(int64_t when, int64_t other, int64_t now)
 {
 	return other > now && other < when ? other : when;
@@ -282,9 +291,10 @@
 }
 
 /*
- * On behalf of another node further targets are asked only once it knows: else,
- * should it hear nothing more from here, it would ask yet others itself, and
- * all together more than the route allows.
+ * For a batch of another node, retries and hedges are sent only after the
+ * origin has confirmed them. Without that, an origin that receives nothing more
+ * from this node would send to further targets itself, and both together would
+ * exceed the route's limit on targets.
  */
 static void send_retry(struct calls *calls, struct call *call, size_t part)
 {
@@ -306,7 +316,7 @@
 	}
 	if (!call_mechanism_on(calls, MECHANISM_HEDGES))
 		return;
-	/* call_send() puts new attempts in front of those that are walked. */
+	/* call_send() prepends new attempts, so this loop does not see them. */
 	for (struct attempt *at = call->attempts; at; at = at->next)
 		if (call->parts[at->part].open == 1 &&
 		    calls->now - at->sent_at >= hedge_after(call, at))
@@ -351,7 +361,7 @@
 	batch_send(calls, call, member, parts, nparts, whole, tried);
 }
 
-/* Shards whose best target is in @domain, and that nobody has yet. */
+/* Collects unassigned shards that have an available target in @domain. */
 static size_t collect_in_domain(struct calls *calls, const struct call *call,
 				uint64_t domain, uint16_t *parts)
 {
@@ -369,7 +379,10 @@
 	return count;
 }
 
-/* The failure domain that holds most of the shards that nobody has yet. */
+/*
+ * Return: the other failure domain with targets of most unassigned shards, or 0
+ * if none has enough for a batch
+ */
 static uint64_t best_domain(struct calls *calls, const struct call *call,
 			    uint16_t *parts)
 {
@@ -390,7 +403,10 @@
 	return best;
 }
 
-/* Shards without a good target in this failure domain go to nodes elsewhere. */
+/*
+ * Delegates shards without a good target in this failure domain to nodes in
+ * other domains.
+ */
 static void delegate_far(struct calls *calls, struct call *call)
 {
 	struct spread *spread = calls->batches->spread;
@@ -445,7 +461,7 @@
 	send_unassigned(calls, call);
 }
 
-/* Return: true if another node was asked for the whole question. */
+/* Return: true if the whole question was delegated to another node */
 static bool delegate_whole(struct calls *calls, struct call *call)
 {
 	struct spread *spread = calls->batches->spread;
@@ -465,7 +481,10 @@
 	return true;
 }
 
-/* Targets that other nodes asked: not known by name, only that they count. */
+/*
+ * Counts targets that other nodes may have sent the part to. Their keys are not
+ * known, so 0 stands for each.
+ */
 static void count_tried(struct part *part, size_t tried)
 {
 	part->sent_elsewhere = tried > 0;
@@ -516,7 +535,7 @@
 		return;
 	}
 	if (is_suspect(calls, call)) {
-		/* The first shard whose target is free is the trial. */
+		/* The first shard with an available target is the trial. */
 		send_unassigned(calls, call);
 		if (finish_if_settled(calls, call))
 			return;
@@ -582,15 +601,17 @@
 		add_records(call, msg->body, msg->text);
 		call_mark_served(calls, call);
 	}
-	/* It may be about to retry, of which this one's asker must know. */
+	/* The node may be about to retry, which the origin must know first. */
 	if (!msg->state && call->origin.len && !state->reported)
 		report_to_origin(calls, call, false);
 	finish_if_settled(calls, call);
 }
 
 /*
- * A small VM that merges by itself takes longer than the goal. It hands the
- * shards to another merging node once more. Return: false where it may not.
+ * A small VM that merges by itself takes longer than the goal, so it delegates
+ * the shards to another merging node once more.
+ *
+ * Return: false if that is not possible.
  */
 static bool delegate_again(struct calls *calls, struct call *call,
 			   const uint16_t *parts, size_t nparts, size_t tried)
