--- a/balancer.c
+++ b/balancer.c
@@ -6,35 +6,37 @@
 
 enum {
 	/*
-	 * What a request to a target with an overdue reply is expected to wait
-	 * on top: the rest of a pause, which lasts a tenth of a second or so.
+	 * Additional expected latency at a target with an overdue reply: the
+	 * rest of a pause, which lasts about a tenth of a second.
 	 */
 	OVERDUE_COST_US = 60000,
 	/*
-	 * Another failure domain costs two more hops, and bytes between
-	 * domains that are paid for: worth a wait of this long.
+	 * Latency that is accepted to stay in this failure domain. A target in
+	 * another one costs two more hops, and traffic between domains is paid
+	 * by the byte.
 	 */
 	FAR_COST_US = 35000,
 	/*
-	 * What a request costs that is not served: a part of the retry budget,
-	 * which is soon used up, and then the shard is missing. More than most
-	 * waits, so a target that rejects gets the overflow only.
+	 * Cost of a request that is not served. It takes a part of the retry
+	 * budget, and once that is used up, shards are missing. Higher than
+	 * most waits, so that a rejecting target gets only the overflow.
 	 */
 	FAILURE_COST_US = 250000,
 	/*
-	 * Entries that lapsed while the store was away come back within two
-	 * seconds of its return if their target lives.
+	 * Entries that lapsed while the store was unreachable are back within
+	 * two seconds after it returns if their targets are alive.
 	 */
 	ENTRY_LAPSE_US = 2000000,
-	/* Targets that are gone are remembered until no late word can come. */
+	/* Gone targets are kept until no late update about them can arrive. */
 	GONE_RETENTION_US = 30000000,
 	SECOND_US = 1000000,
 };
 
 /**
- * struct service_targets - targets of a service, and what bounds them
- * @cold_per_second: requests that this node may send to a cold one, 0: any
- * @conns: requests of this node that one may have, 0: any
+ * struct service_targets - targets of a service and their limits
+ * @first: list of the targets
+ * @cold_per_second: rate limit of a cold target, 0 for none
+ * @conns: limit of requests in flight to a target, 0 for none
  */
 struct service_targets {
 	uint64_t service;
@@ -43,14 +45,23 @@
 	struct conn_limit conns;
 };
 
-/** struct balancer - @without: mechanisms that are off */
+/**
+ * struct balancer - all targets
+ * @without: disabled mechanisms
+ * @domain: failure domain of this node
+ * @targets: key -> struct live_target
+ * @services: service -> struct service_targets
+ * @out: hashes of the failure domains that are out of use
+ * @store_lost_at: when the store was last lost
+ * @count: number of targets
+ */
 struct balancer {
 	apr_pool_t *pool;
 	uint32_t without;
 	struct str domain;
-	apr_hash_t *targets; /* key -> struct live_target */
-	apr_hash_t *services; /* service -> struct service_targets */
-	apr_hash_t *out; /* hash of a failure domain taken out */
+	apr_hash_t *targets;
+	apr_hash_t *services;
+	apr_hash_t *out;
 	int64_t store_lost_at;
 	size_t count;
 };
@@ -165,7 +176,7 @@
 	return target;
 }
 
-/* The same id on another place, or started anew, is another target. */
+/* An id at a new address, or of a restarted process, is a new target. */
 static bool is_same(const struct live_target *target,
 		    const struct target_entry *entry)
 {
@@ -182,7 +193,7 @@
 		apr_hash_get(balancer->targets, &key, sizeof(key));
 
 	if (target && !is_same(target, entry)) {
-		/* Requests under way still point to it. */
+		/* Attempts in flight still point to it. */
 		if (target->open) {
 			unlink_target(balancer, target);
 			apr_hash_set(balancer->targets, &target->key,
@@ -257,9 +268,9 @@
 }
 
 /*
- * What queues at a slow target is answered too late to be of use, and makes
- * each later one later still: so few are sent there that a reply comes within
- * half of the goal, one at least.
+ * Requests that queue at a slow target are answered too late and delay the ones
+ * after them. So the limit of a target is reduced until replies are expected
+ * within half of the goal, but not below one request.
  */
 static bool is_busy(const struct balancer *balancer,
 		    const struct service_targets *service_targets,
@@ -283,7 +294,7 @@
 	return target->open >= (limit > 1 ? limit : 1);
 }
 
-/* Choice. */
+/* Choice of targets. */
 
 static const struct service_targets *
 service_targets_find(const struct balancer *balancer, uint64_t service)
@@ -315,8 +326,8 @@
 	if (now < target->entry_ignored_until)
 		return AVAIL_LEAVING;
 	/*
-	 * While the store was away entries lapse though their targets live.
-	 * Such a target is used until its entry would have been back.
+	 * While the store is unreachable entries of live targets lapse. Such a
+	 * target is used until its entry would have been restored.
 	 */
 	if (target->leaving_at &&
 	    (target->published || now - target->leaving_at > ENTRY_LAPSE_US ||
@@ -383,10 +394,9 @@
 }
 
 /*
- * Of a target that has as many requests of this node as it bears: one of them
- * must be answered first. A quick target that is busy is worth the wait: were
- * the request sent to a slow one at hand instead, its reply would come later
- * still, and a retry be spent on it.
+ * Expected time to the reply of a target that is at its limit: one of its
+ * requests must be answered first. Waiting for a fast target can be better than
+ * sending to a slow one, whose reply would arrive even later and cost a retry.
  */
 static int64_t expected_when_busy(const struct balancer *balancer,
 				  const struct live_target *target,
@@ -442,7 +452,7 @@
 		enum target_availability availability =
 			balancer_availability(balancer, target, now);
 
-		/* What is busy or has its share of a second is soon free. */
+		/* Busy and rate-limited targets are available again soon. */
 		if (availability == AVAIL_OK || availability == AVAIL_BUSY ||
 		    availability == AVAIL_COLD)
 			return true;
@@ -479,7 +489,7 @@
 	return target && target->published && target->born_ms == born_ms;
 }
 
-/* Return: one that can be forgotten, or NULL. */
+/* Return: a target that can be removed, or NULL */
 static struct live_target *find_expired(struct balancer *balancer, int64_t now)
 {
 	apr_hash_index_t *it;
--- a/balancer.h
+++ b/balancer.h
@@ -5,10 +5,11 @@
 #include "target_health.h"
 
 /**
- * DOC: targets, and which of them a request goes to
+ * DOC: choice of the target of a request
  *
- * One table of all published targets with what this node has seen of each.
- * Knows no network and no clock; times are monotonic microseconds.
+ * A table of all published targets with the health that this node has observed
+ * of each (target_health.h). Uses no network and no clock; times are monotonic
+ * microseconds.
  */
 
 struct balancer;
@@ -16,19 +17,20 @@
 /** enum target_availability - whether new requests may go to a target */
 enum target_availability {
 	AVAIL_OK,
-	AVAIL_LEAVING, /* it drains, or its entry is gone */
+	AVAIL_LEAVING, /* draining, or its entry is gone */
 	AVAIL_DOMAIN_OUT,
-	AVAIL_DOWN, /* took no connection just now */
-	AVAIL_COLD, /* has its share of requests for this second */
-	AVAIL_BUSY, /* has as many requests of this node as its connections bear
-		     */
+	AVAIL_DOWN, /* accepted no connection recently */
+	AVAIL_COLD, /* cold, and at its rate limit for this second */
+	AVAIL_BUSY, /* at the limit of requests in flight from this node */
 };
 
 /**
- * struct target_query - a request for a target
- * @excluded, @nexcluded: targets that have had the request already
- * @baseline_us: what a reply to this kind of request usually takes
- * @goal_us: the reply is of little use after this time, 0: any time
+ * struct target_query - request that a target is chosen for
+ * @service: service of the target
+ * @excluded: keys of targets that the request was already sent to
+ * @nexcluded: number of keys in @excluded
+ * @baseline_us: baseline latency of this kind of request
+ * @goal_us: a later reply is of little use; 0 for no limit
  */
 struct target_query {
 	uint64_t service;
@@ -39,33 +41,37 @@
 	int64_t now;
 };
 
-/** balancer_create() - @without: set of mechanisms that are off. */
+/**
+ * balancer_create() - create an empty table of targets
+ * @domain: failure domain of this node
+ * @without: set of disabled mechanisms
+ */
 struct balancer *balancer_create(apr_pool_t *parent, struct str domain,
 				 uint32_t without);
 void balancer_destroy(struct balancer *balancer);
 
-/** balancer_put() - take an entry as it is in the store now. */
+/** balancer_put() - add or update a target from its entry in the store */
 void balancer_put(struct balancer *balancer, const struct target_entry *entry,
 		  int64_t now);
-/** balancer_unpublish() - its entry is gone. */
+/** balancer_unpublish() - the entry of a target is gone from the store */
 void balancer_unpublish(struct balancer *balancer, struct str id, int64_t now);
-/** balancer_set_domain() - take a failure domain out, or back in. */
+/** balancer_set_domain() - take a failure domain out of use, or back in */
 void balancer_set_domain(struct balancer *balancer, struct str domain,
 			 bool out);
-/** balancer_on_store_lost() - entries may vanish that are still alive. */
+/** balancer_on_store_lost() - entries of live targets may lapse from now on */
 void balancer_on_store_lost(struct balancer *balancer, int64_t now);
-/** balancer_store_lost_at() - when that was last so. */
+/** balancer_store_lost_at() - time of the last balancer_on_store_lost() */
 int64_t balancer_store_lost_at(const struct balancer *balancer);
 /**
- * balancer_set_cold_limit() - requests a second that this node may send to a
- * cold target of @service; 0 for no bound
+ * balancer_set_cold_limit() - set the rate limit of cold targets of @service
+ * @per_second: requests that this node may send to each; 0 for no limit
  */
 void balancer_set_cold_limit(struct balancer *balancer, uint64_t service,
 			     int per_second);
 /**
- * struct conn_limit - requests of this node that a target may have at a time
- * @near: if it is in this failure domain
- * @far: if it is not
+ * struct conn_limit - limit of requests in flight from this node to a target
+ * @near: for targets in this failure domain
+ * @far: for targets in other failure domains
  */
 struct conn_limit {
 	int near;
@@ -76,43 +82,53 @@
 			     struct conn_limit limit);
 
 /**
- * balancer_choose() - best target for a request, or NULL when none may have it
+ * balancer_choose() - choose the best target for a request
+ *
+ * Prefers the target whose reply is expected first, from its smoothed latency,
+ * the requests in flight there and penalties such as for an overdue reply.
  *
- * The one where the reply is expected first: its smoothed time, times the
- * requests that wait there, plus what a reply that is overdue tells of it.
+ * Return: the target, or NULL if none is available or a busy one is expected to
+ * reply first.
  */
 struct live_target *balancer_choose(struct balancer *balancer,
 				    const struct target_query *target_query);
-/** balancer_expected_us() - microseconds until a reply, were it asked now. */
+/** balancer_expected_us() - expected time to the reply if sent now */
 int64_t balancer_expected_us(const struct balancer *balancer,
 			     const struct live_target *target,
 			     double baseline_us, int64_t now);
 enum target_availability balancer_availability(const struct balancer *balancer,
 					       const struct live_target *target,
 					       int64_t now);
-/** balancer_has_usable() - some target of @service may be asked, if not at
- * once. */
+/** balancer_has_usable() - whether a target of @service is usable now or soon
+ */
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
 			 int64_t now);
-/** balancer_prefers_near() - the best target now is in this failure domain. */
+/** balancer_prefers_near() - whether the best target is in this failure domain
+ */
 bool balancer_prefers_near(struct balancer *balancer,
 			   const struct target_query *target_query);
-/** balancer_has_target_in() - a target in @domain may be asked now. */
+/** balancer_has_target_in() - whether a target in @domain is available now */
 bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
 			    uint64_t domain, int64_t now);
-/** balancer_first() - targets of a service, linked by next. */
+/** balancer_first() - first target of a service, linked by next */
 struct live_target *balancer_first(const struct balancer *balancer,
 				   uint64_t service);
-/** balancer_is_published() - this start of the target @key is published. */
+/**
+ * balancer_is_published() - whether a target process is published
+ * @key: hash of the target id
+ * @born_ms: start of the process
+ */
 bool balancer_is_published(const struct balancer *balancer, uint64_t key,
 			   int64_t born_ms);
-/** balancer_remove_expired() - forget targets whose entries are long gone. */
+/** balancer_remove_expired() - remove targets whose entries are long gone */
 void balancer_remove_expired(struct balancer *balancer, int64_t now);
 size_t balancer_count(const struct balancer *balancer);
 
-/** balancer_on_reply() - target_health_on_reply(), and forget it if it is long
- * gone. */
-
+/**
+ * balancer_on_reply() - record a reply with target_health_on_reply()
+ *
+ * Removes the target if its entry is long gone.
+ */
 void balancer_on_reply(struct balancer *balancer, struct live_target *target,
 		       enum target_reply what, double baseline_us,
 		       int64_t sent_at, int64_t now);
--- a/baseline.c
+++ b/baseline.c
@@ -3,12 +3,12 @@
 #include "xmalloc.h"
 
 enum {
-	/* A first reply may come at once; a time of 0 could not grow. */
+	/* The first reply may take no time, and a value of 0 could not grow. */
 	BASELINE_MIN_US = 100,
 	/*
-	 * Routes come and go with configurations, and their names with them.
-	 * Beyond so many, new kinds share one entry, so that the table does not
-	 * grow for as long as the process lives.
+	 * Routes and their names come and go with configurations. Above this
+	 * number new kinds share one entry, so that the table does not grow for
+	 * the lifetime of the process.
 	 */
 	KINDS_MAX = 1024,
 };
@@ -32,8 +32,8 @@
 }
 
 /*
- * Each reply moves the median by a step up or down, whatever its own size: a
- * mean would follow the few that a pause or a slow target makes long.
+ * Each reply moves the median one step up or down, regardless of its own value.
+ * A mean would follow the few replies that a pause or a slow target delays.
  */
 void baseline_add(struct baseline *baseline, int64_t us)
 {
--- a/baseline.h
+++ b/baseline.h
@@ -4,18 +4,18 @@
 #include <stdint.h>
 
 /**
- * DOC: how long a reply usually takes
+ * DOC: baseline latency
  *
- * A running median of the replies to one kind of request, whichever target they
- * come from. Work differs by kind more than by target, so what is known of a
- * target is how much slower it is than usual (struct live_target).
+ * Running median of the latency of one kind of request over all targets. Work
+ * differs more by kind of request than by target, so the slowness of a target
+ * is recorded as a multiple of the baseline (struct live_target).
  */
 
 /**
- * struct baseline - of one kind of request
- * @key: hash of the kind's name
- * @us: the median so far, microseconds
- * @samples: that it stands on, up to BASELINE_SAMPLES_MAX
+ * struct baseline - baseline latency of one kind of request
+ * @key: hash of the name of the kind
+ * @us: running median in microseconds
+ * @samples: number of samples, up to BASELINE_SAMPLES_MAX
  */
 struct baseline {
 	uint64_t key;
@@ -28,10 +28,10 @@
 };
 
 /**
- * baseline_get() - that of the kind @key, made in @table when there is none yet
- * @initial_us: taken until replies tell
+ * baseline_get() - find or create the baseline of the kind @key in @table
+ * @initial_us: value until the first reply
  */
 struct baseline *baseline_get(apr_hash_t *table, uint64_t key,
 			      int64_t initial_us);
-/** baseline_add() - a reply took @us. */
+/** baseline_add() - add a reply that took @us */
 void baseline_add(struct baseline *baseline, int64_t us);
--- a/budget.c
+++ b/budget.c
@@ -5,13 +5,13 @@
 #include "xmalloc.h"
 
 enum {
-	/* The window is counted in slices; one more holds the oldest part. */
+	/* Slices of the window; one more holds its oldest, partial slice. */
 	SLICES = 10,
 };
 
 /*
- * Kept below the bound for what a node does not know: processes that started
- * anew and forgot what they had sent, nodes that it has not heard of.
+ * Each node stays below the limit to allow for restarted processes, which have
+ * lost their counts, and for nodes that it does not know.
  */
 static const double SAFETY_FACTOR = 0.8;
 
--- a/budget.h
+++ b/budget.h
@@ -6,21 +6,22 @@
 #include "str.h"
 
 /**
- * DOC: how many requests may be sent beyond the first
+ * DOC: retry budget
  *
- * Hedges and retries are bounded for each service over all nodes together. Each
- * node keeps within its own part: a share of the requests that it has itself
- * sent there, and of the extra ones by the number of nodes that send. The parts
- * add up to less than the whole, so the bound holds without any talk.
+ * Hedges and retries are limited for each service over all nodes together. Each
+ * node keeps to its own part: a ratio of the first sends it made to the service
+ * itself, plus its share of the free sends, by default one over the number of
+ * nodes. The parts add up to less than the limit, so it holds without
+ * coordination.
  */
 
 struct budget;
 
 /**
- * struct budget_rules - the bound over all nodes
- * @ratio: sends beyond the first, per first send
- * @extra: more of them that are free
- * @window_us: in any time of this length
+ * struct budget_rules - limit of hedges and retries over all nodes
+ * @ratio: hedges and retries allowed per first send
+ * @extra: free ones, allowed in addition
+ * @window_us: length of the sliding window that the limit applies to
  */
 struct budget_rules {
 	double ratio;
@@ -31,16 +32,18 @@
 struct budget *budget_create(apr_pool_t *parent, struct budget_rules rules);
 void budget_destroy(struct budget *budget);
 void budget_rules(struct budget *budget, struct budget_rules rules);
-/** budget_set_nodes() - how many nodes share the bound, at least 1. */
+/** budget_set_nodes() - set how many nodes share the limit, at least 1 */
 void budget_set_nodes(struct budget *budget, int nodes);
-/** budget_count_first() - a first send to @service. */
+/** budget_count_first() - count a first send to @service */
 void budget_count_first(struct budget *budget, uint64_t service, int64_t now);
 /**
- * budget_take() - true, and counted, if one more send is allowed
- * @share: this node's part of the extra sends; 0 for that of all nodes alike
+ * budget_take() - take one hedge or retry from the budget of @service
+ * @share: this node's share of the free sends, 0 for an equal share
+ *
+ * Return: true if it is allowed, and then counted.
  */
 bool budget_take(struct budget *budget, uint64_t service, double share,
 		 int64_t now);
-/** budget_left() - how many more sends would be allowed now. */
+/** budget_left() - number of hedges and retries that are allowed now */
 int budget_left(struct budget *budget, uint64_t service, double share,
 		int64_t now);
--- a/latency.h
+++ b/latency.h
@@ -5,8 +5,8 @@
 /**
  * struct latency - histogram of recent latencies, microseconds
  *
- * Eight buckets an octave, halved every LATENCY_WINDOW values, so that it
- * follows the present within a few thousand leaf requests.
+ * Eight buckets per octave. Counts are halved every LATENCY_WINDOW values, so
+ * the histogram follows a change within a few thousand leaf requests.
  */
 enum {
 	LATENCY_BUCKETS = 192,
@@ -19,5 +19,5 @@
 };
 
 void latency_add(struct latency *latency, int64_t us);
-/** latency_quantile() - upper edge of the bucket at @q; 0 when too few. */
+/** latency_quantile() - upper edge of the bucket at @q, 0 if too few values */
 int64_t latency_quantile(const struct latency *latency, double q);
--- a/records.c
+++ b/records.c
@@ -1,7 +1,7 @@
 #include "records.h"
 
 enum {
-	/* Most questions want no more; a route may ask for any number. */
+	/* Enough for most questions, though a route may have any limit. */
 	INITIAL_CAPACITY = 64,
 };
 
--- a/records.h
+++ b/records.h
@@ -3,9 +3,10 @@
 #include "str.h"
 
 /**
- * DOC: the greatest records of many parts
+ * DOC: top-k merge of records
  *
- * A record is RECORD_SIZE bytes, compared byte by byte. Equal ones all count.
+ * A record is RECORD_SIZE bytes, compared byte by byte. Equal records are all
+ * kept.
  */
 
 enum {
@@ -13,8 +14,11 @@
 };
 
 /**
- * struct records - the greatest @limit records seen, greatest first
- * @bytes: @capacity x RECORD_SIZE, the first @count in use
+ * struct records - the greatest records seen, in descending order
+ * @bytes: buffer of @capacity records
+ * @count: records in use
+ * @capacity: allocated records
+ * @limit: records to keep
  */
 struct records {
 	apr_pool_t *pool;
@@ -25,6 +29,6 @@
 };
 
 void records_init(struct records *records, size_t limit, apr_pool_t *pool);
-/** records_merge() - a part's body; a remainder that is no record is left. */
+/** records_merge() - merge the records of @body, ignoring a partial last one */
 void records_merge(struct records *records, struct str body);
 struct str records_str(const struct records *records);
--- a/target_health.c
+++ b/target_health.c
@@ -1,47 +1,49 @@
 #include "target_health.h"
 
 enum {
-	/* A reply over this multiple of the usual time is overdue. */
+	/* A reply is overdue after this multiple of its expected latency. */
 	OVERDUE_FACTOR = 2,
 	/*
-	 * Slow targets must be seen to have recovered: without requests the
-	 * smoothed slowness halves each second, until one tries it again.
+	 * Half-life of the smoothed slowness while there are no replies. It
+	 * decays until a request probes the target again, as otherwise a
+	 * recovery would not be noticed.
 	 */
 	SLOWNESS_HALF_LIFE_US = 1000000,
 	/*
-	 * A try that finds it as slow doubles that time, at most so often: each
-	 * such try makes a question late or costs a retry, and slowness
-	 * that has lasted is likely to last.
+	 * A probe that finds the target still slow doubles the half-life; this
+	 * many probes count. Each such probe makes a question late or costs a
+	 * retry, and slowness that has lasted is likely to continue.
 	 */
 	SLOW_PROBES_MAX = 4,
-	/* Replies after a pause come together and are one finding. */
+	/* Replies after a pause arrive together and count as one probe. */
 	SLOW_PROBE_INTERVAL_US = 300000,
-	/* A target that failed waits, doubled with each failure in a row. */
+	/* Backoff of a failed target, doubled with each further failure. */
 	BACKOFF_MIN_US = 100000,
 	BACKOFF_MAX_US = 1600000,
-	/* A target that did not serve is tried again as this halves. */
+	/* The error rate decays to half in this time: the target is retried. */
 	ERROR_RATE_HALF_US = 1500000,
-	/* One that was full rests for about the time of a request. */
+	/* Backoff of a target that was full: about the time of a request. */
 	REJECTED_BACKOFF_US = 15000,
 	/*
-	 * A target whose address another one has is gone, but its entry may be
-	 * written a few times more. Longer than entries outlive their target.
+	 * A target whose address belongs to another one is gone, but its entry
+	 * may still be written a few times. Longer than entries outlive their
+	 * target.
 	 */
 	STALE_ENTRY_US = 10000000,
 	SECOND_US = 1000000,
 };
 
-/* One that is this much quicker than was believed has recovered. */
+/* A target whose reply is this much faster than expected has recovered. */
 static const double RECOVERED_FACTOR = 2;
-/* A reply is slow if it takes this multiple of what was expected. */
+/* A reply is slow if it takes this multiple of the current slowness. */
 static const double SLOW_FACTOR = 1.5;
 
-/* Weight of a new reply in the smoothed slowness: follows in about five. */
+/* Weight of a new reply in the smoothed values: about five replies. */
 static const double SMOOTHING_WEIGHT = 0.2;
 
 double target_health_slowness(const struct live_target *target, int64_t now)
 {
-	/* A first slow reply may be a pause, which ends by itself. */
+	/* The first slow reply may be due to a pause, which ends by itself. */
 	int confirmed = target->slow_probes > 1 ? target->slow_probes - 1 : 0;
 	double half_life = (double)(SLOWNESS_HALF_LIFE_US << confirmed);
 	double halvings = (double)(now - target->slowness_at) / half_life;
@@ -144,7 +146,7 @@
 	double ratio = (double)(now - sent_at) / baseline_us;
 
 	target->open--;
-	/* The others were sent at this one's time or later. */
+	/* The remaining requests were sent when this one was, or later. */
 	target->oldest_sent_at = target->open ? now : 0;
 	switch (what) {
 	case REPLY_GOOD:
@@ -170,7 +172,7 @@
 		target->entry_ignored_until = now + STALE_ENTRY_US;
 		break;
 	case REPLY_CANCELLED:
-		/* At least this long: a slow target must not look quick. */
+		/* A lower bound: it must not make a slow target look fast. */
 		if (ratio > target->slowness)
 			update_slowness(target, ratio, now);
 		break;
--- a/target_health.h
+++ b/target_health.h
@@ -5,36 +5,41 @@
 #include "str.h"
 
 /**
- * DOC: what this node has seen of a target
+ * DOC: health of a target as observed by this node
  *
- * How slow it is, whether it stands still, how often it does not serve. Follows
- * from what was sent and what came back; knows no other target. Times are
+ * How slow a target is, whether it is paused and how often it fails, derived
+ * from requests and replies only and independent of other targets. Times are
  * monotonic microseconds.
  */
 
 /**
  * struct live_target - a published target
- * @key: hash of the id
- * @domain_key: hash of its failure domain
+ * @id: id of the target
+ * @key: hash of @id
+ * @domain_key: hash of @domain
+ * @born_ms: start of the process
+ * @slots: requests that it works on at a time
  * @near: in this node's failure domain
  * @published: its entry is in the store
- * @leaving_at: when its entry went, or said that it is leaving; 0: it has not
- * @entry_ignored_until: its address was found to be another target's, until
- * then its entry is not believed
- * @cold_until: it is cold until then
- * @down_until: takes no connections, and is not tried until then
- * @backoff_until: failed or was full just now: others go first until then
- * @consecutive_failures: in a row
- * @error_rate: smoothed share of requests that it did not serve, at
- * @error_rate_at
- * @open: requests of this node that it has not answered
- * @oldest_sent_at: when the oldest of them was sent; 0 when there is none
- * @oldest_expected_us: what its reply was expected to take
- * @slowness: smoothed time from sending to the reply, as a multiple of what is
- *            usual for the kind of request, at @slowness_at
- * @slow_probes: times that it was tried again and was as slow as before
- * @cold_window_start, @cold_sent: requests sent in the present second while
- * cold
+ * @leaving_at: when its entry was removed or marked as leaving, 0 if neither
+ * @entry_ignored_until: its entry is ignored until then, as another target
+ *                       answered at its address
+ * @cold_until: end of its cold start
+ * @down_until: it accepted no connection and is not used until then
+ * @backoff_until: it failed or rejected a request; other targets are preferred
+ *                 until then
+ * @consecutive_failures: failures since the last good reply
+ * @error_rate: smoothed share of requests that it did not serve
+ * @error_rate_at: when @error_rate was updated
+ * @open: requests in flight from this node
+ * @oldest_sent_at: when the oldest request in flight was sent, 0 if none
+ * @oldest_expected_us: expected latency of that request
+ * @slowness: smoothed latency as a multiple of the baseline of the kind of
+ *            request
+ * @slowness_at: when @slowness was updated
+ * @slow_probes: number of probes that found it still slow
+ * @cold_window_start: start of the current second of the cold rate limit
+ * @cold_sent: requests sent in that second while cold
  */
 struct live_target {
 	struct str id;
@@ -63,37 +68,36 @@
 	int slow_probes;
 	int64_t cold_window_start;
 	int cold_sent;
-	struct live_target *next; /* of the same service */
+	struct live_target *next; /* next target of the same service */
 };
 
-/** enum target_reply - what a reply says of its target */
+/** enum target_reply - outcome of a request to a target */
 enum target_reply {
 	REPLY_GOOD,
-	REPLY_REJECTED, /* it did not run the request */
-	REPLY_FAILED, /* an error, a broken connection, no reply in time */
+	REPLY_REJECTED, /* refused without running the request */
+	REPLY_FAILED, /* error, broken connection or time-out */
 	REPLY_DOWN, /* no connection */
-	REPLY_WRONG_TARGET, /* another target has its address */
-	REPLY_CANCELLED, /* nobody waited for it any more */
+	REPLY_WRONG_TARGET, /* another target answered at its address */
+	REPLY_CANCELLED, /* cancelled: the reply was no longer needed */
 };
 
-/** target_health_on_send() - a request went out whose reply usually takes
- * @baseline_us. */
+/** target_health_on_send() - record a request with baseline @baseline_us */
 void target_health_on_send(struct live_target *target, double baseline_us,
 			   int64_t now);
-/** target_health_on_reply() - what came of the one sent at @sent_at. */
+/** target_health_on_reply() - record the outcome of the request of @sent_at */
 void target_health_on_reply(struct live_target *target, enum target_reply what,
 			    double baseline_us, int64_t sent_at, int64_t now);
-/** target_health_expected_us() - time to its reply, if nothing else keeps it
- * busy. */
+/** target_health_expected_us() - expected latency of an otherwise idle target
+ */
 double target_health_expected_us(const struct live_target *target,
 				 double baseline_us);
-/** target_health_slowness() - multiple of what is usual, as far as still
- * believed. */
+/** target_health_slowness() - slowness, decayed since the last reply */
 double target_health_slowness(const struct live_target *target, int64_t now);
-/** target_health_error_rate() - share of requests that it does not serve. */
+/** target_health_error_rate() - share of failed requests, decayed likewise */
 double target_health_error_rate(const struct live_target *target, int64_t now);
 /**
- * target_health_is_overdue() - it has not answered within a multiple of its
- * usual time: a pause, mostly
+ * target_health_is_overdue() - whether a reply is overdue
+ *
+ * True after a multiple of its expected latency, mostly because of a pause.
  */
 bool target_health_is_overdue(const struct live_target *target, int64_t now);
