--- a/balancer.c
+++ b/balancer.c
@@ -91,7 +91,8 @@
 	str_free(target->domain);
 }
 
-static bool has(const struct balancer *balancer, enum mechanism mechanism)
+static bool mechanism_enabled(const struct balancer *balancer,
+			      enum mechanism mechanism)
 {
 	return mechanism_on(balancer->without, mechanism);
 }
@@ -152,8 +153,8 @@
 	balancer->count--;
 }
 
-static struct live_target *add(struct balancer *balancer, uint64_t key,
-			       const struct target_entry *entry)
+static struct live_target *add_target(struct balancer *balancer, uint64_t key,
+				      const struct target_entry *entry)
 {
 	struct live_target *target = xcalloc(1, sizeof(*target));
 	struct service_targets *service_targets =
@@ -177,8 +178,8 @@
 }
 
 /* An id at a new address, or of a restarted process, is a new target. */
-static bool is_same(const struct live_target *target,
-		    const struct target_entry *entry)
+static bool is_same_process(const struct live_target *target,
+			    const struct target_entry *entry)
 {
 	return target->service == entry->service &&
 	       target->born_ms == entry->born_ms &&
@@ -192,7 +193,7 @@
 	struct live_target *target =
 		apr_hash_get(balancer->targets, &key, sizeof(key));
 
-	if (target && !is_same(target, entry)) {
+	if (target && !is_same_process(target, entry)) {
 		/* Attempts in flight still point to it. */
 		if (target->open) {
 			unlink_target(balancer, target);
@@ -207,7 +208,7 @@
 		target = NULL;
 	}
 	if (!target)
-		target = add(balancer, key, entry);
+		target = add_target(balancer, key, entry);
 	target->published = true;
 	target->slots = entry->slots;
 	target->cold_until = entry->cold_us ? now + entry->cold_us : 0;
@@ -288,7 +289,7 @@
 		return false;
 	if (target->slots && limit > target->slots)
 		limit = target->slots;
-	if (has(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
+	if (mechanism_enabled(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
 	    us * 2 > (double)goal_us)
 		limit = (int)(limit * (double)goal_us / (us * 2));
 	return target->open >= (limit > 1 ? limit : 1);
@@ -333,9 +334,10 @@
 	    (target->published || now - target->leaving_at > ENTRY_LAPSE_US ||
 	     target->leaving_at - balancer->store_lost_at > ENTRY_LAPSE_US))
 		return AVAIL_LEAVING;
-	if (now < target->down_until && has(balancer, MECHANISM_TARGET_REST))
+	if (now < target->down_until &&
+	    mechanism_enabled(balancer, MECHANISM_TARGET_REST))
 		return AVAIL_DOWN;
-	if (has(balancer, MECHANISM_COLD_BOUND) &&
+	if (mechanism_enabled(balancer, MECHANISM_COLD_BOUND) &&
 	    cold_limit_reached(service_targets, target, now))
 		return AVAIL_COLD;
 	if (is_busy(balancer, service_targets, target, baseline_us, goal_us))
@@ -354,24 +356,26 @@
 			     const struct live_target *target,
 			     double baseline_us, int64_t now)
 {
-	double us = baseline_us * (has(balancer, MECHANISM_SLOWNESS)
-					   ? target_health_slowness(target, now)
-					   : 1);
+	double us =
+		baseline_us * (mechanism_enabled(balancer, MECHANISM_SLOWNESS)
+				       ? target_health_slowness(target, now)
+				       : 1);
 	int slots = target->slots > 0 ? target->slots : 1;
 	double queued = (double)target->open / slots;
 	int64_t expected_us = (int64_t)(us * (1 + queued));
 
-	if (has(balancer, MECHANISM_OVERDUE_COST) &&
+	if (mechanism_enabled(balancer, MECHANISM_OVERDUE_COST) &&
 	    target_health_is_overdue(target, now))
 		expected_us += OVERDUE_COST_US;
 	if (now < target->cold_until)
 		expected_us += (int64_t)us;
-	if (has(balancer, MECHANISM_FAULT_COST))
+	if (mechanism_enabled(balancer, MECHANISM_FAULT_COST))
 		expected_us += (int64_t)(FAILURE_COST_US *
 					 target_health_error_rate(target, now));
-	if (has(balancer, MECHANISM_TARGET_REST) && now < target->backoff_until)
+	if (mechanism_enabled(balancer, MECHANISM_TARGET_REST) &&
+	    now < target->backoff_until)
 		expected_us += target->backoff_until - now;
-	if (has(balancer, MECHANISM_FAR_COST) && !target->near)
+	if (mechanism_enabled(balancer, MECHANISM_FAR_COST) && !target->near)
 		expected_us += FAR_COST_US;
 	return expected_us;
 }
@@ -426,7 +430,7 @@
 		if (is_excluded(target_query, target->key))
 			continue;
 		if (availability == AVAIL_BUSY &&
-		    has(balancer, MECHANISM_BUSY_WAIT) &&
+		    mechanism_enabled(balancer, MECHANISM_BUSY_WAIT) &&
 		    expected_when_busy(balancer, target, target_query) <
 			    best_busy_us)
 			best_busy_us = expected_when_busy(balancer, target,
@@ -519,10 +523,10 @@
 }
 
 void balancer_on_reply(struct balancer *balancer, struct live_target *target,
-		       enum target_reply what, double baseline_us,
+		       enum target_reply outcome, double baseline_us,
 		       int64_t sent_at, int64_t now)
 {
-	target_health_on_reply(target, what, baseline_us, sent_at, now);
+	target_health_on_reply(target, outcome, baseline_us, sent_at, now);
 	if (!target->open && !target->service) {
 		free_strings(target);
 		free(target);
--- a/balancer.h
+++ b/balancer.h
@@ -130,5 +130,5 @@
  * Removes the target if its entry is long gone.
  */
 void balancer_on_reply(struct balancer *balancer, struct live_target *target,
-		       enum target_reply what, double baseline_us,
+		       enum target_reply outcome, double baseline_us,
 		       int64_t sent_at, int64_t now);
--- a/call_queue.c
+++ b/call_queue.c
@@ -10,7 +10,7 @@
 static bool is_waiting(struct calls *calls, struct wait_queue *wait_queue,
 		       size_t index)
 {
-	const struct waiter *waiter = &wait_queue->list[index];
+	const struct waiter *waiter = &wait_queue->waiters[index];
 	struct call *call = call_find(calls, waiter->call);
 	struct part *part = call ? &call->parts[waiter->part] : NULL;
 
@@ -66,7 +66,7 @@
 		if (!is_waiting(calls, wait_queue, i))
 			continue;
 		wait_priority = priority_of(
-			calls, call_find(calls, wait_queue->list[i].call));
+			calls, call_find(calls, wait_queue->waiters[i].call));
 		if (best == SIZE_MAX ||
 		    wait_queue_precedes(&wait_priority, &best_priority)) {
 			best = i;
@@ -85,7 +85,7 @@
 
 	while (wait_queue &&
 	       (first = first_waiter(calls, wait_queue)) != SIZE_MAX) {
-		struct waiter waiter = wait_queue->list[first];
+		struct waiter waiter = wait_queue->waiters[first];
 		struct call *call = call_find(calls, waiter.call);
 		enum send_result result = call_send(calls, call, waiter.part);
 
--- a/target_health.c
+++ b/target_health.c
@@ -140,15 +140,16 @@
 	return us;
 }
 
-void target_health_on_reply(struct live_target *target, enum target_reply what,
-			    double baseline_us, int64_t sent_at, int64_t now)
+void target_health_on_reply(struct live_target *target,
+			    enum target_reply outcome, double baseline_us,
+			    int64_t sent_at, int64_t now)
 {
 	double ratio = (double)(now - sent_at) / baseline_us;
 
 	target->open--;
 	/* The remaining requests were sent when this one was, or later. */
 	target->oldest_sent_at = target->open ? now : 0;
-	switch (what) {
+	switch (outcome) {
 	case REPLY_GOOD:
 		update_error_rate(target, false, now);
 		target->consecutive_failures = 0;
--- a/target_health.h
+++ b/target_health.h
@@ -85,8 +85,9 @@
 void target_health_on_send(struct live_target *target, double baseline_us,
 			   int64_t now);
 /** target_health_on_reply() - record the outcome of the request of @sent_at */
-void target_health_on_reply(struct live_target *target, enum target_reply what,
-			    double baseline_us, int64_t sent_at, int64_t now);
+void target_health_on_reply(struct live_target *target,
+			    enum target_reply outcome, double baseline_us,
+			    int64_t sent_at, int64_t now);
 /** target_health_expected_us() - expected latency of an otherwise idle target
  */
 double target_health_expected_us(const struct live_target *target,
--- a/wait_queue.c
+++ b/wait_queue.c
@@ -24,19 +24,20 @@
 		apr_hash_set(wait_queues, &wait_queue->service,
 			     sizeof(wait_queue->service), wait_queue);
 	}
-	if (wait_queue->count == wait_queue->cap) {
-		wait_queue->cap = wait_queue->cap ? wait_queue->cap * 2
-						  : INITIAL_CAPACITY;
-		wait_queue->list =
-			xrealloc(wait_queue->list,
-				 wait_queue->cap * sizeof(*wait_queue->list));
+	if (wait_queue->count == wait_queue->capacity) {
+		wait_queue->capacity = wait_queue->capacity
+					       ? wait_queue->capacity * 2
+					       : INITIAL_CAPACITY;
+		wait_queue->waiters = xrealloc(
+			wait_queue->waiters,
+			wait_queue->capacity * sizeof(*wait_queue->waiters));
 	}
-	wait_queue->list[wait_queue->count++] = waiter;
+	wait_queue->waiters[wait_queue->count++] = waiter;
 }
 
 void wait_queue_remove(struct wait_queue *wait_queue, size_t index)
 {
-	wait_queue->list[index] = wait_queue->list[--wait_queue->count];
+	wait_queue->waiters[index] = wait_queue->waiters[--wait_queue->count];
 }
 
 size_t wait_queues_count(apr_hash_t *wait_queues)
@@ -65,7 +66,7 @@
 
 		apr_hash_this(it, NULL, NULL, &value);
 		wait_queue = value;
-		free(wait_queue->list);
+		free(wait_queue->waiters);
 		free(wait_queue);
 	}
 }
--- a/wait_queue.h
+++ b/wait_queue.h
@@ -29,9 +29,9 @@
 /** struct wait_queue - waiters for the targets of one service */
 struct wait_queue {
 	uint64_t service;
-	struct waiter *list;
+	struct waiter *waiters;
 	size_t count;
-	size_t cap;
+	size_t capacity;
 };
 
 /**
