--- a/balancer.h
+++ b/balancer.h
@@ -99,12 +99,10 @@
 enum target_availability balancer_availability(const struct balancer *balancer,
 					       const struct live_target *target,
 					       int64_t now);
-/** balancer_has_usable() - whether a target of @service is usable now or soon
- */
+/** balancer_has_usable() - whether a target is usable now or soon */
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
 			 int64_t now);
-/** balancer_prefers_near() - whether the best target is in this failure domain
- */
+/** balancer_prefers_near() - whether the best target is in the own domain */
 bool balancer_prefers_near(struct balancer *balancer,
 			   const struct target_query *target_query);
 /** balancer_has_target_in() - whether a target in @domain is available now */
--- a/target_health.h
+++ b/target_health.h
@@ -88,8 +88,7 @@
 void target_health_on_reply(struct live_target *target,
 			    enum target_reply outcome, double baseline_us,
 			    int64_t sent_at, int64_t now);
-/** target_health_expected_us() - expected latency of an otherwise idle target
- */
+/** target_health_expected_us() - expected latency if otherwise idle */
 double target_health_expected_us(const struct live_target *target,
 				 double baseline_us);
 /** target_health_slowness() - slowness, decayed since the last reply */
