--- a/merge.c
+++ b/merge.c
@@ -18,7 +18,7 @@
 	RETRY_AFTER_US = 300000,
 	/* Return path to the client, and time for a busy core to answer. */
 	RESPONSE_MARGIN_US = 12000,
-	/* Nodes of another version refuse; after these no other is tried. */
+	/* Nodes of another version refuse; no more than these are tried. */
 	HANDOVERS_MAX = 2,
 	/* A message to a node costs as much as a request to a target. */
 	BATCH_SHARDS_MIN = 2,
