--- a/batch.h
+++ b/batch.h
@@ -60,12 +60,12 @@
 		      struct gossip *gossip, struct placement *placement);
 /**
  * batch_send() - send @nparts shards of @call to @member
- * @may_hand_on: @member may forward shards of other failure domains in turn
+ * @may_delegate: @member may forward shards of other failure domains in turn
  * @tried: targets of each shard that may have received the request already
  */
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
-		size_t nparts, bool may_hand_on, size_t tried);
+		size_t nparts, bool may_delegate, size_t tried);
 /** batch_cancel_all() - cancel all open batches of @call. */
 void batch_cancel_all(struct calls *calls, struct call *call);
 /**
--- a/forward.c
+++ b/forward.c
@@ -45,7 +45,7 @@
 	trial_refusal_reason(calls, call, &why, &retry_us);
 	if (!part->ran && !part->open)
 		call_refuse(calls, call, 503, why, retry_us);
-	else if (calls->now >= call->give_up_at)
+	else if (calls->now >= call->deadline)
 		call_refuse(calls, call, 504, why, 0);
 	else
 		call_refuse(calls, call, 502, why, 0);
@@ -80,12 +80,13 @@
 	case SEND_NO_TARGET:
 	case SEND_NO_BUDGET:
 		if (calls->now + RECHECK_US < wait_until(call)) {
-			call_review_at(calls, call, calls->now + RECHECK_US);
+			call_schedule_review(calls, call,
+					     calls->now + RECHECK_US);
 			return;
 		}
 		break;
 	case SEND_HELD:
-		call_review_at(calls, call, calls->now + RECHECK_US);
+		call_schedule_review(calls, call, calls->now + RECHECK_US);
 		return;
 	case SEND_NO_TRIES:
 	case SEND_BLOCKED:
@@ -99,21 +100,21 @@
 	call->nparts = 1;
 	call->parts = apr_pcalloc(call->pool, sizeof(*call->parts));
 	call->parts[0].service = forward_pick_service(calls, call->route);
-	if (!roster_first(calls->roster, call->parts[0].service)) {
+	if (!balancer_first(calls->balancer, call->parts[0].service)) {
 		call_refuse(calls, call, 503, "no target of the service",
 			    RETRY_AFTER_US);
 		return;
 	}
 	send_or_give_up(calls, call, "no target may be asked");
 	if (call->attempts)
-		call_review_at(calls, call,
-			       call->route->repeatable ? hedge_at(call)
-						       : call->give_up_at);
+		call_schedule_review(calls, call,
+				     call->route->repeatable ? hedge_at(call)
+							     : call->deadline);
 }
 
 static void review(struct calls *calls, struct call *call)
 {
-	if (calls->now >= call->give_up_at) {
+	if (calls->now >= call->deadline) {
 		give_up(calls, call, "out of time");
 		return;
 	}
@@ -126,10 +127,10 @@
 		if (!call->attempts)
 			return;
 	} else if (call->route->repeatable && call->parts[0].open == 1 &&
-		   call_has(calls, MECHANISM_HEDGES)) {
+		   call_mechanism_on(calls, MECHANISM_HEDGES)) {
 		call_send(calls, call, 0);
 	}
-	call_review_at(calls, call, call->give_up_at);
+	call_schedule_review(calls, call, call->deadline);
 }
 
 static void relay_reply(struct calls *calls, struct call *call,
@@ -189,7 +190,7 @@
 	}
 	send_or_give_up(calls, call, why);
 	if (call->attempts)
-		call_review_at(calls, call, call->give_up_at);
+		call_schedule_review(calls, call, call->deadline);
 }
 
 const struct call_kind forward_kind = {
--- a/merge.c
+++ b/merge.c
@@ -6,47 +6,54 @@
 
 enum {
 	/*
-	 * A reply is late after this multiple of its target's usual time: few
-	 * replies that are merely slow are then asked for twice.
+	 * A reply is late after this multiple of its target's expected latency.
+	 * Few replies that are merely slow are then hedged.
 	 */
-	HEDGE_TIMES = 2,
-	/* Never sooner, so that a round trip's noise does not count. */
-	HEDGE_LEAST_US = 12000,
-	/* A part that no target could be asked for is looked at again. */
-	LOOK_AGAIN_US = 10000,
-	/* On a refusal: targets that rest are back within about this time. */
+	HEDGE_FACTOR = 2,
+	/* Minimum hedge delay, above the noise of a round trip. */
+	HEDGE_MIN_US = 12000,
+	/* Interval of reviews while a part has no attempt in flight. */
+	REVIEW_INTERVAL_US = 10000,
+	/* On a refusal: targets in backoff return within about this time. */
 	RETRY_AFTER_US = 300000,
-	/* The way back to the caller, and what a busy core needs to answer. */
-	RETURN_US = 12000,
-	/* Nodes that refuse, as they have another version, are not asked on. */
-	HANDED_MOST = 2,
-	/* A message to another node costs as much as a request to a target. */
-	BATCH_LEAST = 2,
+	/* Return path to the client, and time for a busy core to answer. */
+	RESPONSE_MARGIN_US = 12000,
+	/* Nodes of another version refuse; no more than these are tried. */
+	HANDOVERS_MAX = 2,
+	/* A message to a node costs as much as a request to a target. */
+	BATCH_SHARDS_MIN = 2,
 };
 
-/* A hedge at a slow target must still be in time itself. */
-static const double HEDGE_GOAL_PART = 0.3;
-/* Goals are short where little is merged; the return takes its part of them. */
-static const double SOFT_GOAL_PART = 0.85;
+/* Maximum hedge delay: the hedge's own reply must still be in time. */
+static const double HEDGE_GOAL_FRACTION = 0.3;
 /*
- * Another node hedges by itself, so it is given longer than a target; then it
- * is taken to be stuck, while targets can still be asked in time from here.
+ * Goals are short where little is merged, so the return path takes a share of
+ * the goal.
  */
-static const double BATCH_GOAL_PART = 0.5;
-/* By then it tells what it has, so that it is not taken to be stuck. */
-static const double TELL_GOAL_PART = 0.35;
+static const double SOFT_GOAL_FRACTION = 0.85;
+/*
+ * A node that was delegated shards hedges by itself, so it gets more time than
+ * a target. After this fraction of the goal it is considered stuck, early
+ * enough for this node to send to targets itself.
+ */
+static const double BATCH_GOAL_FRACTION = 0.5;
+/* Progress of a batch is reported by then, so as not to be considered stuck. */
+static const double PROGRESS_GOAL_FRACTION = 0.35;
 
 /**
- * struct merge_state - what is there of the answer
- * @fresh, @nfresh: shards in @records that the asking node was not told of
- * @told: it was told something
+ * struct merge_state - merged answer so far
+ * @records: greatest records of the parts received
+ * @signatures: signatures of these parts
+ * @unreported: shards in @records that have not been reported to the origin
+ * @nunreported: number of shards in @unreported
+ * @reported: something has been reported to the origin
  */
 struct merge_state {
 	struct records records;
 	struct buf signatures;
-	uint16_t *fresh;
-	size_t nfresh;
-	bool told;
+	uint16_t *unreported;
+	size_t nunreported;
+	bool reported;
 };
 
 static apr_status_t free_state(void *data)
@@ -62,45 +69,47 @@
 	return poison_verdict(calls->poison, &call->print) != POISON_NONE;
 }
 
-bool merge_enough(const struct route *route, size_t done)
+bool merge_has_coverage(const struct route *route, size_t done)
 {
-	double need = route->least * (double)route->nshards;
+	double required = route->least * (double)route->nshards;
 
-	return done > 0 && (double)done + 1e-9 >= need;
+	return done > 0 && (double)done + 1e-9 >= required;
 }
 
-int64_t merge_soft_at(const struct call *call)
+int64_t merge_soft_deadline(const struct call *call)
 {
 	int64_t goal = call->route->goal_us;
-	int64_t soft = (int64_t)((double)goal * SOFT_GOAL_PART);
+	int64_t soft = (int64_t)((double)goal * SOFT_GOAL_FRACTION);
 
-	return call->start +
-	       (soft < goal - RETURN_US ? soft : goal - RETURN_US);
+	return call->start + (soft < goal - RESPONSE_MARGIN_US
+				      ? soft
+				      : goal - RESPONSE_MARGIN_US);
 }
 
-static int64_t merge_tell_at(const struct call *call)
+static int64_t progress_due_at(const struct call *call)
 {
 	return call->start +
-	       (int64_t)((double)call->route->goal_us * TELL_GOAL_PART);
+	       (int64_t)((double)call->route->goal_us * PROGRESS_GOAL_FRACTION);
 }
 
-static int64_t merge_batch_at(const struct call *call)
+static int64_t batch_due_at(const struct call *call)
 {
 	return call->start +
-	       (int64_t)((double)call->route->goal_us * BATCH_GOAL_PART);
+	       (int64_t)((double)call->route->goal_us * BATCH_GOAL_FRACTION);
 }
 
 static int64_t hedge_after(const struct call *call,
 			   const struct attempt *attempt)
 {
 	int64_t late =
-		(int64_t)(track_reply_us(attempt->target, attempt->usual_us) *
-			  HEDGE_TIMES);
+		(int64_t)(target_health_expected_us(attempt->target,
+						    attempt->baseline_us) *
+			  HEDGE_FACTOR);
 	int64_t most =
-		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_PART);
+		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 
-	if (late < HEDGE_LEAST_US)
-		late = HEDGE_LEAST_US;
+	if (late < HEDGE_MIN_US)
+		late = HEDGE_MIN_US;
 	return late < most ? late : most;
 }
 
@@ -120,64 +129,65 @@
 	call_answer(calls, call, &final);
 }
 
-static bool is_idle(const struct part *part)
+static bool is_unassigned(const struct part *part)
 {
 	return !part->done && !part->open && !part->batched;
 }
 
-static bool any_ran(const struct call *call)
+static bool may_have_run(const struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ran || call->parts[i].open ||
-		    call->parts[i].again || call->parts[i].batched)
+		    call->parts[i].sent_elsewhere || call->parts[i].batched)
 			return true;
 	return false;
 }
 
-/* "Not run" is promised only where it is so. */
+/* Status 503 promises that nothing ran, so it is sent only if that holds. */
 static void give_up(struct calls *calls, struct call *call, const char *why)
 {
 	int64_t retry_us = RETRY_AFTER_US;
 
 	trial_refusal_reason(calls, call, &why, &retry_us);
-	if (calls->now >= call->give_up_at)
+	if (calls->now >= call->deadline)
 		call_refuse(calls, call, 504, why, 0);
-	else if (any_ran(call))
+	else if (may_have_run(call))
 		call_refuse(calls, call, 502, why, retry_us);
 	else
 		call_refuse(calls, call, 503, why, retry_us);
 }
 
 /*
- * Shards that are in, or still may be: those too that wait for room at a target
- * or for a part of the retry budget. While too few are in, a late answer is
- * better than none: given up at the soft deadline, callers would ask all shards
- * anew, and the load that makes them wait would grow. Where no target of a
- * shard is left there is nothing to wait for, and the caller is told so at
- * once.
+ * Counts shards that have been received or still may be, including those that
+ * wait for a target with capacity or for the retry budget. Without sufficient
+ * coverage a late answer is better than none: if calls gave up at the soft
+ * deadline, clients would query all shards again and increase the load that
+ * makes them wait. A shard without usable targets is not waited for, and the
+ * client gets the error at once.
  */
 static size_t count_possible(const struct calls *calls, const struct call *call)
 {
-	bool waits = (call_has(calls, MECHANISM_LATE_ANSWERS) ||
-		      calls->now < call->soft_at) &&
-		     !trial_exhausted(calls, call);
+	bool can_wait = (call_mechanism_on(calls, MECHANISM_LATE_ANSWERS) ||
+			 calls->now < call->soft_deadline) &&
+			!trial_exhausted(calls, call);
 	size_t possible = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
 		if (part->done || part->open || part->batched ||
-		    (waits && call_may_send(call, part) &&
-		     roster_any(calls->roster, part->service, calls->now)))
+		    (can_wait && call_may_send(call, part) &&
+		     balancer_has_usable(calls->balancer, part->service,
+					 calls->now)))
 			possible++;
 	}
 	return possible;
 }
 
-/* For a caller. Return: true when the call has ended. */
-static bool settle_answer(struct calls *calls, struct call *call)
+/* For a client request. Return: true if the call has ended. */
+static bool finish_answer(struct calls *calls, struct call *call)
 {
-	bool late = calls->now >= call->soft_at;
+	bool late = calls->now >= call->soft_deadline;
 	size_t possible = count_possible(calls, call);
 
 	if (call->ndone == call->nparts) {
@@ -185,141 +195,144 @@
 		return true;
 	}
 	if (!call->ndone && trial_exhausted(calls, call)) {
-		give_up(calls, call, "no target may have it");
+		give_up(calls, call, "request may not be sent to any target");
 		return true;
 	}
-	if (merge_enough(call->route, call->ndone) &&
+	if (merge_has_coverage(call->route, call->ndone) &&
 	    (late || possible == call->ndone)) {
 		answer(calls, call, late ? "soft deadline" : "nothing more");
 		return true;
 	}
-	if (calls->now >= call->give_up_at) {
+	if (calls->now >= call->deadline) {
 		give_up(calls, call, "out of time");
 		return true;
 	}
-	if (!merge_enough(call->route, possible)) {
+	if (!merge_has_coverage(call->route, possible)) {
 		give_up(calls, call, "too few shards can be reached");
 		return true;
 	}
 	return false;
 }
 
-static void tell_asker(struct calls *calls, struct call *call, bool last)
+static void report_to_origin(struct calls *calls, struct call *call, bool last)
 {
 	struct merge_state *state = call->state;
 
-	batch_send_reply(calls, call, state->fresh, state->nfresh,
+	batch_send_reply(calls, call, state->unreported, state->nunreported,
 			 records_str(&state->records),
 			 buf_str(&state->signatures), last);
-	state->told = true;
-	state->nfresh = 0;
+	state->reported = true;
+	state->nunreported = 0;
 	state->records.count = 0;
 	state->signatures.len = 0;
 }
 
 /*
- * For another node, which knows what is enough: it is told once early, so that
- * it knows that this one is at work; again at the soft deadline, and then each
- * shard as it comes.
+ * For a batch of another node, which checks coverage itself. Reports progress
+ * once early, so that the origin does not consider this node stuck, again at
+ * the soft deadline, and from then on each shard as it arrives.
+ *
+ * Return: true if the call has ended.
  */
-static bool settle_batch(struct calls *calls, struct call *call)
+static bool finish_batch(struct calls *calls, struct call *call)
 {
 	const struct merge_state *state = call->state;
-	bool late = calls->now >= call->soft_at;
+	bool late = calls->now >= call->soft_deadline;
 	bool last = count_possible(calls, call) == call->ndone ||
-		    calls->now >= call->give_up_at ||
+		    calls->now >= call->deadline ||
 		    trial_exhausted(calls, call);
 
-	if (last || (late && state->nfresh) ||
-	    (!state->told && calls->now >= merge_tell_at(call)))
-		tell_asker(calls, call, last);
+	if (last || (late && state->nunreported) ||
+	    (!state->reported && calls->now >= progress_due_at(call)))
+		report_to_origin(calls, call, last);
 	if (last)
 		call_finish(calls, call);
 	return last;
 }
 
-static bool settle(struct calls *calls, struct call *call)
+static bool finish_if_settled(struct calls *calls, struct call *call)
 {
-	return call->asker.len ? settle_batch(calls, call)
-			       : settle_answer(calls, call);
+	return call->origin.len ? finish_batch(calls, call)
+				: finish_answer(calls, call);
 }
 
-/* Of two times the earlier, unless it is over. */
-static int64_t sooner(int64_t when, int64_t other, int64_t now)
+/* Return: the earlier of @when and @other, or @when if @other has passed */
+static int64_t earlier(int64_t when, int64_t other, int64_t now)
 {
 	return other > now && other < when ? other : when;
 }
 
 static void plan_review(struct calls *calls, struct call *call)
 {
-	int64_t when = sooner(call->give_up_at, call->soft_at, calls->now);
+	int64_t when = earlier(call->deadline, call->soft_deadline, calls->now);
 
 	if (call->batches)
-		when = sooner(when, merge_batch_at(call), calls->now);
-	if (call->asker.len)
-		when = sooner(when, merge_tell_at(call), calls->now);
+		when = earlier(when, batch_due_at(call), calls->now);
+	if (call->origin.len)
+		when = earlier(when, progress_due_at(call), calls->now);
 	for (const struct attempt *at = call->attempts; at; at = at->next) {
 		int64_t due = at->sent_at + hedge_after(call, at);
 
 		if (!call_may_send(call, &call->parts[at->part]))
 			continue;
 		if (due <= calls->now)
-			due = calls->now + LOOK_AGAIN_US;
+			due = calls->now + REVIEW_INTERVAL_US;
 		if (due < when)
 			when = due;
 	}
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
-		if (is_idle(part) && call_may_send(call, part) &&
-		    calls->now + LOOK_AGAIN_US < when)
-			when = calls->now + LOOK_AGAIN_US;
+		if (is_unassigned(part) && call_may_send(call, part) &&
+		    calls->now + REVIEW_INTERVAL_US < when)
+			when = calls->now + REVIEW_INTERVAL_US;
 	}
-	call_review_at(calls, call, when);
+	call_schedule_review(calls, call, when);
 }
 
 /*
- * On behalf of another node further targets are asked only once it knows: else,
- * should it hear nothing more from here, it would ask yet others itself, and
- * all together more than the route allows.
+ * For a batch of another node, retries and hedges are sent only after the
+ * origin has confirmed them. Without that, an origin that receives nothing more
+ * from this node would send to further targets itself, and both together would
+ * exceed the route's limit on targets.
  */
-static void send_again(struct calls *calls, struct call *call, size_t part)
+static void send_retry(struct calls *calls, struct call *call, size_t part)
 {
 	const struct merge_state *state = call->state;
 
-	if (!call->asker.len || call->go || !call->parts[part].ntried)
+	if (!call->origin.len || call->go || !call->parts[part].ntried)
 		call_send(calls, call, part);
-	else if (!state->told)
-		tell_asker(calls, call, false);
+	else if (!state->reported)
+		report_to_origin(calls, call, false);
 }
 
-static void hedge(struct calls *calls, struct call *call)
+static void send_retries(struct calls *calls, struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++) {
 		struct part *part = &call->parts[i];
 
-		if (is_idle(part))
-			send_again(calls, call, i);
+		if (is_unassigned(part))
+			send_retry(calls, call, i);
 	}
-	if (!call_has(calls, MECHANISM_HEDGES))
+	if (!call_mechanism_on(calls, MECHANISM_HEDGES))
 		return;
-	/* call_send() puts new attempts in front of those that are walked. */
+	/* call_send() prepends new attempts, so this loop does not see them. */
 	for (struct attempt *at = call->attempts; at; at = at->next)
 		if (call->parts[at->part].open == 1 &&
 		    calls->now - at->sent_at >= hedge_after(call, at))
-			send_again(calls, call, at->part);
+			send_retry(calls, call, at->part);
 }
 
 static void review(struct calls *calls, struct call *call)
 {
-	if (settle(calls, call))
+	if (finish_if_settled(calls, call))
 		return;
-	if (calls->now >= merge_batch_at(call))
+	if (calls->now >= batch_due_at(call))
 		batch_fail_overdue(calls, call);
-	if (call->over)
+	if (call->finished)
 		return;
 	trial_clear(calls, call);
-	hedge(calls, call);
+	send_retries(calls, call);
 	plan_review(calls, call);
 }
 
@@ -328,46 +341,49 @@
 	size_t reachable = 0;
 
 	for (size_t i = 0; i < call->nparts; i++)
-		if (roster_any(calls->roster, call->parts[i].service,
-			       calls->now))
+		if (balancer_has_usable(calls->balancer, call->parts[i].service,
+					calls->now))
 			reachable++;
 	return reachable;
 }
 
-static void hand_over(struct calls *calls, struct call *call,
-		      struct member_info *member, const uint16_t *parts,
-		      size_t nparts, size_t tried)
+static void delegate(struct calls *calls, struct call *call,
+		     struct member_info *member, const uint16_t *parts,
+		     size_t nparts, size_t tried)
 {
 	bool whole =
-		!call->asker.len &&
+		!call->origin.len &&
 		!placement_is_local(calls->batches->placement, call->catalog,
 				    call->route, calls->now);
 
-	call->handed += whole;
+	call->handovers += whole;
 	for (size_t i = 0; i < nparts; i++)
 		call->parts[parts[i]].batched = true;
 	batch_send(calls, call, member, parts, nparts, whole, tried);
 }
 
-/* Shards whose best target is in @domain, and that nobody has yet. */
-static size_t collect(struct calls *calls, const struct call *call,
-		      uint64_t domain, uint16_t *parts)
+/* Collects unassigned shards that have an available target in @domain. */
+static size_t collect_in_domain(struct calls *calls, const struct call *call,
+				uint64_t domain, uint16_t *parts)
 {
 	size_t count = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
-		if (!is_idle(part))
+		if (!is_unassigned(part))
 			continue;
-		if (roster_holds(calls->roster, part->service, domain,
-				 calls->now))
+		if (balancer_has_target_in(calls->balancer, part->service,
+					   domain, calls->now))
 			parts[count++] = (uint16_t)i;
 	}
 	return count;
 }
 
-/* The failure domain that holds most of the shards that nobody has yet. */
+/*
+ * Return: the other failure domain with targets of most unassigned shards, or 0
+ * if none has enough for a batch
+ */
 static uint64_t best_domain(struct calls *calls, const struct call *call,
 			    uint16_t *parts)
 {
@@ -375,10 +391,10 @@
 	uint64_t domains[PLACEMENT_DOMAINS_MAX];
 	size_t count = placement_domains(placement, domains);
 	uint64_t best = 0;
-	size_t most = BATCH_LEAST - 1;
+	size_t most = BATCH_SHARDS_MIN - 1;
 
 	for (size_t i = 0; i < count; i++) {
-		size_t held = collect(calls, call, domains[i], parts);
+		size_t held = collect_in_domain(calls, call, domains[i], parts);
 
 		if (held <= most)
 			continue;
@@ -388,16 +404,19 @@
 	return best;
 }
 
-/* Shards without a good target in this failure domain go to nodes elsewhere. */
-static void send_far(struct calls *calls, struct call *call)
+/*
+ * Delegates shards without a good target in this failure domain to nodes in
+ * other domains.
+ */
+static void delegate_far(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
 	uint16_t *parts =
 		apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 
-	for (int i = 0;
-	     i < PLACEMENT_DOMAINS_MAX && call_has(calls, MECHANISM_BATCHES) &&
-	     !is_suspect(calls, call);
+	for (int i = 0; i < PLACEMENT_DOMAINS_MAX &&
+			call_mechanism_on(calls, MECHANISM_BATCHES) &&
+			!is_suspect(calls, call);
 	     i++) {
 		uint64_t domain = best_domain(calls, call, parts);
 		struct member_info *member;
@@ -409,42 +428,42 @@
 					  domain, calls->now);
 		if (!member)
 			return;
-		count = collect(calls, call, domain, parts);
-		hand_over(calls, call, member, parts, count, call->tried);
+		count = collect_in_domain(calls, call, domain, parts);
+		delegate(calls, call, member, parts, count, call->tried);
 	}
 }
 
-static void send_near(struct calls *calls, struct call *call)
+static void send_to_near(struct calls *calls, struct call *call)
 {
-	struct choice choice = { .usual_us = call->usual->us,
-				 .goal_us = call->route->goal_us,
-				 .now = calls->now };
+	struct target_query target_query = { .baseline_us = call->baseline->us,
+					     .goal_us = call->route->goal_us,
+					     .now = calls->now };
 
 	for (size_t i = 0; i < call->nparts; i++) {
-		choice.service = call->parts[i].service;
-		if (is_idle(&call->parts[i]) &&
-		    roster_near_first(calls->roster, &choice))
+		target_query.service = call->parts[i].service;
+		if (is_unassigned(&call->parts[i]) &&
+		    balancer_prefers_near(calls->balancer, &target_query))
 			call_send(calls, call, i);
 	}
 }
 
-static void send_rest(struct calls *calls, struct call *call)
+static void send_unassigned(struct calls *calls, struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++)
-		if (is_idle(&call->parts[i]))
+		if (is_unassigned(&call->parts[i]))
 			call_send(calls, call, i);
 }
 
-static void send_all(struct calls *calls, struct call *call, bool may_hand_on)
+static void send_all(struct calls *calls, struct call *call, bool may_delegate)
 {
-	send_near(calls, call);
-	if (may_hand_on)
-		send_far(calls, call);
-	send_rest(calls, call);
+	send_to_near(calls, call);
+	if (may_delegate)
+		delegate_far(calls, call);
+	send_unassigned(calls, call);
 }
 
-/* Return: true if another node was asked for the whole question. */
-static bool send_whole(struct calls *calls, struct call *call)
+/* Return: true if the whole question was delegated to another node */
+static bool delegate_whole(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
@@ -460,15 +479,18 @@
 	parts = apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 	for (size_t i = 0; i < call->nparts; i++)
 		parts[i] = (uint16_t)i;
-	hand_over(calls, call, member, parts, call->nparts, 0);
+	delegate(calls, call, member, parts, call->nparts, 0);
 	return true;
 }
 
-/* Targets that other nodes asked: not known by name, only that they count. */
-static void mark_tried(struct part *part, size_t tried)
+/*
+ * Counts targets that other nodes may have sent the part to. Their keys are not
+ * known, so 0 stands for each.
+ */
+static void count_tried(struct part *part, size_t tried)
 {
-	part->again = tried > 0;
-	while (part->ntried < tried && part->ntried < CALL_TRIES_MAX)
+	part->sent_elsewhere = tried > 0;
+	while (part->ntried < tried && part->ntried < CALL_TARGETS_MAX)
 		part->tried[part->ntried++] = 0;
 }
 
@@ -483,11 +505,11 @@
 	apr_pool_cleanup_register(call->pool, state, free_state,
 				  apr_pool_cleanup_null);
 	records_init(&state->records, route->top, call->pool);
-	state->fresh = apr_palloc(call->pool,
-				  (route->nshards + 1) * sizeof(*state->fresh));
-	call->soft_at = call_has(calls, MECHANISM_SOFT_DEADLINE)
-				? merge_soft_at(call)
-				: call->give_up_at;
+	state->unreported = apr_palloc(
+		call->pool, (route->nshards + 1) * sizeof(*state->unreported));
+	call->soft_deadline = call_mechanism_on(calls, MECHANISM_SOFT_DEADLINE)
+				      ? merge_soft_deadline(call)
+				      : call->deadline;
 	call->retry_share = placement_retry_share(
 		calls->batches->placement, call->catalog, route, calls->now);
 	call->nparts = call->wanted ? call->nwanted : route->nshards;
@@ -497,58 +519,59 @@
 		call->parts[i].service =
 			route->shards[call->wanted ? call->wanted[i] : i];
 	for (size_t i = 0; i < call->nparts; i++)
-		mark_tried(&call->parts[i], call->tried);
+		count_tried(&call->parts[i], call->tried);
 }
 
 static void begin(struct calls *calls, struct call *call)
 {
 	prepare(calls, call);
-	if (call->asker.len) {
-		send_all(calls, call, call->may_hand_on);
-		if (!settle(calls, call))
+	if (call->origin.len) {
+		send_all(calls, call, call->may_delegate);
+		if (!finish_if_settled(calls, call))
 			plan_review(calls, call);
 		return;
 	}
-	if (!merge_enough(call->route, count_reachable(calls, call))) {
+	if (!merge_has_coverage(call->route, count_reachable(calls, call))) {
 		call_refuse(calls, call, 503, "too few shards have a target",
 			    RETRY_AFTER_US);
 		return;
 	}
 	if (is_suspect(calls, call)) {
-		/* The first shard whose target is free is the trial. */
-		send_rest(calls, call);
-		if (settle(calls, call))
+		/* The first shard with an available target is the trial. */
+		send_unassigned(calls, call);
+		if (finish_if_settled(calls, call))
 			return;
-	} else if (!send_whole(calls, call)) {
+	} else if (!delegate_whole(calls, call)) {
 		send_all(calls, call, true);
 	}
 	plan_review(calls, call);
 }
 
-static bool is_part(const struct flow_reply *reply)
+static bool is_valid_part(const struct flow_reply *reply)
 {
 	return reply->result == FETCH_OK && reply->status / 100 == 2 &&
 	       reply->signature.len && !reply->encoded;
 }
 
-static void take(struct call *call, struct str records, struct str signatures)
+static void add_records(struct call *call, struct str records,
+			struct str signatures)
 {
 	struct merge_state *state = call->state;
 
-	records_take(&state->records, records);
+	records_merge(&state->records, records);
 	if (state->signatures.len)
 		buf_str_add(&state->signatures, STR(", "));
 	buf_str_add(&state->signatures, signatures);
 }
 
-static void take_part(struct call *call, size_t index)
+static void mark_part_done(struct call *call, size_t index)
 {
 	struct merge_state *state = call->state;
 
 	call->parts[index].done = true;
 	call->parts[index].batched = false;
 	call->ndone++;
-	state->fresh[state->nfresh++] =
+	state->unreported[state->nunreported++] =
 		call->wanted ? call->wanted[index] : (uint16_t)index;
 }
 
@@ -556,15 +579,15 @@
 		    const struct attempt *attempt,
 		    const struct flow_reply *reply)
 {
-	if (is_part(reply)) {
-		take_part(call, attempt->part);
-		take(call, reply->body, reply->signature);
+	if (is_valid_part(reply)) {
+		mark_part_done(call, attempt->part);
+		add_records(call, reply->body, reply->signature);
 	} else if (!call->parts[attempt->part].open) {
-		send_again(calls, call, attempt->part);
+		send_retry(calls, call, attempt->part);
 	}
 	if (trial_clear(calls, call))
-		send_all(calls, call, call->may_hand_on || !call->asker.len);
-	if (!settle(calls, call) && !is_part(reply))
+		send_all(calls, call, call->may_delegate || !call->origin.len);
+	if (!finish_if_settled(calls, call) && !is_valid_part(reply))
 		plan_review(calls, call);
 }
 
@@ -575,29 +598,31 @@
 	const struct merge_state *state = call->state;
 
 	for (size_t i = 0; i < nparts; i++)
-		take_part(call, parts[i]);
+		mark_part_done(call, parts[i]);
 	if (nparts) {
-		take(call, msg->body, msg->text);
-		call_served(calls, call);
+		add_records(call, msg->body, msg->text);
+		call_mark_served(calls, call);
 	}
-	/* It may be about to retry, of which this one's asker must know. */
-	if (!msg->state && call->asker.len && !state->told)
-		tell_asker(calls, call, false);
-	settle(calls, call);
+	/* The node may be about to retry, which the origin must know first. */
+	if (!msg->state && call->origin.len && !state->reported)
+		report_to_origin(calls, call, false);
+	finish_if_settled(calls, call);
 }
 
 /*
- * A small VM that merges by itself takes longer than the goal. It hands the
- * shards to another merging node once more. Return: false where it may not.
+ * A small VM that merges by itself takes longer than the goal, so it delegates
+ * the shards to another merging node once more.
+ *
+ * Return: false if that is not possible.
  */
-static bool hand_over_again(struct calls *calls, struct call *call,
-			    const uint16_t *parts, size_t nparts, size_t tried)
+static bool delegate_again(struct calls *calls, struct call *call,
+			   const uint16_t *parts, size_t nparts, size_t tried)
 {
 	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
 
-	if (call->asker.len || nparts < BATCH_LEAST ||
-	    call->handed >= HANDED_MOST ||
+	if (call->origin.len || nparts < BATCH_SHARDS_MIN ||
+	    call->handovers >= HANDOVERS_MAX ||
 	    (int)tried >= call->route->attempts || is_suspect(calls, call) ||
 	    placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
@@ -606,7 +631,7 @@
 				  calls->now);
 	if (!member)
 		return false;
-	hand_over(calls, call, member, parts, nparts, tried);
+	delegate(calls, call, member, parts, nparts, tried);
 	return true;
 }
 
@@ -615,12 +640,12 @@
 {
 	for (size_t i = 0; i < nparts; i++) {
 		call->parts[parts[i]].batched = false;
-		mark_tried(&call->parts[parts[i]], tried);
+		count_tried(&call->parts[parts[i]], tried);
 	}
-	if (!hand_over_again(calls, call, parts, nparts, tried))
+	if (!delegate_again(calls, call, parts, nparts, tried))
 		for (size_t i = 0; i < nparts; i++)
-			send_again(calls, call, parts[i]);
-	if (!settle(calls, call))
+			send_retry(calls, call, parts[i]);
+	if (!finish_if_settled(calls, call))
 		plan_review(calls, call);
 }
 
@@ -639,7 +664,7 @@
 
 const struct call_kind merge_kind = {
 	.name = "merge",
-	.in_line = true,
+	.may_queue = true,
 	.begin = begin,
 	.replied = replied,
 	.review = review,
--- a/placement.c
+++ b/placement.c
@@ -54,10 +54,11 @@
 };
 
 void placement_init(struct placement *placement, struct gossip *gossip,
-		    struct roster *roster, struct rng *rng, uint32_t without)
+		    struct balancer *balancer, struct rng *rng,
+		    uint32_t without)
 {
 	*placement = (struct placement){ .gossip = gossip,
-					 .roster = roster,
+					 .balancer = balancer,
 					 .rng = rng,
 					 .without = without };
 }
@@ -88,15 +89,16 @@
 	size_t nseen = 0;
 
 	for (struct live_target *target =
-		     roster_first(placement->roster, service);
+		     balancer_first(placement->balancer, service);
 	     target; target = target->next) {
 		struct coverage *coverage =
 			coverage_get(coverages, count, target->domain_key);
 		bool counted = false;
-		enum target_use use =
-			roster_use(placement->roster, target, now);
+		enum target_availability use =
+			balancer_availability(placement->balancer, target, now);
 
-		if (!coverage || use == USE_LEAVING || use == USE_DOMAIN_OUT)
+		if (!coverage || use == AVAIL_LEAVING ||
+		    use == AVAIL_DOMAIN_OUT)
 			continue;
 		for (size_t i = 0; i < nseen; i++)
 			counted = counted || seen[i] == target->domain_key;
@@ -285,7 +287,7 @@
 		catalog_service(catalog, route->shards[0]);
 	int merging = (int)plan->count + plan->self;
 	int near = plan->self;
-	struct conn_bound bound;
+	struct conn_limit bound;
 
 	if (!service || !plan->self || !domains || !placement->discovery_done ||
 	    !mechanism_enabled(placement->without, MECHANISM_SHARED_CONNS))
@@ -295,7 +297,8 @@
 	bound = directory_conns(service->max_conns, near,
 				merging - merging / (int)domains);
 	for (size_t i = 0; i < route->nshards; i++)
-		roster_conn_bound(placement->roster, route->shards[i], bound);
+		balancer_set_conn_limit(placement->balancer, route->shards[i],
+					bound);
 }
 
 static void make_plan(struct placement *placement, struct placement_plan *plan,
--- a/placement.h
+++ b/placement.h
@@ -2,7 +2,7 @@
 
 #include "catalog.h"
 #include "gossip.h"
-#include "roster.h"
+#include "balancer.h"
 
 /**
  * DOC: placement of merges on nodes
@@ -45,7 +45,7 @@
  */
 struct placement {
 	struct gossip *gossip;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct rng *rng;
 	bool discovery_done;
 	uint32_t without;
@@ -53,7 +53,8 @@
 };
 
 void placement_init(struct placement *placement, struct gossip *gossip,
-		    struct roster *roster, struct rng *rng, uint32_t without);
+		    struct balancer *balancer, struct rng *rng,
+		    uint32_t without);
 /** placement_is_local() - whether this node merges questions of @route. */
 bool placement_is_local(struct placement *placement,
 			const struct catalog *catalog,
--- a/relay.c
+++ b/relay.c
@@ -95,7 +95,7 @@
 		     int64_t now)
 {
 	struct flow_effect *fx = flow_add(relay->fx, FLOW_PEER_SEND);
-	int64_t lost = now - roster_store_lost_at(relay->dir->roster);
+	int64_t lost = now - balancer_store_lost_at(relay->dir->balancer);
 
 	fx->addr = str_dup(relay->fx->pool, addr);
 	fx->msg.kind = kind;
@@ -277,7 +277,7 @@
 		return;
 	}
 	if (msg->wait_us)
-		roster_store_lost(dir->roster, now - msg->wait_us);
+		balancer_on_store_lost(dir->balancer, now - msg->wait_us);
 	directory_merge(dir, items, count, now);
 	apr_pool_destroy(pool);
 	/* Changes between the two revisions are missing: request them. */
--- a/tier.c
+++ b/tier.c
@@ -54,7 +54,7 @@
 	const struct dialect *dialect;
 	uint64_t incarnation;
 	struct flow_effects *fx;
-	struct roster *roster;
+	struct balancer *balancer;
 	struct note_book notes;
 	struct directory dir;
 	struct reader reader;
@@ -123,7 +123,7 @@
 
 static bool is_published(const void *ctx, const struct poison_crash *crash)
 {
-	return roster_lists(ctx, crash->key, crash->born_ms);
+	return balancer_is_published(ctx, crash->key, crash->born_ms);
 }
 
 struct tier *tier_create(const struct tier_options *opt, int64_t now,
@@ -139,15 +139,15 @@
 	tier->incarnation = opt->incarnation;
 	tier->fx = fx;
 	tier->notes.fx = fx;
-	tier->roster =
-		roster_create(tier->pool, tier->settings.domain, opt->without);
-	directory_init(&tier->dir, tier->pool, opt->dialect, tier->roster,
+	tier->balancer = balancer_create(tier->pool, tier->settings.domain,
+					 opt->without);
+	directory_init(&tier->dir, tier->pool, opt->dialect, tier->balancer,
 		       &tier->notes);
 	tier->dir.cold_factor = tier->settings.cold_factor;
 	tier->dir.cold_extra = tier->settings.cold_extra;
 	reader_init(&tier->reader, &tier->dir, fx, now);
 	calls_init(&tier->calls, tier->pool, opt->seed);
-	tier->calls.roster = tier->roster;
+	tier->calls.balancer = tier->balancer;
 	tier->calls.budget =
 		budget_create(tier->pool, budget_rules_of(&tier->settings));
 	tier->calls.without = opt->without;
@@ -160,13 +160,13 @@
 		tier->settings.first_start ||
 			!mechanism_enabled(opt->without, MECHANISM_QUICK_START),
 		now);
-	placement_init(&tier->placement, &tier->gossip, tier->roster,
+	placement_init(&tier->placement, &tier->gossip, tier->balancer,
 		       &tier->calls.rng, opt->without);
 	batch_table_init(&tier->batches, tier->pool, &tier->gossip,
 			 &tier->placement);
 	merge_init(&tier->calls, &tier->batches);
 	poison_init(&tier->poison, tier->pool,
-		    (struct poison_targets){ is_published, tier->roster });
+		    (struct poison_targets){ is_published, tier->balancer });
 	tier->poison_sync = (struct poison_sync){
 		.poison = &tier->poison,
 		.transport = { broadcast_evidence, send_evidence, tier },
@@ -186,7 +186,7 @@
 	budget_destroy(tier->calls.budget);
 	reader_destroy(&tier->reader);
 	directory_destroy(&tier->dir);
-	roster_destroy(tier->roster);
+	balancer_destroy(tier->balancer);
 	apr_pool_destroy(tier->pool);
 	free(tier);
 }
@@ -214,7 +214,7 @@
 {
 	bool store_down = tier->reader.failures > 0;
 
-	return call_spread(&tier->calls, store_down ? STORE_DOWN_RETRY_US
+	return call_jitter(&tier->calls, store_down ? STORE_DOWN_RETRY_US
 						    : STARTING_RETRY_US);
 }
 
@@ -358,7 +358,7 @@
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
 	return now - tier->dir.read_at < STORE_FRESH_US &&
-	       now - roster_store_lost_at(tier->roster) > STORE_RECOVERY_US;
+	       now - balancer_store_lost_at(tier->balancer) > STORE_RECOVERY_US;
 }
 
 static void on_msg(struct tier *tier, const struct flow_event *event)
@@ -435,7 +435,7 @@
 	directory_bounds(&tier->dir, nodes, near);
 	tier->placement.discovery_done = discovery_done;
 	placement_invalidate(&tier->placement);
-	budget_nodes(tier->calls.budget, nodes);
+	budget_set_nodes(tier->calls.budget, nodes);
 }
 
 /* Removes old entries: the tables must not grow with every target ever seen. */
@@ -444,7 +444,7 @@
 	if (tier->calls.now < tier->sweep_at)
 		return;
 	tier->sweep_at = tier->calls.now + SWEEP_US;
-	roster_sweep(tier->roster, tier->calls.now);
+	balancer_remove_expired(tier->balancer, tier->calls.now);
 	directory_sweep(&tier->dir, tier->calls.now);
 	poison_sweep(&tier->poison, store_is_fresh(tier, tier->calls.now),
 		     tier->calls.now);
@@ -455,7 +455,7 @@
 	struct timer due;
 
 	while (timer_pop(&tier->calls.timers, tier->calls.now, &due))
-		call_due(&tier->calls, &due);
+		call_on_timer(&tier->calls, &due);
 }
 
 void tier_reduce(struct tier *tier, const struct flow_event *event,
@@ -480,7 +480,7 @@
 		on_caller_gone(tier, event->id);
 		break;
 	case FLOW_REPLY:
-		call_replied(&tier->calls, event->id, event->reply);
+		call_on_reply(&tier->calls, event->id, event->reply);
 		break;
 	case FLOW_STORE:
 		reader_reply(&tier->reader, event->store, event->now);
@@ -548,9 +548,9 @@
 		     tier->calls.nopen);
 	metric_gauge(out, "waiting",
 		     "shards of requests that wait for a target",
-		     lines_count(tier->calls.lines));
+		     wait_queues_count(tier->calls.wait_queues));
 	metric_gauge(out, "targets", "targets in the table",
-		     roster_count(tier->roster));
+		     balancer_count(tier->balancer));
 	metric_gauge(out, "nodes", "nodes that share bounds with this one",
 		     (uint64_t)dir->nodes);
 	metric_gauge(out, "configuration_version", "in force",
--- a/trial.c
+++ b/trial.c
@@ -38,8 +38,8 @@
 			poison_lease(calls->poison, &call->print, calls->now));
 		return;
 	}
-	call->trial.state = TRIAL_ASKED;
-	call->trial.until = calls->now + LEASE_REPLY_TIMEOUT_US;
+	call->trial.state = TRIAL_REQUESTED;
+	call->trial.grant_deadline = calls->now + LEASE_REPLY_TIMEOUT_US;
 	fx = flow_add(calls->fx, FLOW_PEER_SEND);
 	fx->addr = str_dup(calls->fx->pool, owner->addr);
 	fx->msg.kind = MSG_TRY;
@@ -68,7 +68,7 @@
 {
 	struct call *call = call_find(calls, msg->id);
 
-	if (!call || call->trial.state != TRIAL_ASKED)
+	if (!call || call->trial.state != TRIAL_REQUESTED)
 		return;
 	set_lease(calls, call, msg->state);
 	call->kind->review(calls, call);
@@ -77,8 +77,8 @@
 /* Return: the owner has not replied, and its timeout has not expired. */
 static bool awaits_lease(const struct calls *calls, const struct call *call)
 {
-	return call->trial.state == TRIAL_ASKED &&
-	       calls->now < call->trial.until;
+	return call->trial.state == TRIAL_REQUESTED &&
+	       calls->now < call->trial.grant_deadline;
 }
 
 static bool has_lease(const struct call *call)
@@ -101,7 +101,7 @@
 	if (call->attempts || call->batches)
 		return false;
 	/* Only the node of the caller runs trials. */
-	if (call->asker.len)
+	if (call->origin.len)
 		return true;
 	return call->trial.state != TRIAL_NONE && !awaits_lease(calls, call) &&
 	       !has_lease(call);
@@ -127,7 +127,7 @@
 	call->trial.held = true;
 	if (trial_exhausted(calls, call))
 		return SEND_BLOCKED;
-	if (call->attempts || call->batches || call->asker.len ||
+	if (call->attempts || call->batches || call->origin.len ||
 	    has_untried_part(call, part))
 		return SEND_HELD;
 	if (call->trial.state == TRIAL_NONE)
