--- a/conf.c
+++ b/doc_sync.c
@@ -1,4 +1,4 @@
-#include "conf.h"
+#include "doc_sync.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/member.c
+++ b/member.c
@@ -4,7 +4,7 @@
 
 #include <xxhash.h>
 
-#include "conf.h"
+#include "doc_sync.h"
 #include "front.h"
 #include "front_poison.h"
 #include "gate.h"
--- a/node.c
+++ b/node.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#include "conf.h"
+#include "doc_sync.h"
 #include "front.h"
 #include "front_poison.h"
 #include "gate.h"
--- a/once.h
+++ b/once.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "ask.h"
+#include "request.h"
 #include "member.h"
 
 /**
--- a/ask.c
+++ b/request.c
@@ -1,4 +1,4 @@
-#include "ask.h"
+#include "request.h"
 
 #include <stdlib.h>
 
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -9,7 +9,7 @@
 mkdir -p out/corpus
 clang -g -O1 -fsanitize=fuzzer,address,undefined -D_GNU_SOURCE \
 	$(pkg-config --cflags apr-1 apr-util-1 libprotobuf-c jansson libcurl) \
-	tests/fuzz_input.c ask.c config.c doc.c error.c json.c str.c target.c \
+	tests/fuzz_input.c request.c config.c doc.c error.c json.c str.c target.c \
 	wire.c wire.pb-c.c xmalloc.c catalog.c parcel.c platform/*.c -o out/fuzz-input \
 	$(pkg-config --libs apr-1 apr-util-1 libprotobuf-c jansson libxxhash libcurl)
 # A whole frame, a list and a question to begin with.
--- a/serve.c
+++ b/serve.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#include "ask.h"
+#include "request.h"
 #include "audit.h"
 #include "fetch.h"
 #include "http.h"
--- a/snapshot.h
+++ b/snapshot.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "ask.h"
+#include "request.h"
 #include "node.h"
 
 /** DOC: choice of the one snapshot that a question is answered from */
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -8,7 +8,7 @@
 
 #include <check.h>
 
-#include "../ask.h"
+#include "../request.h"
 #include "../config.h"
 #include "../doc.h"
 #include "../latency.h"
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -4,7 +4,7 @@
  */
 #include <apr_general.h>
 
-#include "../ask.h"
+#include "../request.h"
 #include "../config.h"
 #include "../doc.h"
 #include "../parcel.h"
