--- a/doc_sync.c
+++ b/doc_sync.c
@@ -8,33 +8,34 @@
 
 enum {
 	WATCHERS = 2,
-	WATCH_US = 1000000,
-	LOOK_AGE_US = 2000000,
-	LOOKERS = 2,
+	WATCH_WAIT_US = 1000000,
+	EXTRA_READ_AGE_US = 2000000,
+	EXTRA_READERS = 2,
 	POLL_MIN_US = 5000000,
 	POLL_PER_VM_US = 20000,
 	RETRY_US = 200000,
 	RETRY_MAX_SHIFT = 4,
-	ASK_PEER_US = 500000,
-	JOIN_US = 600000,
+	PEER_FETCH_TIMEOUT_US = 500000,
+	JOIN_MIN_US = 600000,
 	JOIN_MAX_US = 3000000,
 	TIMER_JOIN = DOC_KINDS,
 };
 
 static bool is_newer(uint64_t version, uint64_t hash,
-		     const struct conf_doc *doc)
+		     const struct synced_doc *doc)
 {
 	if (version != doc->version)
 		return version > doc->version;
 	return hash > doc->hash;
 }
 
-bool conf_behind(const struct node *node)
+bool doc_sync_behind(const struct node *node)
 {
-	const struct conf *conf = node->conf;
+	const struct doc_sync *doc_sync = node->doc_sync;
 
 	for (int i = 0; i < DOC_KINDS; i++)
-		if (conf->docs[i].behind > conf->docs[i].version)
+		if (doc_sync->docs[i].offered_version >
+		    doc_sync->docs[i].version)
 			return true;
 	return false;
 }
@@ -46,7 +47,7 @@
 
 static void read_doc(struct node *node, enum doc_kind kind, int64_t wait)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
 	if (doc->reading)
 		return;
@@ -76,9 +77,9 @@
 	return period > POLL_MIN_US ? period : POLL_MIN_US;
 }
 
-static void read_again(struct node *node, enum doc_kind kind)
+static void schedule_read(struct node *node, enum doc_kind kind)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 	int shift = doc->failures < RETRY_MAX_SHIFT ? doc->failures
 						    : RETRY_MAX_SHIFT;
 
@@ -86,18 +87,18 @@
 		timer_add(&node->timers,
 			  node->now + jitter(node, (int64_t)RETRY_US << shift),
 			  TIMER_CONF, kind);
-	else if (!node->conf->joined)
+	else if (!node->doc_sync->joined)
 		timer_add(&node->timers, node->now + RETRY_US, TIMER_CONF,
 			  kind);
 	else if (is_watcher(node, kind))
-		read_doc(node, kind, WATCH_US);
+		read_doc(node, kind, WATCH_WAIT_US);
 	else
 		timer_add(&node->timers,
 			  node->now + jitter(node, poll_period(node)),
 			  TIMER_CONF, kind);
 }
 
-void conf_read_now(struct node *node)
+void doc_sync_read_now(struct node *node)
 {
 	read_doc(node, DOC_LISTS, 0);
 	read_doc(node, DOC_FLEET, 0);
@@ -109,30 +110,31 @@
  * heartbeats everyone knows the age of the newest reading; once it is old, a
  * few nodes a second look, whatever the size of the fleet.
  */
-void conf_look(struct node *node, int64_t fresh_age)
+void doc_sync_read_if_stale(struct node *node, int64_t platform_age)
 {
-	if (!node->conf->joined || fresh_age < LOOK_AGE_US ||
-	    rng_below(&node->rng, member_count(node)) >= LOOKERS)
+	if (!node->doc_sync->joined || platform_age < EXTRA_READ_AGE_US ||
+	    rng_below(&node->rng, member_count(node)) >= EXTRA_READERS)
 		return;
-	conf_read_now(node);
+	doc_sync_read_now(node);
 }
 
-void conf_init(struct node *node)
+void doc_sync_init(struct node *node)
 {
-	node->conf = xcalloc(1, sizeof(*node->conf));
-	node->conf->join_at = node->now + JOIN_US;
-	node->conf->join_by = INT64_MAX;
-	conf_read_now(node);
-	timer_add(&node->timers, node->conf->join_at, TIMER_CONF, TIMER_JOIN);
+	node->doc_sync = xcalloc(1, sizeof(*node->doc_sync));
+	node->doc_sync->join_at = node->now + JOIN_MIN_US;
+	node->doc_sync->join_by = INT64_MAX;
+	doc_sync_read_now(node);
+	timer_add(&node->timers, node->doc_sync->join_at, TIMER_CONF,
+		  TIMER_JOIN);
 }
 
-void conf_destroy(struct node *node)
+void doc_sync_destroy(struct node *node)
 {
 	for (int i = 0; i < DOC_KINDS; i++) {
-		buf_free(&node->conf->docs[i].body);
-		buf_free(&node->conf->candidate[i]);
+		buf_free(&node->doc_sync->docs[i].body);
+		buf_free(&node->doc_sync->candidate[i]);
 	}
-	free(node->conf);
+	free(node->doc_sync);
 }
 
 static void audit_doc(struct node *node, enum doc_kind kind, uint64_t from,
@@ -146,10 +148,10 @@
 	node_audit(node, doc_name(kind), str_of(old), str_of(new), why, to);
 }
 
-static void keep(struct node *node, enum doc_kind kind, uint64_t version,
-		 uint64_t hash, struct str body, const char *why)
+static void store_doc(struct node *node, enum doc_kind kind, uint64_t version,
+		      uint64_t hash, struct str body, const char *why)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
 	audit_doc(node, kind, doc->version, version, why);
 	node->counters[CNT_DOCS_ACCEPTED]++;
@@ -166,10 +168,10 @@
  * bodies with one version are an operator's slip; the higher hash wins
  * everywhere, so that the nodes at least agree.
  */
-static bool may_take(struct node *node, enum doc_kind kind, uint64_t version,
-		     uint64_t hash)
+static bool should_accept(struct node *node, enum doc_kind kind,
+			  uint64_t version, uint64_t hash)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
 	if (hash == doc->hash && version == doc->version)
 		return false;
@@ -189,78 +191,78 @@
 	return false;
 }
 
-static void refuse(struct node *node, enum doc_kind kind, struct str body,
-		   const struct error *err)
+static void refuse_doc(struct node *node, enum doc_kind kind, struct str body,
+		       const struct error *err)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 	uint64_t hash = str_hash(body);
 
 	if (doc->refused == hash)
 		return;
 	doc->refused = hash;
-	doc->behind = doc->version;
+	doc->offered_version = doc->version;
 	node->counters[CNT_DOCS_REFUSED]++;
 	audit_doc(node, kind, doc->version, doc->version, err->text);
 }
 
-static bool take_lists(struct node *node, struct str body, const char *why)
+static bool accept_lists(struct node *node, struct str body, const char *why)
 {
 	struct error err = { 0 };
 	struct lists *lists = lists_parse(body, &err);
 
 	if (!lists) {
-		refuse(node, DOC_LISTS, body, &err);
+		refuse_doc(node, DOC_LISTS, body, &err);
 		return false;
 	}
-	if (!may_take(node, DOC_LISTS, lists->version, lists->hash)) {
+	if (!should_accept(node, DOC_LISTS, lists->version, lists->hash)) {
 		lists_free(lists);
 		return false;
 	}
-	keep(node, DOC_LISTS, lists->version, lists->hash, body, why);
+	store_doc(node, DOC_LISTS, lists->version, lists->hash, body, why);
 	lists_free(node->lists);
 	node->lists = lists;
 	return true;
 }
 
-static bool take_fleet(struct node *node, struct str body, const char *why)
+static bool accept_fleet(struct node *node, struct str body, const char *why)
 {
 	struct error err = { 0 };
 	struct fleet *fleet = fleet_parse(body, &err);
 
 	if (!fleet) {
-		refuse(node, DOC_FLEET, body, &err);
+		refuse_doc(node, DOC_FLEET, body, &err);
 		return false;
 	}
-	if (!may_take(node, DOC_FLEET, fleet->version, fleet->hash)) {
+	if (!should_accept(node, DOC_FLEET, fleet->version, fleet->hash)) {
 		fleet_unref(fleet);
 		return false;
 	}
-	keep(node, DOC_FLEET, fleet->version, fleet->hash, body, why);
+	store_doc(node, DOC_FLEET, fleet->version, fleet->hash, body, why);
 	fleet_unref(node->fleet);
 	node->fleet = fleet;
 	member_fleet_changed(node);
 	return true;
 }
 
-static void take(struct node *node, enum doc_kind kind, struct str body,
-		 const char *why)
+static void accept_doc(struct node *node, enum doc_kind kind, struct str body,
+		       const char *why)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
 	if (doc->refused && str_hash(body) == doc->refused)
 		return;
-	bool taken = kind == DOC_LISTS ? take_lists(node, body, why)
-				       : take_fleet(node, body, why);
+	bool accepted = kind == DOC_LISTS ? accept_lists(node, body, why)
+					  : accept_fleet(node, body, why);
 
-	if (taken)
+	if (accepted)
 		node_view_changed(node);
-	if (taken && kind == DOC_FLEET)
+	if (accepted && kind == DOC_FLEET)
 		replica_forget(node);
 	member_caught_up(node);
 }
 
 /* The VMs named in a fleet that is not in force yet are asked for newer. */
-static void probe_candidate(struct node *node, struct str body)
+static void probe_candidate_vms(struct node *node, struct str body)
 {
 	struct error err = { 0 };
 	struct fleet *fleet = fleet_parse(body, &err);
@@ -276,44 +278,45 @@
 static void set_candidate(struct node *node, enum doc_kind kind,
 			  struct str body)
 {
-	struct conf *conf = node->conf;
-	bool first = !conf->candidate[kind].len;
+	struct doc_sync *doc_sync = node->doc_sync;
+	bool first = !doc_sync->candidate[kind].len;
 
-	conf->candidate[kind].len = 0;
-	buf_str_add(&conf->candidate[kind], body);
+	doc_sync->candidate[kind].len = 0;
+	buf_str_add(&doc_sync->candidate[kind], body);
 	if (kind == DOC_FLEET && first) {
-		probe_candidate(node, body);
-		conf->join_at = node->now + JOIN_US;
-		conf->join_by = node->now + JOIN_MAX_US;
-		timer_add(&node->timers, conf->join_at, TIMER_CONF, TIMER_JOIN);
+		probe_candidate_vms(node, body);
+		doc_sync->join_at = node->now + JOIN_MIN_US;
+		doc_sync->join_by = node->now + JOIN_MAX_US;
+		timer_add(&node->timers, doc_sync->join_at, TIMER_CONF,
+			  TIMER_JOIN);
 	}
 }
 
-void conf_offered(struct node *node, const struct vm *vm, enum doc_kind kind,
-		  uint64_t version, uint64_t hash)
+void doc_sync_on_offer(struct node *node, const struct vm *vm,
+		       enum doc_kind kind, uint64_t version, uint64_t hash)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
 	if (!version || !is_newer(version, hash, doc) || hash == doc->refused)
 		return;
-	if (version > doc->behind)
-		doc->behind = version;
-	if (node->now < doc->asked_until)
+	if (version > doc->offered_version)
+		doc->offered_version = version;
+	if (node->now < doc->peer_fetch_until)
 		return;
-	doc->asked_until = node->now + ASK_PEER_US;
+	doc->peer_fetch_until = node->now + PEER_FETCH_TIMEOUT_US;
 
 	struct msg msg = { .kind = MSG_DOC_GET, .doc = kind };
 
 	node_send(node, vm->addr, vm->incarnation, &msg);
 }
 
-void conf_asked(struct node *node, struct str from, uint64_t incarnation,
-		const struct msg *msg)
+void doc_sync_on_request(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg)
 {
 	if (msg->doc >= DOC_KINDS)
 		return;
 
-	struct conf_doc *doc = &node->conf->docs[msg->doc];
+	struct synced_doc *doc = &node->doc_sync->docs[msg->doc];
 	struct msg reply = {
 		.kind = MSG_DOC,
 		.doc = msg->doc,
@@ -326,12 +329,12 @@
 		node_send(node, from, incarnation, &reply);
 }
 
-void conf_peer_doc(struct node *node, const struct msg *msg)
+void doc_sync_on_peer_doc(struct node *node, const struct msg *msg)
 {
 	if (msg->doc >= DOC_KINDS)
 		return;
-	node->conf->docs[msg->doc].asked_until = 0;
-	take(node, (enum doc_kind)msg->doc, msg->body, "from a peer");
+	node->doc_sync->docs[msg->doc].peer_fetch_until = 0;
+	accept_doc(node, (enum doc_kind)msg->doc, msg->body, "from a peer");
 }
 
 /*
@@ -339,46 +342,48 @@
  * may be older than a change that was published meanwhile. Taken for fresh, it
  * would confirm the old view. It counts for nothing and is read again.
  */
-static void answered(struct node *node, enum doc_kind kind, bool current)
+static void on_platform_reply(struct node *node, enum doc_kind kind,
+			      bool current)
 {
-	if (node->conf->docs[kind].read_at < node->member->paused_at) {
+	if (node->doc_sync->docs[kind].read_at < node->member->paused_at) {
 		read_doc(node, kind, 0);
 		return;
 	}
 	if (current && kind == DOC_FLEET)
 		member_platform_read(node);
-	read_again(node, kind);
+	schedule_read(node, kind);
 }
 
-void conf_platform_doc(struct node *node, enum doc_kind kind, struct str body)
+void doc_sync_on_platform_doc(struct node *node, enum doc_kind kind,
+			      struct str body)
 {
-	struct conf_doc *doc = &node->conf->docs[kind];
+	struct synced_doc *doc = &node->doc_sync->docs[kind];
 	uint64_t stale = node->counters[CNT_DOCS_STALE];
 
 	doc->reading = false;
 	doc->failures = 0;
-	if (node->conf->joined)
-		take(node, kind, body, "from the platform");
+	if (node->doc_sync->joined)
+		accept_doc(node, kind, body, "from the platform");
 	else
 		set_candidate(node, kind, body);
 	/* A platform that serves an old document is no proof of freshness. */
 	doc->failures = stale != node->counters[CNT_DOCS_STALE];
-	answered(node, kind, !doc->failures);
+	on_platform_reply(node, kind, !doc->failures);
 }
 
-void conf_platform_same(struct node *node, enum doc_kind kind)
+void doc_sync_on_unchanged(struct node *node, enum doc_kind kind)
 {
-	node->conf->docs[kind].reading = false;
-	node->conf->docs[kind].failures = 0;
-	answered(node, kind, true);
+	node->doc_sync->docs[kind].reading = false;
+	node->doc_sync->docs[kind].failures = 0;
+	on_platform_reply(node, kind, true);
 }
 
-void conf_platform_failed(struct node *node, enum doc_kind kind)
+void doc_sync_on_failure(struct node *node, enum doc_kind kind)
 {
-	node->conf->docs[kind].reading = false;
-	node->conf->docs[kind].failures++;
+	node->doc_sync->docs[kind].reading = false;
+	node->doc_sync->docs[kind].failures++;
 	node->counters[CNT_PLATFORM_FAILED]++;
-	read_again(node, kind);
+	schedule_read(node, kind);
 }
 
 /*
@@ -386,42 +391,43 @@
  * document in force and act on it. So the first reading is only a candidate
  * until the VMs that it names had time to offer something newer.
  */
-static void join(struct node *node)
+static void try_join(struct node *node)
 {
-	struct conf *conf = node->conf;
+	struct doc_sync *doc_sync = node->doc_sync;
 
-	if (conf->joined)
+	if (doc_sync->joined)
 		return;
-	if (node->now < conf->join_at ||
-	    (conf_behind(node) && node->now < conf->join_by)) {
-		timer_add(&node->timers, node->now + JOIN_US / 4, TIMER_CONF,
-			  TIMER_JOIN);
+	if (node->now < doc_sync->join_at ||
+	    (doc_sync_behind(node) && node->now < doc_sync->join_by)) {
+		timer_add(&node->timers, node->now + JOIN_MIN_US / 4,
+			  TIMER_CONF, TIMER_JOIN);
 		return;
 	}
 	for (int i = 0; i < DOC_KINDS; i++)
-		if (conf->candidate[i].len)
-			take(node, (enum doc_kind)i,
-			     buf_str(&conf->candidate[i]),
-			     "first reading, after asking the peers");
+		if (doc_sync->candidate[i].len)
+			accept_doc(node, (enum doc_kind)i,
+				   buf_str(&doc_sync->candidate[i]),
+				   "first reading, after asking the peers");
 	if (!node->lists || !node->fleet) {
 		for (int i = 0; i < DOC_KINDS; i++)
-			conf->candidate[i].len = 0;
-		conf_read_now(node);
+			doc_sync->candidate[i].len = 0;
+		doc_sync_read_now(node);
 		timer_add(&node->timers, node->now + RETRY_US, TIMER_CONF,
 			  TIMER_JOIN);
 		return;
 	}
-	conf->joined = true;
+	doc_sync->joined = true;
 	if (member_state(node) == VM_STARTING)
 		member_set_state(node, VM_LIVE);
-	conf_read_now(node);
+	doc_sync_read_now(node);
 }
 
-void conf_timer(struct node *node, uint64_t kind)
+void doc_sync_on_timer(struct node *node, uint64_t kind)
 {
 	if (kind == TIMER_JOIN)
-		join(node);
+		try_join(node);
 	else
 		read_doc(node, (enum doc_kind)kind,
-			 is_watcher(node, (enum doc_kind)kind) ? WATCH_US : 0);
+			 is_watcher(node, (enum doc_kind)kind) ? WATCH_WAIT_US
+							       : 0);
 }
--- a/doc_sync.h
+++ b/doc_sync.h
@@ -12,15 +12,15 @@
  */
 
 /**
- * struct conf_doc - one of the two documents
+ * struct synced_doc - one of the two documents
  * @body: bytes of the one in force, for peers; on the heap
  * @version, @hash: of the one in force, 0 when there is none
  * @refused: hash of the last refused body, so it is judged once
  * @reading: a read of the platform is under way, begun at @read_at
- * @asked_until: a peer was asked for the body; ask another after this time
- * @behind: highest version that a peer offered
+ * @peer_fetch_until: a peer was asked for the body; ask another after this time
+ * @offered_version: highest version that a peer offered
  */
-struct conf_doc {
+struct synced_doc {
 	struct buf body;
 	uint64_t version;
 	uint64_t hash;
@@ -29,32 +29,34 @@
 	bool reading;
 	int64_t read_at;
 	int failures;
-	int64_t asked_until;
-	uint64_t behind;
+	int64_t peer_fetch_until;
+	uint64_t offered_version;
 };
 
-struct conf {
-	struct conf_doc docs[DOC_KINDS];
+struct doc_sync {
+	struct synced_doc docs[DOC_KINDS];
 	struct buf candidate[DOC_KINDS];
 	bool joined;
 	int64_t join_at; /* earliest end of the join */
 	int64_t join_by; /* latest end, once a candidate is there */
 };
 
-void conf_init(struct node *node);
-void conf_destroy(struct node *node);
-void conf_offered(struct node *node, const struct vm *vm, enum doc_kind kind,
-		  uint64_t version, uint64_t hash);
-void conf_asked(struct node *node, struct str from, uint64_t incarnation,
-		const struct msg *msg);
-void conf_peer_doc(struct node *node, const struct msg *msg);
-void conf_platform_doc(struct node *node, enum doc_kind kind, struct str body);
-void conf_platform_same(struct node *node, enum doc_kind kind);
-void conf_platform_failed(struct node *node, enum doc_kind kind);
-void conf_timer(struct node *node, uint64_t kind);
-/** conf_look() - once a heartbeat: read, by chance, if nobody has of late. */
-void conf_look(struct node *node, int64_t fresh_age);
-/** conf_read_now() - read both documents at once (after a pause). */
-void conf_read_now(struct node *node);
-/** conf_behind() - a peer has a newer document than is in force here. */
-bool conf_behind(const struct node *node);
+void doc_sync_init(struct node *node);
+void doc_sync_destroy(struct node *node);
+void doc_sync_on_offer(struct node *node, const struct vm *vm,
+		       enum doc_kind kind, uint64_t version, uint64_t hash);
+void doc_sync_on_request(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
+void doc_sync_on_peer_doc(struct node *node, const struct msg *msg);
+void doc_sync_on_platform_doc(struct node *node, enum doc_kind kind,
+			      struct str body);
+void doc_sync_on_unchanged(struct node *node, enum doc_kind kind);
+void doc_sync_on_failure(struct node *node, enum doc_kind kind);
+void doc_sync_on_timer(struct node *node, uint64_t kind);
+/** doc_sync_read_if_stale() - once a heartbeat: read, by chance, if nobody has
+ * of late. */
+void doc_sync_read_if_stale(struct node *node, int64_t platform_age);
+/** doc_sync_read_now() - read both documents at once (after a pause). */
+void doc_sync_read_now(struct node *node);
+/** doc_sync_behind() - a peer has a newer document than is in force here. */
+bool doc_sync_behind(const struct node *node);
--- a/front.c
+++ b/front.c
@@ -136,7 +136,7 @@
 		.remaining_us = q->hard_at - node->now,
 		.state = leaf->nattempts > 0,
 		.name = leaf->shard->index,
-		.text = q->ask.terms,
+		.text = q->query.terms,
 	};
 
 	*attempt = (struct attempt){
@@ -199,7 +199,7 @@
 
 	if (q->restarted || q->hard_at - node->now < node->now - q->start)
 		return false;
-	other = snapshot_choose(node, &q->ask, q->fleet, q->plan.floor,
+	other = snapshot_choose(node, &q->query, q->fleet, q->plan.floor,
 				q->snapshot, &count, &total);
 	if (!other || node->front->budget < (double)q->nleafs / 2)
 		return false;
@@ -326,13 +326,13 @@
 	size_t n = 0;
 
 	q->leafs = apr_pcalloc(q->pool, q->nleafs * sizeof(struct leaf));
-	for (size_t i = 0; i < q->ask.nindexes; i++) {
+	for (size_t i = 0; i < q->query.nindexes; i++) {
 		size_t count;
-		const struct shard *shards =
-			snapshot_range(q->snapshot, q->ask.indexes[i], &count);
+		const struct shard *shards = snapshot_range(
+			q->snapshot, q->query.indexes[i], &count);
 
 		for (size_t j = 0; j < count; j++)
-			if (snapshot_wants(&q->ask, shards[j].id))
+			if (snapshot_wants(&q->query, shards[j].id))
 				q->leafs[n++].shard = &shards[j];
 	}
 	q->open_leafs = q->nleafs;
--- a/front.h
+++ b/front.h
@@ -79,7 +79,7 @@
 	apr_pool_t *pool;
 	uint64_t id;
 	uint64_t caller;
-	struct ask ask;
+	struct query query;
 	struct plan plan;
 	bool waiting;
 	struct fleet *fleet;
--- a/front_admit.c
+++ b/front_admit.c
@@ -32,20 +32,20 @@
 	return 0;
 }
 
-static int check_plan(const struct node *node, const struct ask *ask,
+static int check_plan(const struct node *node, const struct query *query,
 		      const struct plan **plan, char *text, size_t size)
 {
-	*plan = lists_plan(node->lists, ask->customer);
+	*plan = lists_plan(node->lists, query->customer);
 	if (!*plan) {
 		snprintf(text, size, "customer \"%.*s\"",
-			 STR_ARG(ask->customer));
+			 STR_ARG(query->customer));
 		return ERR_UNKNOWN_CUSTOMER;
 	}
-	for (size_t i = 0; i < ask->nindexes; i++) {
-		if (plan_allows(*plan, ask->indexes[i], false))
+	for (size_t i = 0; i < query->nindexes; i++) {
+		if (plan_allows(*plan, query->indexes[i], false))
 			continue;
 		snprintf(text, size, "index \"%.*s\"",
-			 STR_ARG(ask->indexes[i]));
+			 STR_ARG(query->indexes[i]));
 		return ERR_NOT_ALLOWED;
 	}
 	return 0;
@@ -91,7 +91,7 @@
 
 	q->waiting = false;
 	q->fleet = fleet_ref(node->fleet);
-	q->snapshot = snapshot_choose(node, &q->ask, q->fleet, q->plan.floor,
+	q->snapshot = snapshot_choose(node, &q->query, q->fleet, q->plan.floor,
 				      NULL, &count, &total);
 	if (!q->snapshot) {
 		refuse(node, q->caller, ERR_NO_SNAPSHOT,
@@ -116,21 +116,23 @@
 }
 
 /* What the targets are asked, and for whom; not the caller's own id. */
-static struct fingerprint fingerprint(const struct ask *ask)
+static struct fingerprint fingerprint(const struct query *query)
 {
-	struct str parts[ASK_MAX_INDEXES + 2];
+	struct str parts[QUERY_MAX_INDEXES + 2];
 	size_t count = 0;
 
-	parts[count++] = ask->terms;
-	parts[count++] = (struct str){ (const char *)ask->shards,
-				       ask->nshards * sizeof(*ask->shards) };
-	for (size_t i = 0; i < ask->nindexes; i++)
-		parts[count++] = ask->indexes[i];
-	return fingerprint_of(parts, count, ask->customer);
+	parts[count++] = query->terms;
+	parts[count++] =
+		(struct str){ (const char *)query->shards,
+			      query->nshards * sizeof(*query->shards) };
+	for (size_t i = 0; i < query->nindexes; i++)
+		parts[count++] = query->indexes[i];
+	return fingerprint_of(parts, count, query->customer);
 }
 
 static struct question *question_create(struct node *node, uint64_t caller,
-					apr_pool_t *pool, const struct ask *ask,
+					apr_pool_t *pool,
+					const struct query *query,
 					const struct plan *plan)
 {
 	struct question *q = apr_pcalloc(pool, sizeof(*q));
@@ -138,30 +140,30 @@
 	q->pool = pool;
 	q->id = ++node->next_id;
 	q->caller = caller;
-	q->ask = *ask;
+	q->query = *query;
 	q->plan = *plan;
 	q->start = node->now;
 	q->hard_at = node->now + plan->deadline_us;
-	if (ask->deadline_us && ask->deadline_us < plan->deadline_us)
-		q->hard_at = node->now + ask->deadline_us;
+	if (query->deadline_us && query->deadline_us < plan->deadline_us)
+		q->hard_at = node->now + query->deadline_us;
 	q->soft_at = node->now + plan->soft_us;
 	if (q->soft_at > q->hard_at)
 		q->soft_at = q->hard_at;
-	q->print = fingerprint(ask);
+	q->print = fingerprint(query);
 	apr_hash_set(node->front->questions, &q->id, sizeof(q->id), q);
 	apr_hash_set(node->front->callers, &q->caller, sizeof(q->caller), q);
 	node->front->open++;
 	return q;
 }
 
-static int admit(struct node *node, const struct ask *ask,
+static int admit(struct node *node, const struct query *query,
 		 const struct plan **plan, char *text, size_t size)
 {
 	struct front *front = node->front;
 	int code = check_state(node);
 
 	if (!code)
-		code = check_plan(node, ask, plan, text, size);
+		code = check_plan(node, query, plan, text, size);
 	if (code)
 		return code;
 	if (front->open >= (size_t)node->opt.max_open ||
@@ -175,15 +177,15 @@
 	struct error err = { 0 };
 	const struct plan *plan = NULL;
 	apr_pool_t *pool;
-	struct ask ask;
+	struct query query;
 	int64_t retry_us = STARTING_RETRY_US;
 	int code;
 
 	node->counters[CNT_QUESTIONS]++;
 	apr_pool_create(&pool, node->front->pool);
-	code = ask_parse(body, pool, &ask, &err);
+	code = query_parse(body, pool, &query, &err);
 	if (!code)
-		code = admit(node, &ask, &plan, err.text, sizeof(err.text));
+		code = admit(node, &query, &plan, err.text, sizeof(err.text));
 	if (code == ERR_OVERLOADED)
 		retry_us = RETRY_AFTER_US;
 	else if (code != ERR_STARTING && code != ERR_ISOLATED)
@@ -194,7 +196,7 @@
 		return;
 	}
 
-	struct question *q = question_create(node, caller, pool, &ask, plan);
+	struct question *q = question_create(node, caller, pool, &query, plan);
 
 	poison_asked(&node->front->poison, &q->print, node->now);
 	if (front_blocked(node, q)) {
@@ -203,7 +205,7 @@
 		drop(node, q);
 		return;
 	}
-	switch (quota_take(node, ask.customer, plan, q->id, &retry_us)) {
+	switch (quota_take(node, query.customer, plan, q->id, &retry_us)) {
 	case QUOTA_TAKEN:
 		begin(node, q);
 		break;
--- a/member.c
+++ b/member.c
@@ -160,7 +160,7 @@
 	free(node->member);
 }
 
-static int64_t fresh_age(const struct node *node)
+static int64_t platform_age(const struct node *node)
 {
 	if (node->member->fresh_at == INT64_MIN)
 		return INT64_MAX / 2;
@@ -172,7 +172,7 @@
 	struct msg msg = {
 		.kind = MSG_HEARTBEAT,
 		.state = node->member->vms[0]->state,
-		.fresh_us = fresh_age(node),
+		.fresh_us = platform_age(node),
 		.name = node->opt.domain,
 		.key = front_poison_digest(node),
 	};
@@ -266,7 +266,7 @@
 	size_t known = 1;
 	size_t heard = 1;
 
-	if (fresh_age(node) <= STALE_US)
+	if (platform_age(node) <= STALE_US)
 		return false;
 	for (size_t i = 1; i < node->member->count; i++) {
 		const struct vm *vm = node->member->vms[i];
@@ -299,7 +299,7 @@
 	send_heartbeats(node);
 	sweep(node);
 	note_isolation(node);
-	conf_look(node, fresh_age(node));
+	doc_sync_read_if_stale(node, platform_age(node));
 	front_poison_sweep(node);
 	timer_add(&node->timers, node->now + HEARTBEAT_US, TIMER_HEARTBEAT, 0);
 }
@@ -321,14 +321,14 @@
 	if (node->member->view_ok)
 		return;
 	node->member->confirmed = true;
-	if (!conf_behind(node))
+	if (!doc_sync_behind(node))
 		end_recovery(node, why);
 }
 
 void member_caught_up(struct node *node)
 {
 	if (!node->member->view_ok && node->member->confirmed &&
-	    !conf_behind(node))
+	    !doc_sync_behind(node))
 		end_recovery(node, "documents are up to date");
 }
 
@@ -369,8 +369,8 @@
 			   "heartbeat", incarnation);
 		node_vms_changed(node);
 	}
-	conf_offered(node, vm, DOC_LISTS, msg->version, msg->hash);
-	conf_offered(node, vm, DOC_FLEET, msg->version2, msg->hash2);
+	doc_sync_on_offer(node, vm, DOC_LISTS, msg->version, msg->hash);
+	doc_sync_on_offer(node, vm, DOC_FLEET, msg->version2, msg->hash2);
 	front_poison_heard(node, from, msg->key);
 	/*
 	 * After a pause the socket still holds heartbeats from before it; only
@@ -475,7 +475,7 @@
 	for (size_t i = 1; i < member->count; i++)
 		if (member->vms[i]->heard_at != INT64_MIN)
 			member->vms[i]->heard_at = node->now;
-	conf_read_now(node);
+	doc_sync_read_now(node);
 }
 
 void member_view_timeout(struct node *node, uint64_t nonce)
--- a/node.c
+++ b/node.c
@@ -53,7 +53,7 @@
 	node_audit(node, "node", STR("none"), STR("starting"), "start",
 		   opt->incarnation);
 	member_init(node);
-	conf_init(node);
+	doc_sync_init(node);
 	quota_init(node);
 	gate_init(node);
 	front_init(node);
@@ -68,7 +68,7 @@
 	front_destroy(node);
 	gate_destroy(node);
 	quota_destroy(node);
-	conf_destroy(node);
+	doc_sync_destroy(node);
 	member_destroy(node);
 	lists_free(node->lists);
 	fleet_unref(node->fleet);
@@ -246,7 +246,7 @@
 {
 	(void)from;
 	(void)incarnation;
-	conf_peer_doc(node, msg);
+	doc_sync_on_peer_doc(node, msg);
 }
 
 static void on_lease_reply(struct node *node, struct str from,
@@ -260,7 +260,7 @@
 static const struct handler handlers[MSG_KINDS] = {
 	[MSG_HEARTBEAT] = { member_heard },
 	[MSG_PROBE] = { member_probed },
-	[MSG_DOC_GET] = { conf_asked },
+	[MSG_DOC_GET] = { doc_sync_on_request },
 	[MSG_DOC] = { on_doc },
 	[MSG_LEAF] = { gate_leaf },
 	[MSG_LEAF_REPLY] = { front_reply },
@@ -332,13 +332,13 @@
 		gate_fetched(node, event->id, event->fetched);
 		break;
 	case EV_DOC:
-		conf_platform_doc(node, event->doc, event->body);
+		doc_sync_on_platform_doc(node, event->doc, event->body);
 		break;
 	case EV_DOC_SAME:
-		conf_platform_same(node, event->doc);
+		doc_sync_on_unchanged(node, event->doc);
 		break;
 	case EV_DOC_FAILED:
-		conf_platform_failed(node, event->doc);
+		doc_sync_on_failure(node, event->doc);
 		break;
 	case EV_LEAVE:
 		leave_begin(node);
@@ -356,7 +356,7 @@
 		member_view_timeout(node, timer->id);
 		break;
 	case TIMER_CONF:
-		conf_timer(node, timer->id);
+		doc_sync_on_timer(node, timer->id);
 		break;
 	case TIMER_QUESTION:
 		front_timer(node, timer->id);
--- a/node.h
+++ b/node.h
@@ -15,7 +15,7 @@
  */
 
 struct member;
-struct conf;
+struct doc_sync;
 struct quota;
 struct gate;
 struct front;
@@ -89,7 +89,7 @@
 	size_t local_cap;
 	uint64_t counters[COUNTERS];
 	struct member *member;
-	struct conf *conf;
+	struct doc_sync *doc_sync;
 	struct quota *quota;
 	struct gate *gate;
 	struct front *front;
--- a/request.c
+++ b/request.c
@@ -51,33 +51,33 @@
 }
 
 static void parse_shards(struct json_in *in, json_t *doc, apr_pool_t *pool,
-			 struct ask *ask)
+			 struct query *query)
 {
 	if (!json_object_get(doc, "shards"))
 		return;
 
-	json_t *list = json_list(in, "shards", doc, "shards", ASK_MAX_SHARDS);
+	json_t *list = json_list(in, "shards", doc, "shards", QUERY_MAX_SHARDS);
 	size_t count = list ? json_array_size(list) : 0;
 
-	ask->shards = apr_pcalloc(pool, (count + 1) * sizeof(*ask->shards));
-	ask->nshards = count;
+	query->shards = apr_pcalloc(pool, (count + 1) * sizeof(*query->shards));
+	query->nshards = count;
 	for (size_t i = 0; i < count; i++) {
 		json_t *item = json_array_get(list, i);
 		json_int_t id = json_integer_value(item);
 
 		if (!json_is_integer(item) || id < 1 || id > UINT32_MAX)
 			json_fault(in, "shards", "item %zu is no shard id", i);
-		ask->shards[i] = (uint32_t)id;
+		query->shards[i] = (uint32_t)id;
 	}
-	qsort(ask->shards, count, sizeof(*ask->shards), id_order);
+	qsort(query->shards, count, sizeof(*query->shards), id_order);
 	for (size_t i = 1; i < count; i++)
-		if (ask->shards[i] == ask->shards[i - 1])
+		if (query->shards[i] == query->shards[i - 1])
 			json_fault(in, "shards", "%u stands twice",
-				   ask->shards[i]);
+				   query->shards[i]);
 }
 
-int ask_parse(struct str body, apr_pool_t *pool, struct ask *ask,
-	      struct error *err)
+int query_parse(struct str body, apr_pool_t *pool, struct query *query,
+		struct error *err)
 {
 	static const char *const keys[] = { "customer", "request_id",
 					    "terms",	"indexes",
@@ -86,21 +86,22 @@
 	struct json_in in = { .file = "question", .code = ERR_BAD_REQUEST };
 	json_t *doc = parse(&in, body);
 
-	*ask = (struct ask){ 0 };
+	*query = (struct query){ 0 };
 	if (doc) {
 		json_keys(&in, "top", doc, keys);
-		ask->customer = text(&in, doc, "customer", ASK_ID_MAX, pool);
-		ask->request_id =
-			text(&in, doc, "request_id", ASK_ID_MAX, pool);
-		ask->terms =
-			text_or_none(&in, doc, "terms", ASK_TEXT_MAX, pool);
-		ask->indexes = json_strings(&in, "indexes", doc, "indexes",
-					    pool, &ask->nindexes);
-		if (!ask->nindexes || ask->nindexes > ASK_MAX_INDEXES)
+		query->customer =
+			text(&in, doc, "customer", REQUEST_NAME_MAX, pool);
+		query->request_id =
+			text(&in, doc, "request_id", REQUEST_NAME_MAX, pool);
+		query->terms =
+			text_or_none(&in, doc, "terms", QUERY_TERMS_MAX, pool);
+		query->indexes = json_strings(&in, "indexes", doc, "indexes",
+					      pool, &query->nindexes);
+		if (!query->nindexes || query->nindexes > QUERY_MAX_INDEXES)
 			json_fault(&in, "indexes", "must name 1 to %d",
-				   ASK_MAX_INDEXES);
-		parse_shards(&in, doc, pool, ask);
-		ask->deadline_us = deadline(&in, doc);
+				   QUERY_MAX_INDEXES);
+		parse_shards(&in, doc, pool, query);
+		query->deadline_us = deadline(&in, doc);
 		json_decref(doc);
 	}
 	*err = in.err;
@@ -112,7 +113,7 @@
 {
 	json_t *action = json_object_get(doc, "entry");
 
-	entry->index = text(in, doc, "index", ASK_ID_MAX, pool);
+	entry->index = text(in, doc, "index", REQUEST_NAME_MAX, pool);
 	entry->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
 	entry->deadline_us = deadline(in, doc);
 	if (!json_is_object(action)) {
@@ -139,9 +140,10 @@
 	*entry = (struct entry){ 0 };
 	if (doc) {
 		json_keys(&in, "top", doc, keys);
-		entry->customer = text(&in, doc, "customer", ASK_ID_MAX, pool);
+		entry->customer =
+			text(&in, doc, "customer", REQUEST_NAME_MAX, pool);
 		entry->request_id =
-			text(&in, doc, "request_id", ASK_ID_MAX, pool);
+			text(&in, doc, "request_id", REQUEST_NAME_MAX, pool);
 		entry->ticket = text_or_none(&in, doc, "ticket", 128, pool);
 		if (!lookup)
 			parse_action(&in, doc, pool, entry);
--- a/request.h
+++ b/request.h
@@ -10,15 +10,15 @@
  */
 
 enum {
-	ASK_BODY_MAX = 64 * 1024,
-	ASK_TEXT_MAX = 1024,
-	ASK_ID_MAX = 64,
-	ASK_MAX_INDEXES = 16,
-	ASK_MAX_SHARDS = 8192,
+	REQUEST_BODY_MAX = 64 * 1024,
+	QUERY_TERMS_MAX = 1024,
+	REQUEST_NAME_MAX = 64,
+	QUERY_MAX_INDEXES = 16,
+	QUERY_MAX_SHARDS = 8192,
 };
 
 /**
- * struct ask - a question
+ * struct query - a question
  * @customer: who pays for it
  * @request_id: the caller's own id, echoed
  * @terms: search terms, passed on to the targets
@@ -26,7 +26,7 @@
  * @shards: ids to restrict it to; all of the indexes' shards when empty
  * @deadline_us: the caller's deadline, 0 for the plan's
  */
-struct ask {
+struct query {
 	struct str customer;
 	struct str request_id;
 	struct str terms;
@@ -53,8 +53,8 @@
 	int64_t deadline_us;
 };
 
-int ask_parse(struct str body, apr_pool_t *pool, struct ask *ask,
-	      struct error *err);
+int query_parse(struct str body, apr_pool_t *pool, struct query *query,
+		struct error *err);
 /** entry_parse() - @lookup: only customer, request_id and ticket. */
 int entry_parse(struct str body, bool lookup, apr_pool_t *pool,
 		struct entry *entry, struct error *err);
--- a/serve.c
+++ b/serve.c
@@ -381,12 +381,12 @@
 	if (!s->peers)
 		return err->code;
 	s->callers = http_listen(
-		s->loop, config->callers, ASK_BODY_MAX,
+		s->loop, config->callers, REQUEST_BODY_MAX,
 		(struct http_handler){ on_caller, on_caller_gone, s }, err);
 	if (!s->callers)
 		return err->code;
 	s->operators =
-		http_listen(s->loop, config->operators, ASK_BODY_MAX,
+		http_listen(s->loop, config->operators, REQUEST_BODY_MAX,
 			    (struct http_handler){ on_operator, NULL, s }, err);
 	return s->operators ? 0 : err->code;
 }
@@ -454,7 +454,7 @@
 	effects_init(&s.fx, s.pool);
 	s.requests = hash_make(s.pool);
 	s.loop = loop_create(s.pool);
-	s.fetcher = fetcher_create(s.loop, DOC_MAX + ASK_BODY_MAX);
+	s.fetcher = fetcher_create(s.loop, DOC_MAX + REQUEST_BODY_MAX);
 	code = listen_all(&s, incarnation, &err);
 	if (!code) {
 		watch_signals(&s);
--- a/snapshot.c
+++ b/snapshot.c
@@ -13,26 +13,26 @@
 	return false;
 }
 
-bool snapshot_wants(const struct ask *ask, uint32_t id)
+bool snapshot_wants(const struct query *query, uint32_t id)
 {
 	size_t low = 0;
-	size_t high = ask->nshards;
+	size_t high = query->nshards;
 
-	if (!ask->nshards)
+	if (!query->nshards)
 		return true;
 	while (low < high) {
 		size_t mid = (low + high) / 2;
 
-		if (ask->shards[mid] < id)
+		if (query->shards[mid] < id)
 			low = mid + 1;
 		else
 			high = mid;
 	}
-	return low < ask->nshards && ask->shards[low] == id;
+	return low < query->nshards && query->shards[low] == id;
 }
 
 /* Shards of the question in @snap, their weight, and the weight at hand. */
-static size_t measure(struct node *node, const struct ask *ask,
+static size_t measure(struct node *node, const struct query *query,
 		      const struct snapshot *snap, double *total,
 		      double *available)
 {
@@ -40,15 +40,15 @@
 
 	*total = 0;
 	*available = 0;
-	for (size_t i = 0; i < ask->nindexes; i++) {
+	for (size_t i = 0; i < query->nindexes; i++) {
 		size_t count;
 		const struct shard *shards =
-			snapshot_range(snap, ask->indexes[i], &count);
+			snapshot_range(snap, query->indexes[i], &count);
 
 		if (!count)
 			return 0;
 		for (size_t j = 0; j < count; j++) {
-			if (!snapshot_wants(ask, shards[j].id))
+			if (!snapshot_wants(query, shards[j].id))
 				continue;
 			found++;
 			*total += shards[j].weight;
@@ -56,14 +56,15 @@
 				*available += shards[j].weight;
 		}
 	}
-	return ask->nshards && found != ask->nshards ? 0 : found;
+	return query->nshards && found != query->nshards ? 0 : found;
 }
 
 /*
  * The newest snapshot that promises the coverage that the plan wants; if none
  * does, the one that promises most. Chosen once for the whole question.
  */
-const struct snapshot *snapshot_choose(struct node *node, const struct ask *ask,
+const struct snapshot *snapshot_choose(struct node *node,
+				       const struct query *query,
 				       const struct fleet *fleet, double floor,
 				       const struct snapshot *not_this,
 				       size_t *count, double *total)
@@ -75,7 +76,7 @@
 		const struct snapshot *snap = &fleet->snapshots[i];
 		double weight;
 		double available;
-		size_t found = measure(node, ask, snap, &weight, &available);
+		size_t found = measure(node, query, snap, &weight, &available);
 
 		if (!found || snap == not_this)
 			continue;
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -255,11 +255,11 @@
 	const struct input *in = &asks[_i];
 	struct error err = { 0 };
 	apr_pool_t *pool;
-	struct ask ask;
+	struct query query;
 	int code;
 
 	apr_pool_create(&pool, NULL);
-	code = ask_parse(str_of(in->text), pool, &ask, &err);
+	code = query_parse(str_of(in->text), pool, &query, &err);
 	ck_assert_int_eq(code, in->names ? ERR_BAD_REQUEST : 0);
 	if (in->names)
 		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -48,11 +48,11 @@
 {
 	struct error err;
 	struct entry entry;
-	struct ask ask;
+	struct query query;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, NULL);
-	ask_parse(in, pool, &ask, &err);
+	query_parse(in, pool, &query, &err);
 	entry_parse(in, false, pool, &entry, &err);
 	apr_pool_destroy(pool);
 }
