--- a/doc_sync.c
+++ b/doc_sync.c
@@ -258,7 +258,7 @@
 		node_view_changed(node);
 	if (accepted && kind == DOC_FLEET)
 		replica_forget(node);
-	member_caught_up(node);
+	member_docs_updated(node);
 }
 
 /* The VMs named in a fleet that is not in force yet are asked for newer. */
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -41,7 +41,7 @@
 		return false;
 	if (target->owner) {
 		vm = member_find(node, target->owner);
-		return vm && member_hears(node, vm);
+		return vm && member_reachable(node, vm);
 	}
 	/* This node has just joined: somebody else was the gate. */
 	return member_count(node) > 1;
--- a/member.c
+++ b/member.c
@@ -12,8 +12,8 @@
 #include "xmalloc.h"
 
 enum {
-	CONFIRM_US = 1000000,
-	FORGET_US = 30000000,
+	VIEW_CONFIRM_TIMEOUT_US = 1000000,
+	VM_RETENTION_US = 30000000,
 };
 
 static struct vm *vm_add(struct node *node, struct str addr)
@@ -23,8 +23,8 @@
 
 	vm->addr = str_keep(addr);
 	vm->key = str_hash(addr);
-	vm->heard_at = INT64_MIN;
-	vm->known_at = node->now;
+	vm->heartbeat_at = INT64_MIN;
+	vm->last_seen_at = node->now;
 	if (member->count == member->cap) {
 		member->cap = member->cap ? member->cap * 2 : 16;
 		member->vms = xrealloc(member->vms,
@@ -63,20 +63,20 @@
 	return vm ? vm : vm_add(node, addr);
 }
 
-bool member_hears(const struct node *node, const struct vm *vm)
+bool member_reachable(const struct node *node, const struct vm *vm)
 {
 	return vm == node->member->vms[0] ||
-	       (vm->heard_at != INT64_MIN &&
-		node->now - vm->heard_at <= SUSPECT_US);
+	       (vm->heartbeat_at != INT64_MIN &&
+		node->now - vm->heartbeat_at <= HEARTBEAT_TIMEOUT_US);
 }
 
 bool member_usable(const struct node *node, const struct vm *vm)
 {
-	return member_hears(node, vm) && vm->state == VM_LIVE &&
+	return member_reachable(node, vm) && vm->state == VM_LIVE &&
 	       !vm->listed_leaving && !vm->domain_out;
 }
 
-static uint64_t weight(uint64_t key, uint64_t vm)
+static uint64_t rendezvous_weight(uint64_t key, uint64_t vm)
 {
 	uint64_t pair[2] = { key, vm };
 
@@ -88,34 +88,36 @@
 {
 	struct vm *best = NULL;
 	uint64_t best_weight = 0;
-	bool best_near = false;
+	bool best_same_domain = false;
 
 	for (size_t i = 0; i < node->member->count; i++) {
 		struct vm *vm = node->member->vms[i];
-		bool near = domain.len && str_eq(vm->domain, domain);
+		bool same_domain = domain.len && str_eq(vm->domain, domain);
 
-		if (!member_usable(node, vm) || (best_near && !near))
+		if (!member_usable(node, vm) ||
+		    (best_same_domain && !same_domain))
 			continue;
 
-		uint64_t w = weight(key, vm->key);
+		uint64_t weight = rendezvous_weight(key, vm->key);
 
-		if (best && near == best_near && w <= best_weight)
+		if (best && same_domain == best_same_domain &&
+		    weight <= best_weight)
 			continue;
 		best = vm;
-		best_weight = w;
-		best_near = near;
+		best_weight = weight;
+		best_same_domain = same_domain;
 	}
 	return best;
 }
 
 size_t member_rank(const struct node *node, uint64_t key)
 {
-	uint64_t own = weight(key, node->key);
+	uint64_t own = rendezvous_weight(key, node->key);
 	size_t rank = 0;
 
 	for (size_t i = 1; i < node->member->count; i++)
 		if (member_usable(node, node->member->vms[i]) &&
-		    weight(key, node->member->vms[i]->key) > own)
+		    rendezvous_weight(key, node->member->vms[i]->key) > own)
 			rank++;
 	return rank;
 }
@@ -138,7 +140,7 @@
 	apr_pool_create(&member->pool, node->pool);
 	member->by_key = hash_make(member->pool);
 	member->view_ok = true;
-	member->fresh_at = INT64_MIN;
+	member->platform_read_at = INT64_MIN;
 	member->paused_at = INT64_MIN;
 
 	struct vm *self = vm_add(node, node->opt.addr);
@@ -162,9 +164,9 @@
 
 static int64_t platform_age(const struct node *node)
 {
-	if (node->member->fresh_at == INT64_MIN)
+	if (node->member->platform_read_at == INT64_MIN)
 		return INT64_MAX / 2;
-	return node->now - node->member->fresh_at;
+	return node->now - node->member->platform_read_at;
 }
 
 static struct msg heartbeat_msg(const struct node *node)
@@ -206,15 +208,16 @@
 }
 
 /* A VM that nobody lists any more and that is silent is of no use. */
-static void forget_vms(struct node *node)
+static void remove_stale_vms(struct node *node)
 {
 	struct member *member = node->member;
 
 	for (size_t i = member->count; i-- > 1;) {
 		struct vm *vm = member->vms[i];
 
-		if (vm->listed || is_seed(node, vm) || member_hears(node, vm) ||
-		    node->now - vm->known_at < FORGET_US)
+		if (vm->listed || is_seed(node, vm) ||
+		    member_reachable(node, vm) ||
+		    node->now - vm->last_seen_at < VM_RETENTION_US)
 			continue;
 		apr_hash_set(member->by_key, &vm->key, sizeof(vm->key), NULL);
 		vm_free(vm);
@@ -222,13 +225,13 @@
 	}
 }
 
-static void vm_gone(struct node *node, struct vm *vm)
+static void vm_mark_lost(struct node *node, struct vm *vm)
 {
 	uint64_t incarnation = vm->incarnation;
 
-	if (vm->heard_at == INT64_MIN)
+	if (vm->heartbeat_at == INT64_MIN)
 		return;
-	vm->heard_at = INT64_MIN;
+	vm->heartbeat_at = INT64_MIN;
 	node->member->epoch++;
 	vm->departed = vm->state == VM_LEAVING;
 	node_audit(node, "vm", vm->addr, STR("lost"),
@@ -238,19 +241,19 @@
 	gate_origin_lost(node, vm->key, incarnation);
 }
 
-static void sweep(struct node *node)
+static void expire_vms(struct node *node)
 {
 	bool changed = false;
 
 	for (size_t i = 1; i < node->member->count; i++) {
 		struct vm *vm = node->member->vms[i];
 
-		if (vm->heard_at == INT64_MIN || member_hears(node, vm))
+		if (vm->heartbeat_at == INT64_MIN || member_reachable(node, vm))
 			continue;
-		vm_gone(node, vm);
+		vm_mark_lost(node, vm);
 		changed = true;
 	}
-	forget_vms(node);
+	remove_stale_vms(node);
 	if (changed)
 		node_vms_changed(node);
 }
@@ -261,28 +264,29 @@
  * domain for as long as the cut lasts. With the platform down for everyone the
  * others are still heard, and service goes on.
  */
-static bool is_cut_off(const struct node *node)
+static bool should_isolate(const struct node *node)
 {
 	size_t known = 1;
 	size_t heard = 1;
 
-	if (platform_age(node) <= STALE_US)
+	if (platform_age(node) <= PLATFORM_STALE_US)
 		return false;
 	for (size_t i = 1; i < node->member->count; i++) {
 		const struct vm *vm = node->member->vms[i];
 
-		if (vm->departed || (!vm->listed && !member_hears(node, vm)))
+		if (vm->departed ||
+		    (!vm->listed && !member_reachable(node, vm)))
 			continue;
 		known++;
-		if (member_hears(node, vm))
+		if (member_reachable(node, vm))
 			heard++;
 	}
 	return heard * 2 < known;
 }
 
-static void note_isolation(struct node *node)
+static void update_isolation(struct node *node)
 {
-	bool isolated = is_cut_off(node);
+	bool isolated = should_isolate(node);
 
 	if (isolated == node->member->isolated)
 		return;
@@ -297,8 +301,8 @@
 void member_heartbeat(struct node *node)
 {
 	send_heartbeats(node);
-	sweep(node);
-	note_isolation(node);
+	expire_vms(node);
+	update_isolation(node);
 	doc_sync_read_if_stale(node, platform_age(node));
 	front_poison_sweep(node);
 	timer_add(&node->timers, node->now + HEARTBEAT_US, TIMER_HEARTBEAT, 0);
@@ -307,7 +311,7 @@
 static void end_recovery(struct node *node, const char *why)
 {
 	node->member->view_ok = true;
-	note_isolation(node);
+	update_isolation(node);
 	node_audit(node, "view", STR("old"), STR("confirmed"), why, 0);
 	gate_resume(node);
 }
@@ -325,21 +329,21 @@
 		end_recovery(node, why);
 }
 
-void member_caught_up(struct node *node)
+void member_docs_updated(struct node *node)
 {
 	if (!node->member->view_ok && node->member->confirmed &&
 	    !doc_sync_behind(node))
 		end_recovery(node, "documents are up to date");
 }
 
-static void note_fresh(struct node *node, int64_t at)
+static void update_platform_read_at(struct node *node, int64_t at)
 {
-	if (at > node->member->fresh_at)
-		node->member->fresh_at = at;
+	if (at > node->member->platform_read_at)
+		node->member->platform_read_at = at;
 }
 
-void member_heard(struct node *node, struct str from, uint64_t incarnation,
-		  const struct msg *msg)
+void member_on_heartbeat(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg)
 {
 	struct vm *vm = vm_get(node, from);
 	bool was_usable = member_usable(node, vm);
@@ -347,22 +351,22 @@
 	if (vm == node->member->vms[0])
 		return;
 	if (vm->incarnation && vm->incarnation != incarnation) {
-		vm_gone(node, vm);
+		vm_mark_lost(node, vm);
 		was_usable = false;
 	}
 	vm->incarnation = incarnation;
-	vm->heard_at = node->now;
-	vm->known_at = node->now;
+	vm->heartbeat_at = node->now;
+	vm->last_seen_at = node->now;
 	vm->state = msg->state <= VM_LEAVING ? (enum vm_state)msg->state
 					     : VM_LEAVING;
 	vm->departed = vm->state == VM_LEAVING;
 	vm_set_domain(vm, msg->name);
 	/* After a pause only an answer to the probe tells of the present. */
-	bool present = node->member->view_ok ||
+	bool current = node->member->view_ok ||
 		       (msg->id && msg->id == node->member->nonce);
 
-	if (present && msg->fresh_us >= 0 && msg->fresh_us < INT64_MAX / 4)
-		note_fresh(node, node->now - msg->fresh_us);
+	if (current && msg->fresh_us >= 0 && msg->fresh_us < INT64_MAX / 4)
+		update_platform_read_at(node, node->now - msg->fresh_us);
 	if (was_usable != member_usable(node, vm)) {
 		node_audit(node, "vm", vm->addr,
 			   was_usable ? STR("unusable") : STR("usable"),
@@ -380,14 +384,14 @@
 		confirm_view(node, "a peer answered");
 }
 
-void member_probed(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg)
+void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg)
 {
 	struct msg reply = heartbeat_msg(node);
 	struct msg heard = *msg;
 
 	heard.id = 0;
-	member_heard(node, from, incarnation, &heard);
+	member_on_heartbeat(node, from, incarnation, &heard);
 	reply.id = msg->id;
 	node_send(node, from, incarnation, &reply);
 }
@@ -405,9 +409,9 @@
 {
 	struct vm *vm = member_find(node, str_hash(addr));
 
-	if (!vm || vm == node->member->vms[0] || vm->heard_at == INT64_MIN)
+	if (!vm || vm == node->member->vms[0] || vm->heartbeat_at == INT64_MIN)
 		return;
-	vm_gone(node, vm);
+	vm_mark_lost(node, vm);
 	node_vms_changed(node);
 }
 
@@ -467,14 +471,14 @@
 	member->nonce = rng_next(&node->rng) | 1;
 	member->confirmed = false;
 	member->paused_at = node->now;
-	timer_add(&node->timers, node->now + CONFIRM_US, TIMER_VIEW,
-		  member->nonce);
+	timer_add(&node->timers, node->now + VIEW_CONFIRM_TIMEOUT_US,
+		  TIMER_VIEW, member->nonce);
 	for (size_t i = 1; i < member->count; i++)
 		member_probe(node, member->vms[i]->addr);
 	/* Peers were silent only to a sleeper: give them time to be heard. */
 	for (size_t i = 1; i < member->count; i++)
-		if (member->vms[i]->heard_at != INT64_MIN)
-			member->vms[i]->heard_at = node->now;
+		if (member->vms[i]->heartbeat_at != INT64_MIN)
+			member->vms[i]->heartbeat_at = node->now;
 	doc_sync_read_now(node);
 }
 
@@ -490,7 +494,7 @@
 
 void member_platform_read(struct node *node)
 {
-	note_fresh(node, node->now);
+	update_platform_read_at(node, node->now);
 	confirm_view(node, "the platform answered");
 }
 
--- a/member.h
+++ b/member.h
@@ -20,17 +20,17 @@
 
 /** Heartbeat period, and silence after which a VM is taken for dead. */
 #define HEARTBEAT_US 250000
-#define SUSPECT_US 1000000
+#define HEARTBEAT_TIMEOUT_US 1000000
 /** A gap between events that means the process was paused. */
 #define PAUSE_US 1000000
 /** Age of the platform's view from which isolation is considered. */
-#define STALE_US 3000000
+#define PLATFORM_STALE_US 3000000
 
 /**
  * struct vm - another VM, or this one
  * @listed: the platform's list has it; @listed_leaving as leaving
  * @incarnation: of its last heartbeat, 0 before the first
- * @heard_at: time of its last heartbeat, INT64_MIN when it counts as lost
+ * @heartbeat_at: time of its last heartbeat, INT64_MIN when it counts as lost
  * @departed: it said that it is leaving before it fell silent
  */
 struct vm {
@@ -41,8 +41,8 @@
 	bool listed_leaving;
 	bool domain_out;
 	uint64_t incarnation;
-	int64_t heard_at;
-	int64_t known_at;
+	int64_t heartbeat_at;
+	int64_t last_seen_at;
 	enum vm_state state;
 	bool departed;
 };
@@ -54,7 +54,8 @@
 	size_t count;
 	size_t cap;
 	uint64_t epoch; /* raised whenever the usable set changes */
-	int64_t fresh_at; /* newest platform reading known to anyone heard */
+	int64_t platform_read_at; /* newest platform reading known to anyone
+				     heard */
 	bool view_ok; /* false after a pause until confirmed */
 	int64_t paused_at; /* when the last pause was noticed */
 	bool confirmed; /* somebody answered since; documents may lack */
@@ -65,11 +66,11 @@
 void member_init(struct node *node);
 void member_destroy(struct node *node);
 void member_heartbeat(struct node *node);
-void member_heard(struct node *node, struct str from, uint64_t incarnation,
-		  const struct msg *msg);
-/** member_probed() - answer a PROBE with a heartbeat at once. */
-void member_probed(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg);
+void member_on_heartbeat(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
+/** member_on_probe() - answer a PROBE with a heartbeat at once. */
+void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg);
 void member_lost(struct node *node, struct str addr);
 void member_fleet_changed(struct node *node);
 void member_set_state(struct node *node, enum vm_state state);
@@ -80,14 +81,14 @@
 void member_platform_read(struct node *node);
 /** member_view_timeout() - nobody confirmed the view in time. */
 void member_view_timeout(struct node *node, uint64_t nonce);
-/** member_caught_up() - documents changed: the view may be whole again. */
-void member_caught_up(struct node *node);
+/** member_docs_updated() - documents changed: the view may be whole again. */
+void member_docs_updated(struct node *node);
 bool member_view_ok(const struct node *node);
 /** member_isolated() - cut off: a change may have passed this node by. */
 bool member_isolated(const struct node *node);
 struct vm *member_find(const struct node *node, uint64_t key);
-/** member_hears() - its heartbeats are fresh, whatever its state. */
-bool member_hears(const struct node *node, const struct vm *vm);
+/** member_reachable() - its heartbeats are fresh, whatever its state. */
+bool member_reachable(const struct node *node, const struct vm *vm);
 bool member_usable(const struct node *node, const struct vm *vm);
 /** member_owner() - VM with the highest rendezvous weight for @key, among
  *  those of @domain when any is usable; NULL when none is. */
--- a/node.c
+++ b/node.c
@@ -13,34 +13,34 @@
 #include "xmalloc.h"
 
 enum {
-	REVIEW_US = 50000,
-	LEAVE_MIN_US = 1500000,
-	LEAVE_QUIET_US = 500000,
-	LEAVE_CHECK_US = 50000,
+	REVIEW_INTERVAL_US = 50000,
+	DRAIN_MIN_US = 1500000,
+	DRAIN_IDLE_US = 500000,
+	DRAIN_CHECK_PERIOD_US = 50000,
 };
 
-/** struct leave - progress of a planned stop, kept beside the node */
-struct leave {
-	int64_t begun;
-	int64_t last_request;
+/** struct drain - progress of a planned stop, kept beside the node */
+struct drain {
+	int64_t started_at;
+	int64_t last_request_at;
 	bool done;
 };
 
-struct full_node {
+struct node_impl {
 	struct node node;
-	struct leave leave;
+	struct drain drain;
 };
 
-static struct leave *leave_of(struct node *node)
+static struct drain *drain_of(struct node *node)
 {
-	return &((struct full_node *)node)->leave;
+	return &((struct node_impl *)node)->drain;
 }
 
 struct node *node_create(const struct node_options *opt, int64_t now,
 			 struct effects *fx)
 {
-	struct full_node *full = xcalloc(1, sizeof(*full));
-	struct node *node = &full->node;
+	struct node_impl *impl = xcalloc(1, sizeof(*impl));
+	struct node *node = &impl->node;
 
 	apr_pool_create(&node->pool, NULL);
 	node->opt = *opt;
@@ -170,15 +170,15 @@
 void node_vms_changed(struct node *node)
 {
 	node->member->epoch++;
-	if (node->now - node->reviewed_at >= REVIEW_US) {
+	if (node->now - node->reviewed_at >= REVIEW_INTERVAL_US) {
 		node_view_changed(node);
 		return;
 	}
 	if (node->review_due)
 		return;
 	node->review_due = true;
-	timer_add(&node->timers, node->reviewed_at + REVIEW_US, TIMER_REVIEW,
-		  0);
+	timer_add(&node->timers, node->reviewed_at + REVIEW_INTERVAL_US,
+		  TIMER_REVIEW, 0);
 }
 
 static void review_due(struct node *node)
@@ -189,13 +189,13 @@
 
 /* Planned stop. */
 
-static bool is_quiet(struct node *node)
+static bool is_idle(struct node *node)
 {
-	const struct leave *leave = leave_of(node);
+	const struct drain *drain = drain_of(node);
 
 	return !front_open(node) && !gate_open(node) && !once_open(node) &&
-	       node->now - leave->begun >= LEAVE_MIN_US &&
-	       node->now - leave->last_request >= LEAVE_QUIET_US;
+	       node->now - drain->started_at >= DRAIN_MIN_US &&
+	       node->now - drain->last_request_at >= DRAIN_IDLE_US;
 }
 
 /*
@@ -203,34 +203,34 @@
  * to stop sending. A node that ends before that cuts off requests that were
  * sent in good faith, so it stays until it was quiet for a while.
  */
-static void leave_check(struct node *node)
+static void drain_check(struct node *node)
 {
-	struct leave *leave = leave_of(node);
-	bool late = node->now - leave->begun >= node->opt.drain_us;
+	struct drain *drain = drain_of(node);
+	bool timed_out = node->now - drain->started_at >= node->opt.drain_us;
 
-	if (leave->done)
+	if (drain->done)
 		return;
-	if (!is_quiet(node) && !late && !node->opt.off.no_drain) {
-		timer_add(&node->timers, node->now + LEAVE_CHECK_US,
+	if (!is_idle(node) && !timed_out && !node->opt.off.no_drain) {
+		timer_add(&node->timers, node->now + DRAIN_CHECK_PERIOD_US,
 			  TIMER_LEAVE, 0);
 		return;
 	}
-	leave->done = true;
+	drain->done = true;
 	node_audit(node, "node", STR("leaving"), STR("stopped"),
-		   late ? "drain_ms is over" : "quiet", 0);
+		   timed_out ? "drain_ms is over" : "quiet", 0);
 	effects_add(node->fx, FX_STOP);
 }
 
-static void leave_begin(struct node *node)
+static void drain_begin(struct node *node)
 {
-	struct leave *leave = leave_of(node);
+	struct drain *drain = drain_of(node);
 
-	if (leave->begun)
+	if (drain->started_at)
 		return;
-	leave->begun = node->now;
-	leave->last_request = node->now;
+	drain->started_at = node->now;
+	drain->last_request_at = node->now;
 	member_set_state(node, VM_LEAVING);
-	leave_check(node);
+	drain_check(node);
 }
 
 /* Dispatch. */
@@ -258,8 +258,8 @@
 }
 
 static const struct handler handlers[MSG_KINDS] = {
-	[MSG_HEARTBEAT] = { member_heard },
-	[MSG_PROBE] = { member_probed },
+	[MSG_HEARTBEAT] = { member_on_heartbeat },
+	[MSG_PROBE] = { member_on_probe },
 	[MSG_DOC_GET] = { doc_sync_on_request },
 	[MSG_DOC] = { on_doc },
 	[MSG_LEAF] = { gate_leaf },
@@ -290,7 +290,7 @@
 
 static void on_caller(struct node *node, const struct event *event)
 {
-	leave_of(node)->last_request = node->now;
+	drain_of(node)->last_request_at = node->now;
 	switch (event->type) {
 	case EV_ASK:
 		front_ask(node, event->id, event->body);
@@ -341,7 +341,7 @@
 		doc_sync_on_failure(node, event->doc);
 		break;
 	case EV_LEAVE:
-		leave_begin(node);
+		drain_begin(node);
 		break;
 	}
 }
@@ -380,7 +380,7 @@
 		once_forward_timer(node, timer->id);
 		break;
 	case TIMER_LEAVE:
-		leave_check(node);
+		drain_check(node);
 		break;
 	case TIMER_REVIEW:
 		review_due(node);
@@ -392,7 +392,7 @@
 }
 
 /* Messages to oneself can cause further ones; all are handled at once. */
-static void drain_local(struct node *node)
+static void dispatch_local(struct node *node)
 {
 	for (size_t i = 0; i < node->nlocal; i++) {
 		struct msg msg = node->local[i];
@@ -414,10 +414,10 @@
 	if (gap > PAUSE_US && !node->opt.off.no_pause_check)
 		member_paused(node, gap);
 	on_event(node, event);
-	drain_local(node);
+	dispatch_local(node);
 	while (timer_pop(&node->timers, node->now, &timer)) {
 		on_timer(node, &timer);
-		drain_local(node);
+		dispatch_local(node);
 	}
 	node->fx = NULL;
 }
--- a/once_entry.c
+++ b/once_entry.c
@@ -231,7 +231,7 @@
 	    ticket.incarnation == node->opt.incarnation) {
 		run_here(node, &ticket, entry, body, lookup, waiter);
 	} else if (issuer && issuer->incarnation == ticket.incarnation &&
-		   issuer->heard_at != INT64_MIN && !waiter->addr.len) {
+		   issuer->heartbeat_at != INT64_MIN && !waiter->addr.len) {
 		once_forward_to(node, waiter->caller, issuer,
 				lookup ? FORWARD_LOOKUP : FORWARD_ENTRY, body);
 	} else {
--- a/status.c
+++ b/status.c
@@ -64,8 +64,8 @@
 {
 	int64_t heard = -1;
 
-	if (vm->heard_at != INT64_MIN)
-		heard = (node->now - vm->heard_at) / 1000;
+	if (vm->heartbeat_at != INT64_MIN)
+		heard = (node->now - vm->heartbeat_at) / 1000;
 	if (vm == node->member->vms[0])
 		heard = 0;
 	buf_str_add(out, STR("{\"vm\":"));
