--- a/answer.c
+++ b/answer.c
@@ -2,9 +2,9 @@
 
 #include <math.h>
 
-#define SHARE_STEPS 1e6
+#define COVERAGE_STEPS 1e6
 
-double answer_share(const struct question *q, double weight)
+double answer_coverage(const struct question *q, double weight)
 {
 	return q->total > 0 ? weight / q->total : 0;
 }
@@ -63,10 +63,10 @@
 	struct buf out = { 0 };
 	bool complete = is_complete(q);
 	/* Rounded down: a partial answer never reads as a complete one. */
-	double covered =
-		complete ? 1
-			 : floor(answer_share(q, q->covered) * SHARE_STEPS) /
-				   SHARE_STEPS;
+	double covered = complete ? 1
+				  : floor(answer_coverage(q, q->covered) *
+					  COVERAGE_STEPS) /
+					    COVERAGE_STEPS;
 	int status = covered > 0 ? 200 : 504;
 
 	if (node->opt.off.no_coverage_merge)
--- a/answer.h
+++ b/answer.h
@@ -4,6 +4,6 @@
 
 /** DOC: the answer to a question, as JSON, and its coverage */
 
-/** answer_share() - @weight as a share of the map's weight, 0 to 1. */
-double answer_share(const struct question *q, double weight);
+/** answer_coverage() - @weight as a share of the map's weight, 0 to 1. */
+double answer_coverage(const struct question *q, double weight);
 void answer_send(struct node *node, const struct question *q);
--- a/doc.c
+++ b/doc.c
@@ -10,7 +10,7 @@
 	MAX_SLOTS = 64,
 	MAX_CONNECTIONS = 4096,
 	MAX_MS = 600000,
-	PLACE = 64,
+	JSON_PATH_SIZE = 64,
 	US_PER_MS = 1000,
 };
 
@@ -35,29 +35,30 @@
 	"soft_ms", "deadline_ms", "coverage_floor", "extra_load", NULL
 };
 
-static void parse_allowance(struct json_in *in, const char *place,
+static void parse_allowance(struct json_in *in, const char *path,
 			    struct lists *lists, json_t *obj, struct plan *plan)
 {
-	json_keys(in, place, obj, allowance_keys);
+	json_keys(in, path, obj, allowance_keys);
 	plan->name = str_dup(lists->pool,
-			     json_text(in, place, obj, "plan", DOC_NAME_MAX));
-	plan->indexes = json_strings(in, place, obj, "indexes", lists->pool,
+			     json_text(in, path, obj, "plan", DOC_NAME_MAX));
+	plan->indexes = json_strings(in, path, obj, "indexes", lists->pool,
 				     &plan->nindexes);
-	plan->entries = json_strings(in, place, obj, "entries", lists->pool,
+	plan->entries = json_strings(in, path, obj, "entries", lists->pool,
 				     &plan->nentries);
-	plan->rate = json_real_or(in, place, obj, "rate", 0.01, 1e7, 100);
-	plan->burst = json_real_or(in, place, obj, "burst", 1, 1e7,
+	plan->rate = json_real_or(in, path, obj, "rate", 0.01, 1e7, 100);
+	plan->burst = json_real_or(in, path, obj, "burst", 1, 1e7,
 				   plan->rate > 1 ? plan->rate : 1);
 	plan->deadline_us =
-		json_int(in, place, obj, "deadline_ms", 1, MAX_MS) * US_PER_MS;
-	plan->soft_us = json_int_or(in, place, obj, "soft_ms", 1, MAX_MS,
+		json_int(in, path, obj, "deadline_ms", 1, MAX_MS) * US_PER_MS;
+	plan->soft_us = json_int_or(in, path, obj, "soft_ms", 1, MAX_MS,
 				    plan->deadline_us / US_PER_MS) *
 			US_PER_MS;
-	plan->floor = json_real_or(in, place, obj, "coverage_floor", 0, 1, 1);
+	plan->coverage_floor =
+		json_real_or(in, path, obj, "coverage_floor", 0, 1, 1);
 	plan->extra_load =
-		json_real_or(in, place, obj, "extra_load", 0, 1, 0.05);
+		json_real_or(in, path, obj, "extra_load", 0, 1, 0.05);
 	if (plan->soft_us > plan->deadline_us)
-		json_fault(in, place, "soft_ms is over deadline_ms");
+		json_fault(in, path, "soft_ms is over deadline_ms");
 }
 
 static struct plan *find_plan(apr_hash_t *names, struct str name)
@@ -75,29 +76,28 @@
 				   (lists->nplans + 1) * sizeof(struct plan));
 	for (size_t i = 0; i < lists->nplans && !in->err.code; i++) {
 		struct plan *plan = &lists->plans[i];
-		char place[PLACE];
+		char path[JSON_PATH_SIZE];
 
-		snprintf(place, sizeof(place), "allowances[%zu]", i);
-		parse_allowance(in, place, lists, json_array_get(list, i),
-				plan);
+		snprintf(path, sizeof(path), "allowances[%zu]", i);
+		parse_allowance(in, path, lists, json_array_get(list, i), plan);
 		if (find_plan(names, plan->name))
-			json_fault(in, place, "plan \"%.*s\" stands twice",
+			json_fault(in, path, "plan \"%.*s\" stands twice",
 				   STR_ARG(plan->name));
 		apr_hash_set(names, plan->name.ptr, (apr_ssize_t)plan->name.len,
 			     plan);
 	}
 }
 
-static void parse_customer(struct json_in *in, const char *place,
+static void parse_customer(struct json_in *in, const char *path,
 			   struct lists *lists, json_t *obj, apr_hash_t *names)
 {
 	static const char *const keys[] = { "customer", "plan", NULL };
 
-	json_keys(in, place, obj, keys);
+	json_keys(in, path, obj, keys);
 
 	struct str customer =
-		json_text(in, place, obj, "customer", DOC_NAME_MAX);
-	struct str name = json_text(in, place, obj, "plan", DOC_NAME_MAX);
+		json_text(in, path, obj, "customer", DOC_NAME_MAX);
+	struct str name = json_text(in, path, obj, "plan", DOC_NAME_MAX);
 
 	if (in->err.code)
 		return;
@@ -105,14 +105,14 @@
 	struct plan *plan = find_plan(names, name);
 
 	if (!plan) {
-		json_fault(in, place, "no allowance for plan \"%.*s\"",
+		json_fault(in, path, "no allowance for plan \"%.*s\"",
 			   STR_ARG(name));
 		return;
 	}
 	customer = str_dup(lists->pool, customer);
 	if (apr_hash_get(lists->customers, customer.ptr,
 			 (apr_ssize_t)customer.len))
-		json_fault(in, place, "customer \"%.*s\" stands twice",
+		json_fault(in, path, "customer \"%.*s\" stands twice",
 			   STR_ARG(customer));
 	apr_hash_set(lists->customers, customer.ptr, (apr_ssize_t)customer.len,
 		     plan);
@@ -125,11 +125,10 @@
 	size_t count = list ? json_array_size(list) : 0;
 
 	for (size_t i = 0; i < count && !in->err.code; i++) {
-		char place[PLACE];
+		char path[JSON_PATH_SIZE];
 
-		snprintf(place, sizeof(place), "plans[%zu]", i);
-		parse_customer(in, place, lists, json_array_get(list, i),
-			       names);
+		snprintf(path, sizeof(path), "plans[%zu]", i);
+		parse_customer(in, path, lists, json_array_get(list, i), names);
 	}
 }
 
@@ -186,16 +185,16 @@
 }
 
 /* "state" has one ordinary value and one that takes the thing out. */
-static bool parse_state(struct json_in *in, const char *place, json_t *obj,
+static bool parse_state(struct json_in *in, const char *path, json_t *obj,
 			const char *ordinary, const char *other)
 {
-	struct str state = json_text(in, place, obj, "state", DOC_NAME_MAX);
+	struct str state = json_text(in, path, obj, "state", DOC_NAME_MAX);
 
 	if (str_eq(state, str_of(other)))
 		return true;
 	if (!str_eq(state, str_of(ordinary)))
-		json_fault(in, place, "state must be \"%s\" or \"%s\"",
-			   ordinary, other);
+		json_fault(in, path, "state must be \"%s\" or \"%s\"", ordinary,
+			   other);
 	return false;
 }
 
@@ -210,56 +209,56 @@
 	for (size_t i = 0; i < count && !in->err.code; i++) {
 		json_t *obj = json_array_get(list, i);
 		struct domain *domain = &fleet->domains[i];
-		char place[PLACE];
+		char path[JSON_PATH_SIZE];
 
-		snprintf(place, sizeof(place), "domains[%zu]", i);
-		json_keys(in, place, obj, keys);
+		snprintf(path, sizeof(path), "domains[%zu]", i);
+		json_keys(in, path, obj, keys);
 
 		struct str name =
-			json_text(in, place, obj, "name", DOC_NAME_MAX);
+			json_text(in, path, obj, "name", DOC_NAME_MAX);
 
 		if (fleet_domain(fleet, name))
-			json_fault(in, place, "\"%.*s\" stands twice",
+			json_fault(in, path, "\"%.*s\" stands twice",
 				   STR_ARG(name));
 		domain->name = str_dup(fleet->pool, name);
-		domain->out = parse_state(in, place, obj, "in", "out");
+		domain->out = parse_state(in, path, obj, "in", "out");
 		apr_hash_set(fleet->by_name, domain->name.ptr,
 			     (apr_ssize_t)domain->name.len, domain);
 		fleet->ndomains = i + 1;
 	}
 }
 
-static struct domain *parse_domain(struct json_in *in, const char *place,
+static struct domain *parse_domain(struct json_in *in, const char *path,
 				   struct fleet *fleet, json_t *obj)
 {
-	struct str name = json_text(in, place, obj, "domain", DOC_NAME_MAX);
+	struct str name = json_text(in, path, obj, "domain", DOC_NAME_MAX);
 	struct domain *domain = fleet_domain(fleet, name);
 
 	if (!domain)
-		json_fault(in, place, "failure domain \"%.*s\" is not listed",
+		json_fault(in, path, "failure domain \"%.*s\" is not listed",
 			   STR_ARG(name));
 	return domain;
 }
 
-static struct str parse_addr(struct json_in *in, const char *place,
+static struct str parse_addr(struct json_in *in, const char *path,
 			     struct fleet *fleet, json_t *obj)
 {
-	struct str addr = json_text(in, place, obj, "address", DOC_NAME_MAX);
+	struct str addr = json_text(in, path, obj, "address", DOC_NAME_MAX);
 	const char *colon = addr.len ? memchr(addr.ptr, ':', addr.len) : NULL;
 
 	if (!colon || strspn(addr.ptr, "0123456789.:") < addr.len)
-		json_fault(in, place, "address must be \"ip:port\"");
+		json_fault(in, path, "address must be \"ip:port\"");
 	return str_dup(fleet->pool, addr);
 }
 
 /* A name or address that stands twice would give one thing two owners. */
-static void check_unique(struct json_in *in, const char *place,
-			 apr_hash_t *seen, struct str name, void *value)
+static void check_unique(struct json_in *in, const char *path, apr_hash_t *seen,
+			 struct str name, void *value)
 {
 	if (in->err.code)
 		return;
 	if (apr_hash_get(seen, name.ptr, (apr_ssize_t)name.len))
-		json_fault(in, place, "\"%.*s\" stands twice", STR_ARG(name));
+		json_fault(in, path, "\"%.*s\" stands twice", STR_ARG(name));
 	apr_hash_set(seen, name.ptr, (apr_ssize_t)name.len, value);
 }
 
@@ -277,15 +276,15 @@
 	for (size_t i = 0; i < count && !in->err.code; i++) {
 		json_t *obj = json_array_get(list, i);
 		struct fleet_vm *vm = &fleet->vms[i];
-		char place[PLACE];
+		char path[JSON_PATH_SIZE];
 
-		snprintf(place, sizeof(place), "vms[%zu]", i);
-		json_keys(in, place, obj, keys);
-		vm->addr = parse_addr(in, place, fleet, obj);
+		snprintf(path, sizeof(path), "vms[%zu]", i);
+		json_keys(in, path, obj, keys);
+		vm->addr = parse_addr(in, path, fleet, obj);
 		vm->key = str_hash(vm->addr);
-		vm->domain = parse_domain(in, place, fleet, obj);
-		vm->leaving = parse_state(in, place, obj, "live", "leaving");
-		check_unique(in, place, seen, vm->addr, vm);
+		vm->domain = parse_domain(in, path, fleet, obj);
+		vm->leaving = parse_state(in, path, obj, "live", "leaving");
+		check_unique(in, path, seen, vm->addr, vm);
 	}
 }
 
@@ -305,31 +304,30 @@
 	for (size_t i = 0; i < count && !in->err.code; i++) {
 		json_t *obj = json_array_get(list, i);
 		struct fleet_target *target = &fleet->targets[i];
-		char place[PLACE];
+		char path[JSON_PATH_SIZE];
 
-		snprintf(place, sizeof(place), "targets[%zu]", i);
-		json_keys(in, place, obj, keys);
+		snprintf(path, sizeof(path), "targets[%zu]", i);
+		json_keys(in, path, obj, keys);
 		target->name =
-			str_dup(fleet->pool, json_text(in, place, obj, "name",
-						       DOC_NAME_MAX));
+			str_dup(fleet->pool,
+				json_text(in, path, obj, "name", DOC_NAME_MAX));
 		target->key = str_hash(target->name);
-		target->addr = parse_addr(in, place, fleet, obj);
-		target->domain = parse_domain(in, place, fleet, obj);
-		target->leaving =
-			parse_state(in, place, obj, "live", "leaving");
+		target->addr = parse_addr(in, path, fleet, obj);
+		target->domain = parse_domain(in, path, fleet, obj);
+		target->leaving = parse_state(in, path, obj, "live", "leaving");
 		target->slots =
-			(int)json_int(in, place, obj, "slots", 1, MAX_SLOTS);
+			(int)json_int(in, path, obj, "slots", 1, MAX_SLOTS);
 		target->connections = (int)json_int(
-			in, place, obj, "connections", 2, MAX_CONNECTIONS);
-		check_unique(in, place, names, target->name, target);
-		check_unique(in, place, addrs, target->addr, target);
+			in, path, obj, "connections", 2, MAX_CONNECTIONS);
+		check_unique(in, path, names, target->name, target);
+		check_unique(in, path, addrs, target->addr, target);
 	}
 }
 
-static void parse_replicas(struct json_in *in, const char *place, json_t *obj,
+static void parse_replicas(struct json_in *in, const char *path, json_t *obj,
 			   apr_hash_t *names, struct shard *shard)
 {
-	json_t *list = json_list(in, place, obj, "replicas", DOC_MAX_REPLICAS);
+	json_t *list = json_list(in, path, obj, "replicas", DOC_MAX_REPLICAS);
 	size_t count = list ? json_array_size(list) : 0;
 
 	for (size_t i = 0; i < count && !in->err.code; i++) {
@@ -339,12 +337,12 @@
 			     : NULL;
 
 		if (!target) {
-			json_fault(in, place, "replica %zu is no target", i);
+			json_fault(in, path, "replica %zu is no target", i);
 			return;
 		}
 		for (size_t j = 0; j < i; j++)
 			if (shard->replicas[j] == target)
-				json_fault(in, place, "replica \"%s\" twice",
+				json_fault(in, path, "replica \"%s\" twice",
 					   name);
 		shard->replicas[i] = target;
 	}
@@ -369,7 +367,7 @@
  * Two shards that share a key would count its records twice and let an answer
  * report more than it covers, so such a map is refused as a whole.
  */
-static void check_map(struct json_in *in, const char *place,
+static void check_map(struct json_in *in, const char *path,
 		      struct snapshot *snap, apr_pool_t *pool)
 {
 	apr_hash_t *ids = hash_make(pool);
@@ -377,62 +375,63 @@
 	qsort(snap->shards, snap->nshards, sizeof(struct shard), shard_order);
 	for (size_t i = 0; i < snap->nshards && !in->err.code; i++) {
 		struct shard *shard = &snap->shards[i];
-		struct shard *before = i ? shard - 1 : NULL;
+		struct shard *prev = i ? shard - 1 : NULL;
 
-		if (before && str_eq(before->index, shard->index) &&
-		    before->to > shard->from)
-			json_fault(in, place, "shards %u and %u overlap",
-				   before->id, shard->id);
+		if (prev && str_eq(prev->index, shard->index) &&
+		    prev->to > shard->from)
+			json_fault(in, path, "shards %u and %u overlap",
+				   prev->id, shard->id);
 		if (apr_hash_get(ids, &shard->id, sizeof(shard->id)))
-			json_fault(in, place, "shard id %u stands twice",
+			json_fault(in, path, "shard id %u stands twice",
 				   shard->id);
 		apr_hash_set(ids, &shard->id, sizeof(shard->id), shard);
 	}
 }
 
-static void parse_shard(struct json_in *in, const char *place,
+static void parse_shard(struct json_in *in, const char *path,
 			struct fleet *fleet, json_t *obj, apr_hash_t *names,
 			struct shard *shard)
 {
 	static const char *const keys[] = { "id",     "index",	  "from", "to",
 					    "weight", "replicas", NULL };
 
-	json_keys(in, place, obj, keys);
-	shard->id = (uint32_t)json_int(in, place, obj, "id", 1, UINT32_MAX);
-	shard->index = str_dup(
-		fleet->pool, json_text(in, place, obj, "index", DOC_NAME_MAX));
-	shard->from = json_int(in, place, obj, "from", INT64_MIN, INT64_MAX);
-	shard->to = json_int(in, place, obj, "to", INT64_MIN, INT64_MAX);
+	json_keys(in, path, obj, keys);
+	shard->id = (uint32_t)json_int(in, path, obj, "id", 1, UINT32_MAX);
+	shard->index = str_dup(fleet->pool,
+			       json_text(in, path, obj, "index", DOC_NAME_MAX));
+	shard->from = json_int(in, path, obj, "from", INT64_MIN, INT64_MAX);
+	shard->to = json_int(in, path, obj, "to", INT64_MIN, INT64_MAX);
 	if (shard->to <= shard->from)
-		json_fault(in, place, "\"to\" must be above \"from\"");
-	shard->weight = json_real_or(in, place, obj, "weight", 1e-9, 1e12, 1);
-	parse_replicas(in, place, obj, names, shard);
+		json_fault(in, path, "\"to\" must be above \"from\"");
+	shard->weight = json_real_or(in, path, obj, "weight", 1e-9, 1e12, 1);
+	parse_replicas(in, path, obj, names, shard);
 }
 
-static void parse_snapshot(struct json_in *in, const char *place,
+static void parse_snapshot(struct json_in *in, const char *path,
 			   struct fleet *fleet, json_t *obj, apr_hash_t *names,
 			   struct snapshot *snap)
 {
 	static const char *const keys[] = { "version", "shards", NULL };
 
-	json_keys(in, place, obj, keys);
+	json_keys(in, path, obj, keys);
 	snap->version =
-		(uint64_t)json_int(in, place, obj, "version", 1, INT64_MAX);
+		(uint64_t)json_int(in, path, obj, "version", 1, INT64_MAX);
 
-	json_t *list = json_list(in, place, obj, "shards", JSON_ANY);
+	json_t *list = json_list(in, path, obj, "shards", JSON_ANY);
 
 	snap->nshards = list ? json_array_size(list) : 0;
 	snap->shards = apr_pcalloc(fleet->pool,
 				   (snap->nshards + 1) * sizeof(struct shard));
 	for (size_t i = 0; i < snap->nshards && !in->err.code; i++) {
-		char inner[PLACE + 32];
+		char shard_path[JSON_PATH_SIZE + 32];
 
-		snprintf(inner, sizeof(inner), "%s.shards[%zu]", place, i);
-		parse_shard(in, inner, fleet, json_array_get(list, i), names,
-			    &snap->shards[i]);
+		snprintf(shard_path, sizeof(shard_path), "%s.shards[%zu]", path,
+			 i);
+		parse_shard(in, shard_path, fleet, json_array_get(list, i),
+			    names, &snap->shards[i]);
 	}
 	if (!in->err.code)
-		check_map(in, place, snap, fleet->pool);
+		check_map(in, path, snap, fleet->pool);
 }
 
 static void parse_snapshots(struct json_in *in, struct fleet *fleet,
@@ -445,14 +444,14 @@
 	fleet->snapshots =
 		apr_pcalloc(fleet->pool, (count + 1) * sizeof(struct snapshot));
 	for (size_t i = 0; i < count && !in->err.code; i++) {
-		char place[PLACE];
+		char path[JSON_PATH_SIZE];
 
-		snprintf(place, sizeof(place), "snapshots[%zu]", i);
-		parse_snapshot(in, place, fleet, json_array_get(list, i), names,
+		snprintf(path, sizeof(path), "snapshots[%zu]", i);
+		parse_snapshot(in, path, fleet, json_array_get(list, i), names,
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_fault(in, place, "versions must go down");
+			json_fault(in, path, "versions must go down");
 	}
 }
 
--- a/doc.h
+++ b/doc.h
@@ -34,9 +34,9 @@
  * @entries: indexes that may be written; @nentries of them
  * @rate: questions and entries a second, over the whole fleet
  * @burst: size of the token bucket
- * @soft_us: answer from here on once @floor is covered, microseconds
+ * @soft_us: answer from here on once @coverage_floor is covered, microseconds
  * @deadline_us: final answer at the latest, microseconds
- * @floor: coverage, 0 to 1, that is enough at @soft_us
+ * @coverage_floor: coverage, 0 to 1, that is enough at @soft_us
  * @extra_load: hedges and retries per needed leaf request, 0 to 1
  */
 struct plan {
@@ -49,7 +49,7 @@
 	double burst;
 	int64_t soft_us;
 	int64_t deadline_us;
-	double floor;
+	double coverage_floor;
 	double extra_load;
 };
 
--- a/fetch.c
+++ b/fetch.c
@@ -8,10 +8,10 @@
 #include "xmalloc.h"
 
 enum {
-	HOST_CONNECTIONS = 8,
-	CACHED_CONNECTIONS = 2048,
-	IDLE_HANDLES = 256,
-	CONNECT_MS = 2000,
+	MAX_HOST_CONNECTIONS = 8,
+	MAX_CACHED_CONNECTIONS = 2048,
+	MAX_IDLE_HANDLES = 256,
+	CONNECT_TIMEOUT_MS = 2000,
 	URL_MAX = 8192,
 };
 
@@ -123,7 +123,7 @@
 	return left > 0 ? left : 0;
 }
 
-static void run(void *ctx)
+static void process_transfers(void *ctx)
 {
 	struct fetcher *fetcher = ctx;
 	int running;
@@ -154,10 +154,11 @@
 	curl_multi_setopt(multi, CURLMOPT_TIMERFUNCTION, timer_cb);
 	curl_multi_setopt(multi, CURLMOPT_TIMERDATA, fetcher);
 	curl_multi_setopt(multi, CURLMOPT_MAX_HOST_CONNECTIONS,
-			  (long)HOST_CONNECTIONS);
+			  (long)MAX_HOST_CONNECTIONS);
 	curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS,
-			  (long)CACHED_CONNECTIONS);
-	loop_hook(loop, (struct loop_hook){ run, wait_us, fetcher });
+			  (long)MAX_CACHED_CONNECTIONS);
+	loop_hook(loop,
+		  (struct loop_hook){ process_transfers, wait_us, fetcher });
 	return fetcher;
 }
 
@@ -242,7 +243,7 @@
 		t->next->prev = t->prev;
 	curl_slist_free_all(t->headers);
 	t->headers = NULL;
-	if (fetcher->nidle >= IDLE_HANDLES) {
+	if (fetcher->nidle >= MAX_IDLE_HANDLES) {
 		transfer_free(t);
 		return;
 	}
@@ -283,7 +284,8 @@
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(easy, CURLOPT_HTTP_VERSION,
 			 (long)CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
+			 (long)CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
 			 (long)(request->timeout_us / 1000 + 1));
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, write_cb);
--- a/front.c
+++ b/front.c
@@ -179,7 +179,8 @@
 
 static bool floor_met(const struct question *q)
 {
-	return answer_share(q, q->covered) >= q->plan.floor - EPSILON;
+	return answer_coverage(q, q->covered) >=
+	       q->plan.coverage_floor - EPSILON;
 }
 
 bool front_is_done(const struct question *q)
@@ -199,8 +200,9 @@
 
 	if (q->restarted || q->hard_at - node->now < node->now - q->start)
 		return false;
-	other = snapshot_choose(node, &q->query, q->fleet, q->plan.floor,
-				q->snapshot, &count, &total);
+	other = snapshot_choose(node, &q->query, q->fleet,
+				q->plan.coverage_floor, q->snapshot, &count,
+				&total);
 	if (!other || node->front->budget < (double)q->nleafs / 2)
 		return false;
 	node->front->budget -= (double)q->nleafs / 2;
@@ -224,7 +226,8 @@
 	for (size_t i = 0; i < q->nleafs; i++)
 		if (q->leafs[i].state == LEAF_OPEN)
 			open += q->leafs[i].shard->weight;
-	return answer_share(q, q->covered + open) >= q->plan.floor - EPSILON;
+	return answer_coverage(q, q->covered + open) >=
+	       q->plan.coverage_floor - EPSILON;
 }
 
 /* Return: false when the question has started anew. */
--- a/front_admit.c
+++ b/front_admit.c
@@ -91,8 +91,9 @@
 
 	q->waiting = false;
 	q->fleet = fleet_ref(node->fleet);
-	q->snapshot = snapshot_choose(node, &q->query, q->fleet, q->plan.floor,
-				      NULL, &count, &total);
+	q->snapshot =
+		snapshot_choose(node, &q->query, q->fleet,
+				q->plan.coverage_floor, NULL, &count, &total);
 	if (!q->snapshot) {
 		refuse(node, q->caller, ERR_NO_SNAPSHOT,
 		       "no snapshot has all of the indexes and shards asked "
--- a/serve.c
+++ b/serve.c
@@ -30,7 +30,7 @@
  */
 
 enum {
-	GRACE_US = 2000000,
+	TARGET_TIMEOUT_SLACK_US = 2000000,
 	TARGET_REPLY_MAX = 256 * 1024,
 	DOC_TIMEOUT_US = 2000000,
 	FLUSH_ROUNDS = 20,
@@ -51,10 +51,10 @@
 	apr_hash_t *requests; /* id -> struct http_request */
 	struct watch *signals;
 	int signal_fd;
-	size_t platform[DOC_KINDS];
+	size_t platform_index[DOC_KINDS];
 };
 
-static void feed(struct server *s, struct event event)
+static void dispatch(struct server *s, struct event event)
 {
 	event.now = loop_now();
 	node_reduce(s->node, &event, &s->fx);
@@ -71,29 +71,29 @@
 static void on_fetched(void *ctx, uint64_t id, const struct fetch_reply *reply)
 {
 	struct call *call = ctx;
-	struct fetched got = { .result = reply->result,
-			       .status = reply->status,
-			       .resent = reply->resent,
-			       .load = -1 };
+	struct fetched fetched = { .result = reply->result,
+				   .status = reply->status,
+				   .resent = reply->resent,
+				   .load = -1 };
 	struct buf rows = { 0 };
 
 	if (reply->result == FETCH_OK)
-		target_reply(reply->body, reply->status, &got, &rows);
+		target_reply(reply->body, reply->status, &fetched, &rows);
 	if (call->kind != FETCH_CANCEL)
-		feed(call->server, (struct event){ .type = EV_FETCHED,
-						   .id = id,
-						   .fetched = &got });
+		dispatch(call->server, (struct event){ .type = EV_FETCHED,
+						       .id = id,
+						       .fetched = &fetched });
 	buf_free(&rows);
 	free(call);
 }
 
-static void do_fetch(struct server *s, const struct effect *fx)
+static void start_fetch(struct server *s, const struct effect *fx)
 {
 	struct call *call = xmalloc(sizeof(*call));
 	struct buf url = { 0 };
 	struct fetch_request request = {
 		.remaining_us = fx->wait_us,
-		.timeout_us = fx->wait_us + GRACE_US,
+		.timeout_us = fx->wait_us + TARGET_TIMEOUT_SLACK_US,
 		.max_body = TARGET_REPLY_MAX,
 		.once = fx->fetch == FETCH_ENTRY,
 		.done = on_fetched,
@@ -126,16 +126,16 @@
 	} else if (reply->result == FETCH_OK && reply->status == 304) {
 		event.type = EV_DOC_SAME;
 	} else {
-		s->platform[id]++;
+		s->platform_index[id]++;
 	}
-	feed(s, event);
+	dispatch(s, event);
 }
 
-static void do_read(struct server *s, const struct effect *fx)
+static void start_read(struct server *s, const struct effect *fx)
 {
 	const struct config *config = s->config;
-	struct str addr =
-		config->platforms[s->platform[fx->doc] % config->nplatforms];
+	struct str addr = config->platforms[s->platform_index[fx->doc] %
+					    config->nplatforms];
 	struct buf url = { 0 };
 
 	buf_printf(&url, "http://%.*s/%s?after=%llu&hash=%llx&wait_ms=%lld",
@@ -158,7 +158,7 @@
 
 /* Effects. */
 
-static void do_answer(struct server *s, const struct effect *fx)
+static void send_reply(struct server *s, const struct effect *fx)
 {
 	uint64_t id = fx->id;
 	struct http_request *req = apr_hash_get(s->requests, &id, sizeof(id));
@@ -169,20 +169,20 @@
 	http_reply(req, fx->status, fx->body);
 }
 
-static void do_effect(struct server *s, const struct effect *fx)
+static void perform_effect(struct server *s, const struct effect *fx)
 {
 	switch (fx->type) {
 	case FX_SEND:
 		peers_send(s->peers, fx->addr, fx->incarnation, &fx->msg);
 		break;
 	case FX_FETCH:
-		do_fetch(s, fx);
+		start_fetch(s, fx);
 		break;
 	case FX_READ_DOC:
-		do_read(s, fx);
+		start_read(s, fx);
 		break;
 	case FX_ANSWER:
-		do_answer(s, fx);
+		send_reply(s, fx);
 		break;
 	case FX_AUDIT:
 		audit_add(&s->audit, fx->body);
@@ -194,18 +194,18 @@
 	}
 }
 
-static void carry_out(void *ctx)
+static void perform_effects(void *ctx)
 {
 	struct server *s = ctx;
 	size_t done = 0;
 
 	if (loop_now() >= node_wake_at(s->node))
-		feed(s, (struct event){ .type = EV_TICK });
+		dispatch(s, (struct event){ .type = EV_TICK });
 	while (done < s->fx.count) {
 		while (done < s->fx.count) {
 			struct effect fx = s->fx.list[done++];
 
-			do_effect(s, &fx);
+			perform_effect(s, &fx);
 		}
 		/* May add events of lost connections, and so effects. */
 		peers_flush(s->peers);
@@ -229,18 +229,19 @@
 	struct server *s = ctx;
 
 	for (size_t i = 0; i < frame->count; i++)
-		feed(s, (struct event){ .type = EV_MSG,
-					.from = frame->from,
-					.incarnation = frame->from_incarnation,
-					.msg = &frame->msgs[i] });
+		dispatch(s,
+			 (struct event){ .type = EV_MSG,
+					 .from = frame->from,
+					 .incarnation = frame->from_incarnation,
+					 .msg = &frame->msgs[i] });
 }
 
-static void on_lost(void *ctx, struct str addr)
+static void on_peer_lost(void *ctx, struct str addr)
 {
-	feed(ctx, (struct event){ .type = EV_PEER_LOST, .from = addr });
+	dispatch(ctx, (struct event){ .type = EV_PEER_LOST, .from = addr });
 }
 
-static void on_bad(void *ctx, const struct error *err)
+static void on_bad_frame(void *ctx, const struct error *err)
 {
 	struct server *s = ctx;
 
@@ -298,9 +299,9 @@
 			return;
 		}
 		apr_hash_set(s->requests, &req->id, sizeof(req->id), req);
-		feed(s, (struct event){ .type = routes[i].type,
-					.id = req->id,
-					.body = req->body });
+		dispatch(s, (struct event){ .type = routes[i].type,
+					    .id = req->id,
+					    .body = req->body });
 		return;
 	}
 	reply_error(req, ERR_NOT_FOUND, "no such path");
@@ -313,15 +314,15 @@
 	if (!apr_hash_get(s->requests, &req->id, sizeof(req->id)))
 		return;
 	apr_hash_set(s->requests, &req->id, sizeof(req->id), NULL);
-	feed(s, (struct event){ .type = EV_CALLER_GONE, .id = req->id });
+	dispatch(s, (struct event){ .type = EV_CALLER_GONE, .id = req->id });
 }
 
 /* Operators. */
 
-static void begin_stop(struct server *s)
+static void begin_drain(struct server *s)
 {
 	http_closing(s->callers, true);
-	feed(s, (struct event){ .type = EV_LEAVE });
+	dispatch(s, (struct event){ .type = EV_LEAVE });
 }
 
 static void on_operator(void *ctx, struct http_request *req)
@@ -337,7 +338,7 @@
 		counters_all_json(s->node, &out);
 	} else if (str_eq(req->path, STR("/drain")) &&
 		   str_eq(req->method, STR("POST"))) {
-		begin_stop(s);
+		begin_drain(s);
 		buf_str_add(&out, STR("{\"state\":\"leaving\"}"));
 	} else {
 		reply_error(req, ERR_NOT_FOUND,
@@ -358,7 +359,7 @@
 		return;
 	/* A second signal changes nothing: the stop goes on as planned. */
 	LOG_INFO("signal %d: planned stop", number);
-	begin_stop(s);
+	begin_drain(s);
 }
 
 static void watch_signals(struct server *s)
@@ -375,9 +376,10 @@
 {
 	const struct config *config = s->config;
 
-	s->peers = peers_create(
-		s->loop, config->peer, incarnation,
-		(struct peer_handler){ on_frame, on_lost, on_bad, s }, err);
+	s->peers = peers_create(s->loop, config->peer, incarnation,
+				(struct peer_handler){ on_frame, on_peer_lost,
+						       on_bad_frame, s },
+				err);
 	if (!s->peers)
 		return err->code;
 	s->callers = http_listen(
@@ -406,7 +408,7 @@
 	};
 
 	s->node = node_create(&opt, loop_now(), &s->fx);
-	loop_hook(s->loop, (struct loop_hook){ carry_out, wait_us, s });
+	loop_hook(s->loop, (struct loop_hook){ perform_effects, wait_us, s });
 }
 
 /* Answers that are given may still be on their way to the sockets. */
@@ -421,7 +423,7 @@
 		loop_step(s->loop);
 }
 
-static void destroy(struct server *s)
+static void server_destroy(struct server *s)
 {
 	if (s->operators)
 		http_destroy(s->operators);
@@ -466,6 +468,6 @@
 	} else {
 		LOG_ERR("%s; %s", err.text, error_info(code)->remedy);
 	}
-	destroy(&s);
+	server_destroy(&s);
 	return code ? 1 : 0;
 }
--- a/status.c
+++ b/status.c
@@ -6,7 +6,7 @@
 #include "once.h"
 #include "quota.h"
 
-static const char *const states[] = { "starting", "live", "leaving" };
+static const char *const state_names[] = { "starting", "live", "leaving" };
 
 static const char *target_state(const struct target *target)
 {
@@ -35,7 +35,7 @@
 		   (unsigned long long)target->cold);
 }
 
-static void gate_json(const struct node *node, struct buf *out)
+static void owned_targets_json(const struct node *node, struct buf *out)
 {
 	apr_hash_index_t *it;
 	bool first = true;
@@ -62,22 +62,23 @@
 static void vm_json(const struct node *node, const struct vm *vm,
 		    struct buf *out)
 {
-	int64_t heard = -1;
+	int64_t heartbeat_age_ms = -1;
 
 	if (vm->heartbeat_at != INT64_MIN)
-		heard = (node->now - vm->heartbeat_at) / 1000;
+		heartbeat_age_ms = (node->now - vm->heartbeat_at) / 1000;
 	if (vm == node->member->vms[0])
-		heard = 0;
+		heartbeat_age_ms = 0;
 	buf_str_add(out, STR("{\"vm\":"));
 	buf_json_add(out, vm->addr);
 	buf_str_add(out, STR(",\"domain\":"));
 	buf_json_add(out, vm->domain);
 	buf_printf(out, ",\"state\":\"%s\",\"usable\":%s,\"listed\":%s",
-		   states[vm->state],
+		   state_names[vm->state],
 		   member_usable(node, vm) ? "true" : "false",
 		   vm->listed ? "true" : "false");
 	buf_printf(out, ",\"incarnation\":\"%llx\",\"heard_ms\":%lld}",
-		   (unsigned long long)vm->incarnation, (long long)heard);
+		   (unsigned long long)vm->incarnation,
+		   (long long)heartbeat_age_ms);
 }
 
 static void docs_json(const struct node *node, struct buf *out)
@@ -101,7 +102,7 @@
 	buf_json_add(out, node->opt.domain);
 	buf_printf(out, ",\"incarnation\":\"%llx\",\"state\":\"%s\"",
 		   (unsigned long long)node->opt.incarnation,
-		   states[member_state(node)]);
+		   state_names[member_state(node)]);
 	buf_printf(out, ",\"view_confirmed\":%s,\"isolated\":%s",
 		   member_view_ok(node) ? "true" : "false",
 		   member_isolated(node) ? "true" : "false");
@@ -116,7 +117,7 @@
 		vm_json(node, node->member->vms[i], out);
 	}
 	buf_str_add(out, STR("],\"targets\":"));
-	gate_json(node, out);
+	owned_targets_json(node, out);
 	buf_add(out, "}", 1);
 }
 
@@ -169,7 +170,7 @@
 	buf_str_add(out, STR("{\"counters\":"));
 	counters_json(node->counters, out);
 	buf_str_add(out, STR(",\"targets\":"));
-	gate_json(node, out);
+	owned_targets_json(node, out);
 	buf_str_add(out, STR(",\"domains\":"));
 	domains_json(node, out);
 	buf_str_add(out, STR(",\"customers\":"));
