--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -281,7 +281,7 @@
 	for (int r = -1; r < rounds; r++) {
 		if (!r)
 			spent = cpu_now();
-		rig.now += HEARTBEAT_US;
+		rig.now += HEARTBEAT_PERIOD_US;
 		for (int i = 1; i < vms; i++) {
 			char addr[32];
 			struct frame frame;
@@ -317,8 +317,9 @@
 	printf("{\"bench\":\"members\",\"x\":%d,\"us_per_period\":%.1f,"
 	       "\"core_percent\":%.3f,\"frame_bytes\":%zu,"
 	       "\"bytes_per_s_each_way\":%.0f}\n",
-	       vms, spent * 1e6, spent * 1e6 * 100 / HEARTBEAT_US, bytes.len,
-	       (double)bytes.len * (vms - 1) * US / HEARTBEAT_US);
+	       vms, spent * 1e6, spent * 1e6 * 100 / HEARTBEAT_PERIOD_US,
+	       bytes.len,
+	       (double)bytes.len * (vms - 1) * US / HEARTBEAT_PERIOD_US);
 	buf_free(&bytes);
 	stop(&rig);
 }
--- a/command.c
+++ b/command.c
@@ -221,7 +221,7 @@
 	struct error err = { 0 };
 	int code = EXIT_FAILED;
 
-	if (file_read(file, DOC_MAX, &body, &err))
+	if (file_read(file, DOC_MAX_BYTES, &body, &err))
 		print_error(&err);
 	else
 		code = check(file, buf_str(&body));
--- a/config.c
+++ b/config.c
@@ -9,8 +9,8 @@
 
 enum {
 	ADDR_MAX = 21,
-	SETTINGS_MAX = 64 * 1024,
-	READ_STEP = 16 * 1024,
+	SETTINGS_MAX_BYTES = 64 * 1024,
+	READ_CHUNK_BYTES = 16 * 1024,
 };
 
 int addr_split(struct str addr, char *ip, size_t size, uint16_t *port)
@@ -162,8 +162,8 @@
 	if (!in)
 		return error_set(err, ERR_IO, "%s: %s", file, strerror(errno));
 	do {
-		buf_reserve(out, READ_STEP);
-		got = fread(out->ptr + out->len, 1, READ_STEP, in);
+		buf_reserve(out, READ_CHUNK_BYTES);
+		got = fread(out->ptr + out->len, 1, READ_CHUNK_BYTES, in);
 		out->len += got;
 	} while (got && out->len <= max);
 	fclose(in);
@@ -178,7 +178,7 @@
 	struct buf text = { 0 };
 	struct config *config = NULL;
 
-	if (!file_read(file, SETTINGS_MAX, &text, err))
+	if (!file_read(file, SETTINGS_MAX_BYTES, &text, err))
 		config = config_parse(file, buf_str(&text), err);
 	buf_free(&text);
 	return config;
--- a/doc.c
+++ b/doc.c
@@ -9,7 +9,7 @@
 enum {
 	MAX_SLOTS = 64,
 	MAX_CONNECTIONS = 4096,
-	MAX_MS = 600000,
+	MAX_DEADLINE_MS = 600000,
 	JSON_PATH_SIZE = 64,
 	US_PER_MS = 1000,
 };
@@ -49,10 +49,12 @@
 	plan->burst = json_real_or(in, path, obj, "burst", 1, 1e7,
 				   plan->rate > 1 ? plan->rate : 1);
 	plan->deadline_us =
-		json_int(in, path, obj, "deadline_ms", 1, MAX_MS) * US_PER_MS;
-	plan->soft_us = json_int_or(in, path, obj, "soft_ms", 1, MAX_MS,
-				    plan->deadline_us / US_PER_MS) *
-			US_PER_MS;
+		json_int(in, path, obj, "deadline_ms", 1, MAX_DEADLINE_MS) *
+		US_PER_MS;
+	plan->soft_us =
+		json_int_or(in, path, obj, "soft_ms", 1, MAX_DEADLINE_MS,
+			    plan->deadline_us / US_PER_MS) *
+		US_PER_MS;
 	plan->coverage_floor =
 		json_real_or(in, path, obj, "coverage_floor", 0, 1, 1);
 	plan->extra_load =
@@ -137,13 +139,13 @@
 	static const char *const keys[] = { "version", "plans", "allowances",
 					    NULL };
 	struct json_in in = { .file = "lists", .code = ERR_LIST };
-	json_t *doc = body.len > DOC_MAX ? NULL : json_parse(&in, body);
+	json_t *doc = body.len > DOC_MAX_BYTES ? NULL : json_parse(&in, body);
 	struct lists *lists = NULL;
 	apr_hash_t *names;
 	apr_pool_t *pool;
 
-	if (body.len > DOC_MAX)
-		json_fault(&in, "size", "over %d bytes", DOC_MAX);
+	if (body.len > DOC_MAX_BYTES)
+		json_fault(&in, "size", "over %d bytes", DOC_MAX_BYTES);
 	if (doc) {
 		apr_pool_create(&pool, NULL);
 		lists = apr_pcalloc(pool, sizeof(*lists));
@@ -460,12 +462,12 @@
 	static const char *const keys[] = { "version", "domains",   "vms",
 					    "targets", "snapshots", NULL };
 	struct json_in in = { .file = "fleet", .code = ERR_LIST };
-	json_t *doc = body.len > DOC_MAX ? NULL : json_parse(&in, body);
+	json_t *doc = body.len > DOC_MAX_BYTES ? NULL : json_parse(&in, body);
 	struct fleet *fleet = NULL;
 	apr_pool_t *pool;
 
-	if (body.len > DOC_MAX)
-		json_fault(&in, "size", "over %d bytes", DOC_MAX);
+	if (body.len > DOC_MAX_BYTES)
+		json_fault(&in, "size", "over %d bytes", DOC_MAX_BYTES);
 	if (doc) {
 		apr_pool_create(&pool, NULL);
 		fleet = apr_pcalloc(pool, sizeof(*fleet));
--- a/doc.h
+++ b/doc.h
@@ -11,7 +11,7 @@
  * failure domains, VMs, targets and the snapshots' partition maps. Parsing
  * depends on the bytes alone, never on the node or on what was in force, so
  * every node accepts or refuses the same document alike. Lists are as long as
- * DOC_MAX allows: a bound below it would keep what the platform took from
+ * DOC_MAX_BYTES allows: a bound below it would keep what the platform took from
  * force.
  */
 
@@ -22,7 +22,7 @@
 };
 
 enum {
-	DOC_MAX = 1024 * 1024,
+	DOC_MAX_BYTES = 1024 * 1024,
 	DOC_NAME_MAX = 64,
 	DOC_MAX_REPLICAS = 8,
 };
--- a/doc_sync.c
+++ b/doc_sync.c
@@ -13,7 +13,7 @@
 	EXTRA_READERS = 2,
 	POLL_MIN_US = 5000000,
 	POLL_PER_VM_US = 20000,
-	RETRY_US = 200000,
+	RETRY_BACKOFF_US = 200000,
 	RETRY_MAX_SHIFT = 4,
 	PEER_FETCH_TIMEOUT_US = 500000,
 	JOIN_MIN_US = 600000,
@@ -52,7 +52,7 @@
 	if (doc->reading)
 		return;
 	doc->reading = true;
-	doc->read_at = node->now;
+	doc->read_started_at = node->now;
 
 	struct effect *fx = effects_add(node->fx, FX_READ_DOC);
 
@@ -85,11 +85,12 @@
 
 	if (doc->failures)
 		timer_add(&node->timers,
-			  node->now + jitter(node, (int64_t)RETRY_US << shift),
+			  node->now + jitter(node, (int64_t)RETRY_BACKOFF_US
+							   << shift),
 			  TIMER_CONF, kind);
 	else if (!node->doc_sync->joined)
-		timer_add(&node->timers, node->now + RETRY_US, TIMER_CONF,
-			  kind);
+		timer_add(&node->timers, node->now + RETRY_BACKOFF_US,
+			  TIMER_CONF, kind);
 	else if (is_watcher(node, kind))
 		read_doc(node, kind, WATCH_WAIT_US);
 	else
@@ -121,10 +122,10 @@
 void doc_sync_init(struct node *node)
 {
 	node->doc_sync = xcalloc(1, sizeof(*node->doc_sync));
-	node->doc_sync->join_at = node->now + JOIN_MIN_US;
-	node->doc_sync->join_by = INT64_MAX;
+	node->doc_sync->join_not_before = node->now + JOIN_MIN_US;
+	node->doc_sync->join_deadline = INT64_MAX;
 	doc_sync_read_now(node);
-	timer_add(&node->timers, node->doc_sync->join_at, TIMER_CONF,
+	timer_add(&node->timers, node->doc_sync->join_not_before, TIMER_CONF,
 		  TIMER_JOIN);
 }
 
@@ -184,10 +185,10 @@
 		return true;
 	}
 	node->counters[CNT_DOCS_STALE]++;
-	if (doc->stale != hash)
+	if (doc->stale_hash != hash)
 		audit_doc(node, kind, doc->version, doc->version,
 			  "an older document was read and ignored");
-	doc->stale = hash;
+	doc->stale_hash = hash;
 	return false;
 }
 
@@ -197,9 +198,9 @@
 	struct synced_doc *doc = &node->doc_sync->docs[kind];
 	uint64_t hash = str_hash(body);
 
-	if (doc->refused == hash)
+	if (doc->refused_hash == hash)
 		return;
-	doc->refused = hash;
+	doc->refused_hash = hash;
 	doc->offered_version = doc->version;
 	node->counters[CNT_DOCS_REFUSED]++;
 	audit_doc(node, kind, doc->version, doc->version, err->text);
@@ -249,7 +250,7 @@
 {
 	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
-	if (doc->refused && str_hash(body) == doc->refused)
+	if (doc->refused_hash && str_hash(body) == doc->refused_hash)
 		return;
 	bool accepted = kind == DOC_LISTS ? accept_lists(node, body, why)
 					  : accept_fleet(node, body, why);
@@ -285,9 +286,9 @@
 	buf_str_add(&doc_sync->candidate[kind], body);
 	if (kind == DOC_FLEET && first) {
 		probe_candidate_vms(node, body);
-		doc_sync->join_at = node->now + JOIN_MIN_US;
-		doc_sync->join_by = node->now + JOIN_MAX_US;
-		timer_add(&node->timers, doc_sync->join_at, TIMER_CONF,
+		doc_sync->join_not_before = node->now + JOIN_MIN_US;
+		doc_sync->join_deadline = node->now + JOIN_MAX_US;
+		timer_add(&node->timers, doc_sync->join_not_before, TIMER_CONF,
 			  TIMER_JOIN);
 	}
 }
@@ -297,7 +298,8 @@
 {
 	struct synced_doc *doc = &node->doc_sync->docs[kind];
 
-	if (!version || !is_newer(version, hash, doc) || hash == doc->refused)
+	if (!version || !is_newer(version, hash, doc) ||
+	    hash == doc->refused_hash)
 		return;
 	if (version > doc->offered_version)
 		doc->offered_version = version;
@@ -345,7 +347,8 @@
 static void on_platform_reply(struct node *node, enum doc_kind kind,
 			      bool current)
 {
-	if (node->doc_sync->docs[kind].read_at < node->member->paused_at) {
+	if (node->doc_sync->docs[kind].read_started_at <
+	    node->member->paused_at) {
 		read_doc(node, kind, 0);
 		return;
 	}
@@ -358,7 +361,7 @@
 			      struct str body)
 {
 	struct synced_doc *doc = &node->doc_sync->docs[kind];
-	uint64_t stale = node->counters[CNT_DOCS_STALE];
+	uint64_t stale_before = node->counters[CNT_DOCS_STALE];
 
 	doc->reading = false;
 	doc->failures = 0;
@@ -367,7 +370,7 @@
 	else
 		set_candidate(node, kind, body);
 	/* A platform that serves an old document is no proof of freshness. */
-	doc->failures = stale != node->counters[CNT_DOCS_STALE];
+	doc->failures = stale_before != node->counters[CNT_DOCS_STALE];
 	on_platform_reply(node, kind, !doc->failures);
 }
 
@@ -397,8 +400,8 @@
 
 	if (doc_sync->joined)
 		return;
-	if (node->now < doc_sync->join_at ||
-	    (doc_sync_behind(node) && node->now < doc_sync->join_by)) {
+	if (node->now < doc_sync->join_not_before ||
+	    (doc_sync_behind(node) && node->now < doc_sync->join_deadline)) {
 		timer_add(&node->timers, node->now + JOIN_MIN_US / 4,
 			  TIMER_CONF, TIMER_JOIN);
 		return;
@@ -412,8 +415,8 @@
 		for (int i = 0; i < DOC_KINDS; i++)
 			doc_sync->candidate[i].len = 0;
 		doc_sync_read_now(node);
-		timer_add(&node->timers, node->now + RETRY_US, TIMER_CONF,
-			  TIMER_JOIN);
+		timer_add(&node->timers, node->now + RETRY_BACKOFF_US,
+			  TIMER_CONF, TIMER_JOIN);
 		return;
 	}
 	doc_sync->joined = true;
--- a/doc_sync.h
+++ b/doc_sync.h
@@ -15,8 +15,8 @@
  * struct synced_doc - one of the two documents
  * @body: bytes of the one in force, for peers; on the heap
  * @version, @hash: of the one in force, 0 when there is none
- * @refused: hash of the last refused body, so it is judged once
- * @reading: a read of the platform is under way, begun at @read_at
+ * @refused_hash: hash of the last refused body, so it is judged once
+ * @reading: a read of the platform is under way, begun at @read_started_at
  * @peer_fetch_until: a peer was asked for the body; ask another after this time
  * @offered_version: highest version that a peer offered
  */
@@ -24,10 +24,10 @@
 	struct buf body;
 	uint64_t version;
 	uint64_t hash;
-	uint64_t refused;
-	uint64_t stale;
+	uint64_t refused_hash;
+	uint64_t stale_hash;
 	bool reading;
-	int64_t read_at;
+	int64_t read_started_at;
 	int failures;
 	int64_t peer_fetch_until;
 	uint64_t offered_version;
@@ -37,8 +37,8 @@
 	struct synced_doc docs[DOC_KINDS];
 	struct buf candidate[DOC_KINDS];
 	bool joined;
-	int64_t join_at; /* earliest end of the join */
-	int64_t join_by; /* latest end, once a candidate is there */
+	int64_t join_not_before; /* earliest end of the join */
+	int64_t join_deadline; /* latest end, once a candidate is there */
 };
 
 void doc_sync_init(struct node *node);
--- a/gate.c
+++ b/gate.c
@@ -297,7 +297,7 @@
 		return;
 	}
 	/* After a pause nothing starts on the old view; gate_resume() pumps. */
-	if (!member_view_ok(node) && !node->opt.off.no_pause_check)
+	if (!member_view_confirmed(node) && !node->opt.off.no_pause_check)
 		return;
 	if (node->now < target->wait_until)
 		return;
@@ -495,7 +495,7 @@
 	struct target *target = job->target;
 	int reason = closed(node, target);
 
-	if (!reason && !member_view_ok(node) && !node->opt.off.no_grant)
+	if (!reason && !member_view_confirmed(node) && !node->opt.off.no_grant)
 		reason = ERR_ISOLATED;
 	if (reason) {
 		reply(node, job, reason, false, (struct str){ 0 });
--- a/member.c
+++ b/member.c
@@ -139,7 +139,7 @@
 	node->member = member;
 	apr_pool_create(&member->pool, node->pool);
 	member->by_key = hash_make(member->pool);
-	member->view_ok = true;
+	member->view_confirmed = true;
 	member->platform_read_at = INT64_MIN;
 	member->paused_at = INT64_MIN;
 
@@ -266,8 +266,8 @@
  */
 static bool should_isolate(const struct node *node)
 {
-	size_t known = 1;
-	size_t heard = 1;
+	size_t total = 1;
+	size_t reachable = 1;
 
 	if (platform_age(node) <= PLATFORM_STALE_US)
 		return false;
@@ -277,11 +277,11 @@
 		if (vm->departed ||
 		    (!vm->listed && !member_reachable(node, vm)))
 			continue;
-		known++;
+		total++;
 		if (member_reachable(node, vm))
-			heard++;
+			reachable++;
 	}
-	return heard * 2 < known;
+	return reachable * 2 < total;
 }
 
 static void update_isolation(struct node *node)
@@ -305,12 +305,13 @@
 	update_isolation(node);
 	doc_sync_read_if_stale(node, platform_age(node));
 	front_poison_sweep(node);
-	timer_add(&node->timers, node->now + HEARTBEAT_US, TIMER_HEARTBEAT, 0);
+	timer_add(&node->timers, node->now + HEARTBEAT_PERIOD_US,
+		  TIMER_HEARTBEAT, 0);
 }
 
 static void end_recovery(struct node *node, const char *why)
 {
-	node->member->view_ok = true;
+	node->member->view_confirmed = true;
 	update_isolation(node);
 	node_audit(node, "view", STR("old"), STR("confirmed"), why, 0);
 	gate_resume(node);
@@ -322,16 +323,16 @@
  */
 static void confirm_view(struct node *node, const char *why)
 {
-	if (node->member->view_ok)
+	if (node->member->view_confirmed)
 		return;
-	node->member->confirmed = true;
+	node->member->view_answered = true;
 	if (!doc_sync_behind(node))
 		end_recovery(node, why);
 }
 
 void member_docs_updated(struct node *node)
 {
-	if (!node->member->view_ok && node->member->confirmed &&
+	if (!node->member->view_confirmed && node->member->view_answered &&
 	    !doc_sync_behind(node))
 		end_recovery(node, "documents are up to date");
 }
@@ -362,7 +363,7 @@
 	vm->departed = vm->state == VM_LEAVING;
 	vm_set_domain(vm, msg->name);
 	/* After a pause only an answer to the probe tells of the present. */
-	bool current = node->member->view_ok ||
+	bool current = node->member->view_confirmed ||
 		       (msg->id && msg->id == node->member->nonce);
 
 	if (current && msg->fresh_us >= 0 && msg->fresh_us < INT64_MAX / 4)
@@ -388,10 +389,10 @@
 		     const struct msg *msg)
 {
 	struct msg reply = heartbeat_msg(node);
-	struct msg heard = *msg;
+	struct msg heartbeat = *msg;
 
-	heard.id = 0;
-	member_on_heartbeat(node, from, incarnation, &heard);
+	heartbeat.id = 0;
+	member_on_heartbeat(node, from, incarnation, &heartbeat);
 	reply.id = msg->id;
 	node_send(node, from, incarnation, &reply);
 }
@@ -467,9 +468,9 @@
 	node->counters[CNT_PAUSES]++;
 	node_audit(node, "pause", STR("running"), STR("woken"),
 		   "gap between events", (uint64_t)gap);
-	member->view_ok = false;
+	member->view_confirmed = false;
 	member->nonce = rng_next(&node->rng) | 1;
-	member->confirmed = false;
+	member->view_answered = false;
 	member->paused_at = node->now;
 	timer_add(&node->timers, node->now + VIEW_CONFIRM_TIMEOUT_US,
 		  TIMER_VIEW, member->nonce);
@@ -488,7 +489,7 @@
 	 * Nobody answered: either this node is alone or it is cut off. From
 	 * here on the rule for isolation decides, as for any other node.
 	 */
-	if (nonce == node->member->nonce && !node->member->view_ok)
+	if (nonce == node->member->nonce && !node->member->view_confirmed)
 		end_recovery(node, "nobody answered in time");
 }
 
@@ -498,9 +499,9 @@
 	confirm_view(node, "the platform answered");
 }
 
-bool member_view_ok(const struct node *node)
+bool member_view_confirmed(const struct node *node)
 {
-	return node->member->view_ok;
+	return node->member->view_confirmed;
 }
 
 bool member_isolated(const struct node *node)
--- a/member.h
+++ b/member.h
@@ -19,10 +19,10 @@
 };
 
 /** Heartbeat period, and silence after which a VM is taken for dead. */
-#define HEARTBEAT_US 250000
+#define HEARTBEAT_PERIOD_US 250000
 #define HEARTBEAT_TIMEOUT_US 1000000
 /** A gap between events that means the process was paused. */
-#define PAUSE_US 1000000
+#define PAUSE_THRESHOLD_US 1000000
 /** Age of the platform's view from which isolation is considered. */
 #define PLATFORM_STALE_US 3000000
 
@@ -56,9 +56,9 @@
 	uint64_t epoch; /* raised whenever the usable set changes */
 	int64_t platform_read_at; /* newest platform reading known to anyone
 				     heard */
-	bool view_ok; /* false after a pause until confirmed */
+	bool view_confirmed; /* false after a pause until confirmed */
 	int64_t paused_at; /* when the last pause was noticed */
-	bool confirmed; /* somebody answered since; documents may lack */
+	bool view_answered; /* somebody answered since; documents may lack */
 	uint64_t nonce; /* probe that confirms the view */
 	bool isolated; /* judged at each heartbeat */
 };
@@ -83,7 +83,7 @@
 void member_view_timeout(struct node *node, uint64_t nonce);
 /** member_docs_updated() - documents changed: the view may be whole again. */
 void member_docs_updated(struct node *node);
-bool member_view_ok(const struct node *node);
+bool member_view_confirmed(const struct node *node);
 /** member_isolated() - cut off: a change may have passed this node by. */
 bool member_isolated(const struct node *node);
 struct vm *member_find(const struct node *node, uint64_t key);
--- a/node.c
+++ b/node.c
@@ -411,7 +411,7 @@
 	node->fx = fx;
 	if (gap > 0)
 		node->now = event->now;
-	if (gap > PAUSE_US && !node->opt.off.no_pause_check)
+	if (gap > PAUSE_THRESHOLD_US && !node->opt.off.no_pause_check)
 		member_paused(node, gap);
 	on_event(node, event);
 	dispatch_local(node);
--- a/serve.c
+++ b/serve.c
@@ -32,9 +32,9 @@
 enum {
 	TARGET_TIMEOUT_SLACK_US = 2000000,
 	TARGET_REPLY_MAX = 256 * 1024,
-	DOC_TIMEOUT_US = 2000000,
+	DOC_TIMEOUT_SLACK_US = 2000000,
 	FLUSH_ROUNDS = 20,
-	FLUSH_US = 2000000,
+	FLUSH_TIMEOUT_US = 2000000,
 };
 
 struct server {
@@ -146,7 +146,7 @@
 	struct fetch_request request = {
 		.url = buf_str(&url),
 		.remaining_us = -1,
-		.timeout_us = fx->wait_us + DOC_TIMEOUT_US,
+		.timeout_us = fx->wait_us + DOC_TIMEOUT_SLACK_US,
 		.done = on_doc,
 		.ctx = s,
 		.id = fx->doc,
@@ -414,7 +414,7 @@
 /* Answers that are given may still be on their way to the sockets. */
 static void flush_answers(struct server *s)
 {
-	int64_t until = loop_now() + FLUSH_US;
+	int64_t until = loop_now() + FLUSH_TIMEOUT_US;
 
 	http_quiesce(s->callers);
 	for (int i = 0; i < FLUSH_ROUNDS; i++)
@@ -456,7 +456,7 @@
 	effects_init(&s.fx, s.pool);
 	s.requests = hash_make(s.pool);
 	s.loop = loop_create(s.pool);
-	s.fetcher = fetcher_create(s.loop, DOC_MAX + REQUEST_BODY_MAX);
+	s.fetcher = fetcher_create(s.loop, DOC_MAX_BYTES + REQUEST_BODY_MAX);
 	code = listen_all(&s, incarnation, &err);
 	if (!code) {
 		watch_signals(&s);
--- a/status.c
+++ b/status.c
@@ -104,7 +104,7 @@
 		   (unsigned long long)node->opt.incarnation,
 		   state_names[member_state(node)]);
 	buf_printf(out, ",\"view_confirmed\":%s,\"isolated\":%s",
-		   member_view_ok(node) ? "true" : "false",
+		   member_view_confirmed(node) ? "true" : "false",
 		   member_isolated(node) ? "true" : "false");
 	docs_json(node, out);
 	buf_printf(out, ",\"questions_open\":%zu,\"questions_limit\":%.0f",
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -206,7 +206,7 @@
 #pragma GCC diagnostic pop
 	}
 	buf_str_add(text, str_of(large->tail));
-	ck_assert_uint_le(text->len, DOC_MAX);
+	ck_assert_uint_le(text->len, DOC_MAX_BYTES);
 }
 
 /*
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -19,7 +19,7 @@
 
 enum {
 	WAITERS = 4096,
-	BODY_MAX = DOC_MAX + 4096
+	BODY_MAX = DOC_MAX_BYTES + 4096
 };
 
 struct waiter {
@@ -176,8 +176,8 @@
 	}
 	apr_initialize();
 	p->loop = loop_create(NULL);
-	if (file_read(argv[2], DOC_MAX, &p->now[DOC_LISTS], &err) ||
-	    file_read(argv[3], DOC_MAX, &p->now[DOC_FLEET], &err) ||
+	if (file_read(argv[2], DOC_MAX_BYTES, &p->now[DOC_LISTS], &err) ||
+	    file_read(argv[3], DOC_MAX_BYTES, &p->now[DOC_FLEET], &err) ||
 	    !http_listen(p->loop, str_of(argv[1]), BODY_MAX,
 			 (struct http_handler){ on_request, on_gone, p },
 			 &err)) {
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -578,7 +578,7 @@
 	farm->rng.seed = 1;
 	farm->loop = loop_create(NULL);
 	parse_knobs(&knobs, argc - 3, argv + 3);
-	if (!file_read(argv[2], DOC_MAX, &body, &err))
+	if (!file_read(argv[2], DOC_MAX_BYTES, &body, &err))
 		farm->fleet = fleet_parse(buf_str(&body), &err);
 	if (!farm->fleet || open_leafs(farm, &knobs, &err) ||
 	    !http_listen(farm->loop, str_of(argv[1]), BODY_MAX,
