--- a/member.c
+++ b/member.c
@@ -207,7 +207,7 @@
 	return false;
 }
 
-/* A VM that nobody lists any more and that is silent is of no use. */
+/* Removes VMs that are neither listed, nor in the settings, nor reachable. */
 static void remove_stale_vms(struct node *node)
 {
 	struct member *member = node->member;
@@ -259,10 +259,10 @@
 }
 
 /*
- * A node that hears neither the platform nor half of the VMs may have missed
- * that a failure domain was taken out. The symptom would be new work in that
- * domain for as long as the cut lasts. With the platform down for everyone the
- * others are still heard, and service goes on.
+ * A node that reaches neither the platform nor half of the VMs may have missed
+ * that a failure domain was taken out, and would send new work to that domain
+ * for as long as the partition lasts. When the platform is down for all nodes,
+ * the other VMs are still reachable and service continues.
  */
 static bool should_isolate(const struct node *node)
 {
@@ -318,8 +318,9 @@
 }
 
 /*
- * The answer alone is not enough: it can name a document that has not come
- * yet, and the one in hand may still have a failure domain in that is out.
+ * An answer alone is not enough: it can name a document that has not arrived
+ * yet, and the current document may still list a failure domain as in that has
+ * been taken out.
  */
 static void confirm_view(struct node *node, const char *why)
 {
@@ -362,7 +363,8 @@
 					     : VM_LEAVING;
 	vm->departed = vm->state == VM_LEAVING;
 	vm_set_domain(vm, msg->name);
-	/* After a pause only an answer to the probe tells of the present. */
+	/* After a pause, only the answer to the probe is known to be current.
+	 */
 	bool current = node->member->view_confirmed ||
 		       (msg->id && msg->id == node->member->nonce);
 
@@ -379,7 +381,7 @@
 	front_poison_heard(node, from, msg->key);
 	/*
 	 * After a pause the socket still holds heartbeats from before it; only
-	 * the answer to a probe sent since then shows that the view is new.
+	 * the answer to a probe sent after it confirms the view.
 	 */
 	if (msg->id && msg->id == node->member->nonce)
 		confirm_view(node, "a peer answered");
@@ -476,7 +478,7 @@
 		  TIMER_VIEW, member->nonce);
 	for (size_t i = 1; i < member->count; i++)
 		member_probe(node, member->vms[i]->addr);
-	/* Peers were silent only to a sleeper: give them time to be heard. */
+	/* Heartbeats could not be read during the pause: restart timeouts. */
 	for (size_t i = 1; i < member->count; i++)
 		if (member->vms[i]->heartbeat_at != INT64_MIN)
 			member->vms[i]->heartbeat_at = node->now;
@@ -486,8 +488,8 @@
 void member_view_timeout(struct node *node, uint64_t nonce)
 {
 	/*
-	 * Nobody answered: either this node is alone or it is cut off. From
-	 * here on the rule for isolation decides, as for any other node.
+	 * No answer: this node is either the only one or partitioned. From here
+	 * on the isolation rule applies, as on any other node.
 	 */
 	if (nonce == node->member->nonce && !node->member->view_confirmed)
 		end_recovery(node, "nobody answered in time");
--- a/member.h
+++ b/member.h
@@ -5,11 +5,11 @@
 /**
  * DOC: membership
  *
- * Each node sends heartbeats to all others it knows of (listed by the
- * platform, named in its settings, or heard from). A VM may be a gate while
- * its heartbeats are fresh, it says that it is live, and neither the platform
- * nor the operators take it out: the list lags, heartbeats tell sooner, and
- * the stricter of the two wins.
+ * Each node sends heartbeats to all other nodes that are listed by the
+ * platform, named in its settings, or have sent it a heartbeat. A VM may be a
+ * gate (gate.h) while its heartbeats are fresh, they report it as live, and
+ * neither the platform nor the operators have taken it out. The platform's list
+ * lags behind the heartbeats, so the stricter of the two applies.
  */
 
 enum vm_state {
@@ -18,20 +18,24 @@
 	VM_LEAVING,
 };
 
-/** Heartbeat period, and silence after which a VM is taken for dead. */
+/** Heartbeat period, and time without one after which a VM counts as lost. */
 #define HEARTBEAT_PERIOD_US 250000
 #define HEARTBEAT_TIMEOUT_US 1000000
-/** A gap between events that means the process was paused. */
+/** A longer gap between events means that the process was paused. */
 #define PAUSE_THRESHOLD_US 1000000
-/** Age of the platform's view from which isolation is considered. */
+/** Age of the last platform reading above which a node may be isolated. */
 #define PLATFORM_STALE_US 3000000
 
 /**
- * struct vm - another VM, or this one
- * @listed: the platform's list has it; @listed_leaving as leaving
+ * struct vm - a member VM, including this one
+ * @key: hash of @addr
+ * @listed: in the platform's list
+ * @listed_leaving: in the platform's list as leaving
+ * @domain_out: its failure domain has been taken out
  * @incarnation: of its last heartbeat, 0 before the first
  * @heartbeat_at: time of its last heartbeat, INT64_MIN when it counts as lost
- * @departed: it said that it is leaving before it fell silent
+ * @last_seen_at: time of its last heartbeat, or when it was added
+ * @departed: its last heartbeat reported it as leaving
  */
 struct vm {
 	uint64_t key;
@@ -53,14 +57,13 @@
 	struct vm **vms; /* [0] is this node */
 	size_t count;
 	size_t cap;
-	uint64_t epoch; /* raised whenever the usable set changes */
-	int64_t platform_read_at; /* newest platform reading known to anyone
-				     heard */
+	uint64_t epoch; /* incremented whenever the usable set changes */
+	int64_t platform_read_at; /* newest one reported by any node */
 	bool view_confirmed; /* false after a pause until confirmed */
-	int64_t paused_at; /* when the last pause was noticed */
-	bool view_answered; /* somebody answered since; documents may lack */
-	uint64_t nonce; /* probe that confirms the view */
-	bool isolated; /* judged at each heartbeat */
+	int64_t paused_at; /* when the last pause was detected */
+	bool view_answered; /* answered since; documents may be missing */
+	uint64_t nonce; /* of the probe that confirms the view */
+	bool isolated; /* updated at each heartbeat */
 };
 
 void member_init(struct node *node);
@@ -68,34 +71,38 @@
 void member_heartbeat(struct node *node);
 void member_on_heartbeat(struct node *node, struct str from,
 			 uint64_t incarnation, const struct msg *msg);
-/** member_on_probe() - answer a PROBE with a heartbeat at once. */
+/** member_on_probe() - answer a PROBE with a heartbeat. */
 void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
 		     const struct msg *msg);
 void member_lost(struct node *node, struct str addr);
 void member_fleet_changed(struct node *node);
 void member_set_state(struct node *node, enum vm_state state);
 enum vm_state member_state(const struct node *node);
-/** member_paused() - the process slept; distrust the view until confirmed. */
+/** member_paused() - mark the view as unconfirmed after a process pause. */
 void member_paused(struct node *node, int64_t gap);
-/** member_platform_read() - the platform answered with what is in force. */
+/** member_platform_read() - record that the platform sent current data. */
 void member_platform_read(struct node *node);
-/** member_view_timeout() - nobody confirmed the view in time. */
+/** member_view_timeout() - end the wait for a confirmation of the view. */
 void member_view_timeout(struct node *node, uint64_t nonce);
-/** member_docs_updated() - documents changed: the view may be whole again. */
+/** member_docs_updated() - confirm an answered view once documents match. */
 void member_docs_updated(struct node *node);
 bool member_view_confirmed(const struct node *node);
-/** member_isolated() - cut off: a change may have passed this node by. */
+/** member_isolated() - whether this node may have missed a change. */
 bool member_isolated(const struct node *node);
 struct vm *member_find(const struct node *node, uint64_t key);
-/** member_reachable() - its heartbeats are fresh, whatever its state. */
+/** member_reachable() - whether its heartbeats are fresh, in any state. */
 bool member_reachable(const struct node *node, const struct vm *vm);
 bool member_usable(const struct node *node, const struct vm *vm);
-/** member_owner() - VM with the highest rendezvous weight for @key, among
- *  those of @domain when any is usable; NULL when none is. */
+/**
+ * member_owner() - usable VM with the highest rendezvous weight for @key
+ * @domain: failure domain whose VMs are preferred, may be empty
+ *
+ * Return: the VM, or NULL when none is usable.
+ */
 struct vm *member_owner(const struct node *node, uint64_t key,
 			struct str domain);
-/** member_rank() - how many usable VMs go before this one for @key. */
+/** member_rank() - number of usable VMs that outweigh this one for @key. */
 size_t member_rank(const struct node *node, uint64_t key);
 size_t member_count(const struct node *node);
-/** member_probe() - ask the node at @addr for a heartbeat at once. */
+/** member_probe() - request an immediate heartbeat from the node at @addr. */
 void member_probe(struct node *node, struct str addr);
--- a/node.c
+++ b/node.c
@@ -19,7 +19,7 @@
 	DRAIN_CHECK_PERIOD_US = 50000,
 };
 
-/** struct drain - progress of a planned stop, kept beside the node */
+/** struct drain - progress of a planned stop, private to this file */
 struct drain {
 	int64_t started_at;
 	int64_t last_request_at;
@@ -199,9 +199,10 @@
 }
 
 /*
- * Peers need a heartbeat to move the gates, and the balancer a health check
- * to stop sending. A node that ends before that cuts off requests that were
- * sent in good faith, so it stays until it was quiet for a while.
+ * Peers move the gates after the next heartbeat, and the load balancer stops
+ * sending after the next health check. A node that exits earlier drops requests
+ * that were sent before either, so it drains until it has been idle for a
+ * while.
  */
 static void drain_check(struct node *node)
 {
@@ -235,7 +236,7 @@
 
 /* Dispatch. */
 
-/** A handler of one kind of message. */
+/** struct handler - handles messages of one kind */
 struct handler {
 	void (*fn)(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
@@ -391,7 +392,7 @@
 	}
 }
 
-/* Messages to oneself can cause further ones; all are handled at once. */
+/* Handling a local message can queue further ones; handle them all. */
 static void dispatch_local(struct node *node)
 {
 	for (size_t i = 0; i < node->nlocal; i++) {
--- a/node.h
+++ b/node.h
@@ -6,12 +6,12 @@
 #include "timer.h"
 
 /**
- * DOC: the reducer
+ * DOC: node state machine
  *
- * A node is its state and one function, node_reduce(). The concerns are
- * modules of their own (member, conf, quota, gate, front, once), each with
- * its part of the state; they call one another through the functions in their
- * headers and see the rest of the node through struct node.
+ * A node is its state and one reducer function, node_reduce(). Each module
+ * (member, doc_sync, quota, gate, front, once) keeps its part of the state.
+ * Modules call one another through their headers and access the rest of the
+ * node through struct node.
  */
 
 struct member;
@@ -21,32 +21,34 @@
 struct front;
 struct once;
 
-/** struct safeguards - each can be turned off in tests, to see it fail */
+/** struct safeguards - switches by which tests disable one safeguard each */
 struct safeguards {
 	bool no_ramp; /* gate: a new target gets all of its slots */
 	bool no_version_check; /* front: merge rows of any snapshot */
 	bool no_coverage_merge; /* front: count expected shards as covered */
-	bool no_attempt_match; /* front: take any reply for the question */
-	bool no_grant; /* gate: run an entry after its grant ended */
-	bool no_ticket; /* once: run entries by the caller's id alone */
+	bool no_attempt_match; /* front: accept any reply for the question */
+	bool no_grant; /* gate: run an entry after its grant expired */
+	bool no_ticket; /* once: identify entries by the caller's id alone */
 	bool no_domain_check; /* gate and front: ignore domains taken out */
 	bool no_leaving_check; /* gate and front: ignore leaving targets */
-	bool no_version_order; /* conf: take any document that is read */
-	bool no_drain; /* stop at once */
-	bool no_pause_check; /* go on with the old view after a pause */
+	bool no_version_order; /* doc_sync: accept any document that is read */
+	bool no_drain; /* stop without draining */
+	bool no_pause_check; /* keep using the old view after a pause */
 };
 
 /**
- * struct node_options - what a node is created with
- * @addr: "ip:port" between nodes; its identity
+ * struct node_options - parameters of node_create()
+ * @addr: "ip:port" for traffic between nodes; identifies the node
  * @domain: failure domain
- * @incarnation: differs for every process, also on the same address
- * @seed: for the random numbers
- * @peers: addresses to ask before the platform has answered
- * @max_open: questions open at a time
- * @drain_us: longest wait for open requests at a planned stop
+ * @incarnation: unique to each process, also on the same address
+ * @seed: seed of the random number generator
+ * @peers: addresses to contact before the platform has answered
+ * @npeers: number of @peers
+ * @max_open: maximum number of open questions
+ * @drain_us: maximum wait for open requests at a planned stop
  * @direct: benchmarks only: no gates, each node sends to all targets itself
  *          with its share of their slots
+ * @off: disabled safeguards, in tests only
  */
 struct node_options {
 	struct str addr;
@@ -64,12 +66,14 @@
 /**
  * struct node - the state of one node
  * @key: hash of opt.addr
- * @now: time of the event at hand, monotonic microseconds
- * @fx: effects of the event at hand
- * @reviewed_at: last review of the gates; @review_due: one is scheduled
+ * @now: time of the current event, monotonic microseconds
+ * @fx: effects of the current event
+ * @reviewed_at: time of the last review of the gates
+ * @review_due: a review is scheduled
  * @lists: accepted lists, NULL before the first
  * @fleet: accepted fleet, NULL before the first
- * @local: messages of this node to itself, handled before node_reduce() ends
+ * @local: messages of this node to itself, handled before node_reduce()
+ *         returns
  */
 struct node {
 	apr_pool_t *pool;
@@ -99,26 +103,30 @@
 struct node *node_create(const struct node_options *opt, int64_t now,
 			 struct effects *fx);
 void node_destroy(struct node *node);
-/** node_reduce() - take one event; effects are appended to @fx. */
+/** node_reduce() - handle one event; effects are appended to @fx. */
 void node_reduce(struct node *node, const struct event *event,
 		 struct effects *fx);
-/** node_wake_at() - when the next EV_TICK is due at the latest. */
+/** node_wake_at() - latest time of the next EV_TICK. */
 int64_t node_wake_at(const struct node *node);
 
-/* For the modules. */
+/* Internal to the node's modules. */
 
-/** node_send() - message to the node at @addr; strings are copied. */
+/** node_send() - send @msg to the node at @addr; strings are copied. */
 void node_send(struct node *node, struct str addr, uint64_t incarnation,
 	       const struct msg *msg);
 void node_answer(struct node *node, uint64_t caller, int status,
 		 struct str body);
-/** node_refuse() - answer with a typed error. */
+/** node_refuse() - answer a caller with a typed error. */
 void node_refuse(struct node *node, uint64_t caller, int code, const char *text,
 		 int64_t retry_after_us);
 void node_audit(struct node *node, const char *what, struct str from,
 		struct str to, const char *why, uint64_t version);
-/** node_view_changed() - documents or own state changed; review all gates. */
+/** node_view_changed() - review all gates after a change of the view. */
 void node_view_changed(struct node *node);
-/** node_vms_changed() - the same after VMs came or went, which they do in
- *  crowds: the first is seen to at once, those that follow together. */
+/**
+ * node_vms_changed() - node_view_changed() after VMs joined or left
+ *
+ * VMs often change in groups: the first change is handled immediately, those
+ * that follow it are handled together.
+ */
 void node_vms_changed(struct node *node);
