--- a/answer.c
+++ b/answer.c
@@ -62,7 +62,7 @@
 {
 	struct buf out = { 0 };
 	bool complete = is_complete(q);
-	/* Rounded down: a partial answer never reads as a complete one. */
+	/* Rounded down: a partial answer must not show a coverage of 1. */
 	double covered = complete ? 1
 				  : floor(answer_coverage(q, q->covered) *
 					  COVERAGE_STEPS) /
--- a/doc_sync.c
+++ b/doc_sync.c
@@ -64,7 +64,7 @@
 	node->counters[CNT_PLATFORM_READS]++;
 }
 
-/* Half to one and a half of @us, so that a fleet does not call in step. */
+/* Returns 0.5 to 1.5 times @us, so that nodes do not poll in lockstep. */
 static int64_t jitter(struct node *node, int64_t us)
 {
 	return us / 2 + (int64_t)rng_below(&node->rng, (uint64_t)us + 1);
@@ -106,10 +106,10 @@
 }
 
 /*
- * The watchers can be the very nodes that the platform does not answer. The
- * symptom would be a change that waits for the next poll of the rest. By the
- * heartbeats everyone knows the age of the newest reading; once it is old, a
- * few nodes a second look, whatever the size of the fleet.
+ * The platform may fail to answer just the watchers; a change would then wait
+ * for the next poll of the other nodes. Heartbeats carry the age of the newest
+ * reading. Once it is old, each node reads with a probability that makes a few
+ * reads per heartbeat period over the fleet, whatever its size.
  */
 void doc_sync_read_if_stale(struct node *node, int64_t platform_age)
 {
@@ -163,11 +163,11 @@
 }
 
 /*
- * The order by version and hash is what keeps a node from going back: a stale
- * reader of the platform, or a peer that woke up, can offer an older document
- * at any time. The symptom would be a limit that was lifted coming back. Two
- * bodies with one version are an operator's slip; the higher hash wins
- * everywhere, so that the nodes at least agree.
+ * Ordering by version and hash keeps a node from reverting to an older
+ * document, which a stale platform or a peer that was paused can offer at any
+ * time; a limit that was lifted would come back. Two bodies with the same
+ * version are an operator's mistake; the higher hash wins on every node, so
+ * that they agree.
  */
 static bool should_accept(struct node *node, enum doc_kind kind,
 			  uint64_t version, uint64_t hash)
@@ -262,7 +262,7 @@
 	member_docs_updated(node);
 }
 
-/* The VMs named in a fleet that is not in force yet are asked for newer. */
+/* Probes the VMs of a fleet that is not yet in force for newer documents. */
 static void probe_candidate_vms(struct node *node, struct str body)
 {
 	struct error err = { 0 };
@@ -340,9 +340,9 @@
 }
 
 /*
- * The reply to a read that began before a pause lay in the socket since, and
- * may be older than a change that was published meanwhile. Taken for fresh, it
- * would confirm the old view. It counts for nothing and is read again.
+ * The reply to a read that began before a pause has been in the socket since,
+ * and may predate a change that was published meanwhile. Counted as fresh, it
+ * would confirm the old view, so the document is read again.
  */
 static void on_platform_reply(struct node *node, enum doc_kind kind,
 			      bool current)
@@ -369,7 +369,7 @@
 		accept_doc(node, kind, body, "from the platform");
 	else
 		set_candidate(node, kind, body);
-	/* A platform that serves an old document is no proof of freshness. */
+	/* An older document does not show that the view is current. */
 	doc->failures = stale_before != node->counters[CNT_DOCS_STALE];
 	on_platform_reply(node, kind, !doc->failures);
 }
@@ -390,9 +390,9 @@
 }
 
 /*
- * A node that has just started beside a stale platform would put an old
- * document in force and act on it. So the first reading is only a candidate
- * until the VMs that it names had time to offer something newer.
+ * A node that starts while the platform is stale would put an old document in
+ * force and act on it. The first reading is therefore only a candidate until
+ * the VMs that it names have had time to offer a newer one.
  */
 static void try_join(struct node *node)
 {
--- a/doc_sync.h
+++ b/doc_sync.h
@@ -3,22 +3,29 @@
 #include "member.h"
 
 /**
- * DOC: configuration
+ * DOC: synchronization of the platform's documents
  *
- * Two documents, each ordered by (version, hash): an older one is never taken.
- * A few nodes, by rendezvous, hold a watch on the platform; the rest learn of
- * a new version from heartbeats and fetch the body from the peer that told
- * them. Everyone also reads the platform now and then, with jitter.
+ * Each of the two documents is ordered by (version, hash): an older one is
+ * never accepted. A few nodes, chosen by rendezvous hashing, watch the platform
+ * with long polls; the others receive new versions in heartbeats and fetch the
+ * body from the peer that sent it. All nodes also poll the platform
+ * periodically, with jitter.
  */
 
 /**
  * struct synced_doc - one of the two documents
  * @body: bytes of the one in force, for peers; on the heap
- * @version, @hash: of the one in force, 0 when there is none
- * @refused_hash: hash of the last refused body, so it is judged once
- * @reading: a read of the platform is under way, begun at @read_started_at
- * @peer_fetch_until: a peer was asked for the body; ask another after this time
- * @offered_version: highest version that a peer offered
+ * @version: version of the one in force, 0 when there is none
+ * @hash: hash of the one in force, 0 when there is none
+ * @refused_hash: hash of the last refused body, so it is not parsed again
+ * @stale_hash: hash of the last older body, so it is audited once
+ * @reading: a read of the platform is in flight
+ * @read_started_at: start of the last read of the platform
+ * @failures: failed reads in a row, or 1 after an older document; raises the
+ *            backoff
+ * @peer_fetch_until: a body was requested from a peer; request none from
+ *                    another before this time
+ * @offered_version: highest version offered by a peer
  */
 struct synced_doc {
 	struct buf body;
@@ -38,7 +45,7 @@
 	struct buf candidate[DOC_KINDS];
 	bool joined;
 	int64_t join_not_before; /* earliest end of the join */
-	int64_t join_deadline; /* latest end, once a candidate is there */
+	int64_t join_deadline; /* latest end, once there is a candidate */
 };
 
 void doc_sync_init(struct node *node);
@@ -53,10 +60,13 @@
 void doc_sync_on_unchanged(struct node *node, enum doc_kind kind);
 void doc_sync_on_failure(struct node *node, enum doc_kind kind);
 void doc_sync_on_timer(struct node *node, uint64_t kind);
-/** doc_sync_read_if_stale() - once a heartbeat: read, by chance, if nobody has
- * of late. */
+/**
+ * doc_sync_read_if_stale() - at each heartbeat, read with some probability when
+ * the newest reading of the platform is old
+ * @platform_age: age of that reading, microseconds
+ */
 void doc_sync_read_if_stale(struct node *node, int64_t platform_age);
-/** doc_sync_read_now() - read both documents at once (after a pause). */
+/** doc_sync_read_now() - read both documents now. */
 void doc_sync_read_now(struct node *node);
-/** doc_sync_behind() - a peer has a newer document than is in force here. */
+/** doc_sync_behind() - whether a peer has a newer document than this node. */
 bool doc_sync_behind(const struct node *node);
--- a/request.h
+++ b/request.h
@@ -5,7 +5,7 @@
 /**
  * DOC: callers' requests
  *
- * Parsing of the JSON bodies that callers send. Every fault is a typed error
+ * Parses the JSON bodies that callers send. Every fault yields a typed error
  * that names the field.
  */
 
@@ -18,12 +18,14 @@
 };
 
 /**
- * struct query - a question
- * @customer: who pays for it
- * @request_id: the caller's own id, echoed
+ * struct query - a parsed question
+ * @customer: customer to which it is charged
+ * @request_id: the caller's id, echoed in the answer
  * @terms: search terms, passed on to the targets
- * @indexes: what to search
- * @shards: ids to restrict it to; all of the indexes' shards when empty
+ * @indexes: indexes to search
+ * @nindexes: number of @indexes
+ * @shards: shard ids to search; all shards of the indexes when empty
+ * @nshards: number of @shards
  * @deadline_us: the caller's deadline, 0 for the plan's
  */
 struct query {
@@ -39,9 +41,13 @@
 
 /**
  * struct entry - an action that must not run twice
- * @ticket: as a node issued it; empty when the caller has none yet
- * @index: where it goes; @key: which shard
+ * @customer: customer to which it is charged
+ * @request_id: the caller's id, echoed in the answer
+ * @ticket: ticket issued by a node, empty when the caller has none yet
+ * @index: index that the action changes
+ * @key: key that selects the shard
  * @entry: the action, a JSON object, passed on to the target
+ * @deadline_us: the caller's deadline, 0 for the plan's
  */
 struct entry {
 	struct str customer;
@@ -55,6 +61,9 @@
 
 int query_parse(struct str body, apr_pool_t *pool, struct query *query,
 		struct error *err);
-/** entry_parse() - @lookup: only customer, request_id and ticket. */
+/**
+ * entry_parse() - parse an entry or a lookup
+ * @lookup: parse only customer, request_id and ticket
+ */
 int entry_parse(struct str body, bool lookup, apr_pool_t *pool,
 		struct entry *entry, struct error *err);
--- a/status.h
+++ b/status.h
@@ -4,6 +4,8 @@
 
 /** status_json() - append one JSON object: node, documents, VMs, targets. */
 void status_json(const struct node *node, struct buf *out);
-/** counters_all_json() - append counters, by target, failure domain and
- * customer too. */
+/**
+ * counters_all_json() - append one JSON object: the node's counters, and
+ * counters by target, failure domain and customer.
+ */
 void counters_all_json(const struct node *node, struct buf *out);
