--- a/config.c
+++ b/config.c
@@ -119,7 +119,7 @@
 		parse_addrs(in, doc, "platforms", config->pool,
 			    CONFIG_MAX_PLATFORMS, &config->nplatforms);
 	if (!config->nplatforms)
-		json_fault(in, "platforms", "names no address");
+		json_fault(in, "platforms", "must not be empty");
 	if (json_object_get(doc, "peers"))
 		config->peers = parse_addrs(in, doc, "peers", config->pool,
 					    CONFIG_MAX_PEERS, &config->npeers);
--- a/doc.c
+++ b/doc.c
@@ -60,7 +60,7 @@
 	plan->extra_load =
 		json_real_or(in, path, obj, "extra_load", 0, 1, 0.05);
 	if (plan->soft_us > plan->deadline_us)
-		json_fault(in, path, "soft_ms is over deadline_ms");
+		json_fault(in, path, "soft_ms exceeds deadline_ms");
 }
 
 static struct plan *find_plan(apr_hash_t *names, struct str name)
@@ -83,7 +83,7 @@
 		snprintf(path, sizeof(path), "allowances[%zu]", i);
 		parse_allowance(in, path, lists, json_array_get(list, i), plan);
 		if (find_plan(names, plan->name))
-			json_fault(in, path, "plan \"%.*s\" stands twice",
+			json_fault(in, path, "plan \"%.*s\" is listed twice",
 				   STR_ARG(plan->name));
 		apr_hash_set(names, plan->name.ptr, (apr_ssize_t)plan->name.len,
 			     plan);
@@ -114,7 +114,7 @@
 	customer = str_dup(lists->pool, customer);
 	if (apr_hash_get(lists->customers, customer.ptr,
 			 (apr_ssize_t)customer.len))
-		json_fault(in, path, "customer \"%.*s\" stands twice",
+		json_fault(in, path, "customer \"%.*s\" is listed twice",
 			   STR_ARG(customer));
 	apr_hash_set(lists->customers, customer.ptr, (apr_ssize_t)customer.len,
 		     plan);
@@ -186,7 +186,7 @@
 	return apr_hash_get(fleet->by_name, name.ptr, (apr_ssize_t)name.len);
 }
 
-/* "state" has one ordinary value and one that takes the thing out. */
+/* Returns whether "state" is @other; it must be @ordinary or @other. */
 static bool parse_state(struct json_in *in, const char *path, json_t *obj,
 			const char *ordinary, const char *other)
 {
@@ -220,7 +220,7 @@
 			json_text(in, path, obj, "name", DOC_NAME_MAX);
 
 		if (fleet_domain(fleet, name))
-			json_fault(in, path, "\"%.*s\" stands twice",
+			json_fault(in, path, "\"%.*s\" is listed twice",
 				   STR_ARG(name));
 		domain->name = str_dup(fleet->pool, name);
 		domain->out = parse_state(in, path, obj, "in", "out");
@@ -253,14 +253,14 @@
 	return str_dup(fleet->pool, addr);
 }
 
-/* A name or address that stands twice would give one thing two owners. */
+/* A duplicate name or address would give one VM or target two owners. */
 static void check_unique(struct json_in *in, const char *path, apr_hash_t *seen,
 			 struct str name, void *value)
 {
 	if (in->err.code)
 		return;
 	if (apr_hash_get(seen, name.ptr, (apr_ssize_t)name.len))
-		json_fault(in, path, "\"%.*s\" stands twice", STR_ARG(name));
+		json_fault(in, path, "\"%.*s\" is listed twice", STR_ARG(name));
 	apr_hash_set(seen, name.ptr, (apr_ssize_t)name.len, value);
 }
 
@@ -339,12 +339,13 @@
 			     : NULL;
 
 		if (!target) {
-			json_fault(in, path, "replica %zu is no target", i);
+			json_fault(in, path, "replica %zu is not a target", i);
 			return;
 		}
 		for (size_t j = 0; j < i; j++)
 			if (shard->replicas[j] == target)
-				json_fault(in, path, "replica \"%s\" twice",
+				json_fault(in, path,
+					   "replica \"%s\" is listed twice",
 					   name);
 		shard->replicas[i] = target;
 	}
@@ -366,8 +367,8 @@
 }
 
 /*
- * Two shards that share a key would count its records twice and let an answer
- * report more than it covers, so such a map is refused as a whole.
+ * Two shards that share a key would count its records twice, and an answer
+ * would report more coverage than it has, so the whole document is refused.
  */
 static void check_map(struct json_in *in, const char *path,
 		      struct snapshot *snap, apr_pool_t *pool)
@@ -384,7 +385,7 @@
 			json_fault(in, path, "shards %u and %u overlap",
 				   prev->id, shard->id);
 		if (apr_hash_get(ids, &shard->id, sizeof(shard->id)))
-			json_fault(in, path, "shard id %u stands twice",
+			json_fault(in, path, "shard id %u is listed twice",
 				   shard->id);
 		apr_hash_set(ids, &shard->id, sizeof(shard->id), shard);
 	}
@@ -453,7 +454,7 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_fault(in, path, "versions must go down");
+			json_fault(in, path, "versions must be descending");
 	}
 }
 
--- a/doc.h
+++ b/doc.h
@@ -5,14 +5,14 @@
 #include "error.h"
 
 /**
- * DOC: the documents that the platform publishes
+ * DOC: documents published by the platform
  *
  * "lists" holds the operators' two lists, plans and allowances. "fleet" holds
  * failure domains, VMs, targets and the snapshots' partition maps. Parsing
- * depends on the bytes alone, never on the node or on what was in force, so
- * every node accepts or refuses the same document alike. Lists are as long as
- * DOC_MAX_BYTES allows: a bound below it would keep what the platform took from
- * force.
+ * depends on the bytes alone, not on the node or on the document in force, so
+ * all nodes accept or refuse the same documents. Arrays are bounded by
+ * DOC_MAX_BYTES alone: a lower bound would refuse documents that the platform
+ * has accepted.
  */
 
 enum doc_kind {
@@ -28,15 +28,18 @@
 };
 
 /**
- * struct plan - what one plan may use, and how its questions are answered
- * @name: plan's name
- * @indexes: indexes that may be asked; @nindexes of them
- * @entries: indexes that may be written; @nentries of them
- * @rate: questions and entries a second, over the whole fleet
+ * struct plan - rights, quota and deadlines of one plan
+ * @name: name of the plan
+ * @indexes: indexes that may be read
+ * @nindexes: number of @indexes
+ * @entries: indexes that may be written
+ * @nentries: number of @entries
+ * @rate: questions and entries per second, over the whole fleet
  * @burst: size of the token bucket
- * @soft_us: answer from here on once @coverage_floor is covered, microseconds
- * @deadline_us: final answer at the latest, microseconds
- * @coverage_floor: coverage, 0 to 1, that is enough at @soft_us
+ * @soft_us: soft deadline, microseconds: from here on a question is answered as
+ *           soon as its coverage reaches @coverage_floor
+ * @deadline_us: final deadline of a question, microseconds
+ * @coverage_floor: coverage, 0 to 1, that suffices after @soft_us
  * @extra_load: hedges and retries per needed leaf request, 0 to 1
  */
 struct plan {
@@ -63,24 +66,28 @@
 	size_t nplans;
 };
 
-/** struct domain - a failure domain; @out when operators took it out */
+/**
+ * struct domain - a failure domain
+ * @out: taken out by operators
+ */
 struct domain {
 	struct str name;
 	bool out;
 };
 
-/** struct fleet_vm - a VM of the system, as the platform lists it */
+/** struct fleet_vm - a VM in the platform's list */
 struct fleet_vm {
-	struct str addr; /* "ip:port" between nodes */
+	struct str addr; /* "ip:port" for traffic between nodes */
 	uint64_t key; /* hash of addr */
 	struct domain *domain;
 	bool leaving;
 };
 
 /**
- * struct fleet_target - a leaf that answers leaf requests
- * @slots: requests that it works on at a time
- * @connections: connections that it takes, from all of its callers
+ * struct fleet_target - a target, which serves leaf requests
+ * @key: hash of @name
+ * @slots: maximum number of concurrent requests
+ * @connections: maximum number of connections, from all callers together
  */
 struct fleet_target {
 	struct str name;
@@ -94,8 +101,9 @@
 
 /**
  * struct shard - one range of an index in one snapshot
- * @from: first key; @to: one past the last key
- * @weight: what it counts for in coverage
+ * @from: first key
+ * @to: one past the last key
+ * @weight: weight in the coverage of an answer
  */
 struct shard {
 	uint32_t id;
@@ -116,7 +124,7 @@
 
 /**
  * struct fleet - an accepted "fleet" document, immutable
- * @refs: holders; an open question keeps the map that it began with
+ * @refs: reference count; an open question keeps the map that it started with
  * @snapshots: newest first
  */
 struct fleet {
@@ -126,7 +134,7 @@
 	uint64_t hash;
 	struct domain *domains;
 	size_t ndomains;
-	apr_hash_t *by_name; /* of a failure domain -> struct domain */
+	apr_hash_t *by_name; /* name of a failure domain -> struct domain */
 	struct fleet_vm *vms;
 	size_t nvms;
 	struct fleet_target *targets;
@@ -137,17 +145,34 @@
 
 const char *doc_name(enum doc_kind kind);
 
-/** lists_parse() - judge a document; NULL and @err when it is refused. */
+/**
+ * lists_parse() - parse and validate a "lists" document
+ *
+ * Return: the lists, or NULL with @err when the document is refused.
+ */
 struct lists *lists_parse(struct str body, struct error *err);
 void lists_free(struct lists *lists);
 const struct plan *lists_plan(const struct lists *lists, struct str customer);
 
+/**
+ * fleet_parse() - parse and validate a "fleet" document
+ *
+ * Return: the fleet, or NULL with @err when the document is refused.
+ */
 struct fleet *fleet_parse(struct str body, struct error *err);
 struct fleet *fleet_ref(struct fleet *fleet);
 void fleet_unref(struct fleet *fleet);
 struct domain *fleet_domain(const struct fleet *fleet, struct str name);
-/** snapshot_range() - shards of @index, which stand together; NULL if none. */
+/**
+ * snapshot_range() - find the shards of @index, which are contiguous
+ * @count: receives their number
+ *
+ * Return: the first one, or NULL when there is none.
+ */
 const struct shard *snapshot_range(const struct snapshot *snap,
 				   struct str index, size_t *count);
-/** plan_allows() - whether @index is among the plan's @entry or read rights */
+/**
+ * plan_allows() - whether the plan grants a right on @index
+ * @entry: the right to write entries, else the right to read
+ */
 bool plan_allows(const struct plan *plan, struct str index, bool entry);
