--- a/doc.c
+++ b/doc.c
@@ -454,7 +454,7 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_fault(in, path, "versions must be descending");
+			json_fault(in, path, "versions must go down");
 	}
 }
 
