--- a/front.h
+++ b/front.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "request.h"
 #include "member.h"
 #include "poison_news.h"
+#include "request.h"
 
 /**
  * DOC: front
--- a/once.h
+++ b/once.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "request.h"
 #include "member.h"
+#include "request.h"
 
 /**
  * DOC: entries that run at most once
--- a/serve.c
+++ b/serve.c
@@ -6,7 +6,6 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-#include "request.h"
 #include "audit.h"
 #include "fetch.h"
 #include "http.h"
@@ -14,6 +13,7 @@
 #include "node.h"
 #include "os.h"
 #include "peer.h"
+#include "request.h"
 #include "status.h"
 #include "target.h"
 #include "xmalloc.h"
--- a/snapshot.h
+++ b/snapshot.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "request.h"
 #include "node.h"
+#include "request.h"
 
 /** DOC: choice of the one snapshot that a question is answered from */
 
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -8,10 +8,10 @@
 
 #include <check.h>
 
-#include "../request.h"
 #include "../config.h"
 #include "../doc.h"
 #include "../latency.h"
+#include "../request.h"
 #include "../rng.h"
 #include "../target.h"
 #include "../timer.h"
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -4,11 +4,11 @@
  */
 #include <apr_general.h>
 
-#include "../request.h"
 #include "../config.h"
 #include "../doc.h"
 #include "../parcel.h"
 #include "../platform/platform.h"
+#include "../request.h"
 #include "../target.h"
 #include "../wire.h"
 
