--- a/audit.h
+++ b/audit.h
@@ -5,8 +5,9 @@
 /**
  * DOC: audit trail
  *
- * What changed, from what, to what, why and which version: the last lines in
- * a ring, all of them in the log, since a VM keeps nothing.
+ * Each line records what changed, its old and new state, the reason and the
+ * version. The last lines are kept in a ring buffer; all of them are written to
+ * the log, since a VM has no persistent storage.
  */
 
 enum {
@@ -18,8 +19,11 @@
 	size_t count;
 };
 
-/** audit_add() - @body: a JSON object; time and number are put before it. */
+/**
+ * audit_add() - append and log one line
+ * @body: a JSON object, to which number and time are prepended
+ */
 void audit_add(struct audit *audit, struct str body);
-/** audit_json() - append an array, oldest first. */
+/** audit_json() - append the kept lines as a JSON array, oldest first. */
 void audit_json(const struct audit *audit, struct buf *out);
 void audit_free(struct audit *audit);
--- a/client.h
+++ b/client.h
@@ -3,7 +3,7 @@
 #include "error.h"
 
 /**
- * client_call() - one HTTP request, for the command line
+ * client_call() - blocking HTTP request, for the command line
  * @post: body of a POST; a GET when its ptr is NULL
  * @out: body of the reply
  *
--- a/counter.h
+++ b/counter.h
@@ -4,7 +4,7 @@
 
 #include "str.h"
 
-/** enum counter - what a node counts; names in counter.c, all start at 0 */
+/** enum counter - counters of a node, start at 0; names in counter.c */
 enum counter {
 	CNT_QUESTIONS,
 	CNT_ANSWERED,
@@ -56,5 +56,5 @@
 	COUNTERS,
 };
 
-/** counters_json() - append one JSON object with all of @values. */
+/** counters_json() - append a JSON object with all counters in @values. */
 void counters_json(const uint64_t *values, struct buf *out);
--- a/fetch.c
+++ b/fetch.c
@@ -15,7 +15,7 @@
 	URL_MAX = 8192,
 };
 
-/** struct transfer - one request under way; its handle is reused later */
+/** struct transfer - a request in flight; its curl handle is reused */
 struct transfer {
 	struct fetcher *fetcher;
 	struct fetch_request request;
@@ -56,7 +56,7 @@
 	curl_multi_socket_action(fetcher->multi, fd, flags, &running);
 }
 
-/** struct socket - a watched socket of curl */
+/** struct socket - a socket that curl asked to watch */
 struct socket {
 	struct fetcher *fetcher;
 	struct watch *watch;
@@ -141,7 +141,10 @@
 	struct fetcher *fetcher = xcalloc(1, sizeof(*fetcher));
 	CURLM *multi;
 
-	/* Here, as it takes half of the start of a node that needs no curl. */
+	/*
+	 * Not in main(): a node that does not use curl would spend half of its
+	 * start-up time here.
+	 */
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	multi = curl_multi_init();
 
@@ -178,9 +181,9 @@
 }
 
 /*
- * curl sends a request again by itself when a kept connection closes before
- * the reply. The target may have read the first one, so an entry would run
- * twice. This runs before each sending: the second one is stopped.
+ * curl resends a request by itself when a reused connection closes before the
+ * reply. The target may have read the first request, and an entry would run
+ * twice. curl calls this before each send; the second one is aborted.
  */
 static int prereq_cb(void *ctx, char *ip, char *local_ip, int port,
 		     int local_port)
--- a/fetch.h
+++ b/fetch.h
@@ -13,9 +13,11 @@
 struct fetcher;
 
 /**
- * struct fetch_reply - what came of it
- * @result: FETCH_OK, FETCH_REFUSED, FETCH_BROKEN or FETCH_TIMEOUT
- * @resent: times that the library sent it again by itself
+ * struct fetch_reply - outcome of a request
+ * @result: FETCH_OK when there is a reply, else how the request failed
+ * @status: HTTP status, 0 when none was received
+ * @resent: number of times that libcurl sent the request again
+ * @body: body of the reply
  */
 struct fetch_reply {
 	enum fetch_result result;
@@ -26,13 +28,15 @@
 
 /**
  * struct fetch_request - a request to a target or the platform
- * @url: whole URL
+ * @url: absolute URL
  * @post: body of a POST; a GET when its ptr is NULL
- * @remaining_us: told to the receiver, -1 for no such header
- * @timeout_us: the transfer is ended after this time
- * @max_body: a larger reply is malformed; 0 for the fetcher's own limit
- * @once: never sent twice: fresh connection, no resending
+ * @remaining_us: value of the X-Remaining-Ms header, -1 for none
+ * @timeout_us: the transfer is aborted after this time
+ * @max_body: larger replies are malformed; 0 for the fetcher's default
+ * @once: at-most-once: sent on a new connection and never resent
  * @done: called once, unless the fetcher is destroyed before
+ * @ctx: passed to @done
+ * @id: passed to @done
  */
 struct fetch_request {
 	struct str url;
@@ -46,7 +50,11 @@
 	uint64_t id;
 };
 
+/**
+ * fetcher_create() - create an HTTP client in the event loop
+ * @max_body: default limit of the size of a reply
+ */
 struct fetcher *fetcher_create(struct loop *loop, size_t max_body);
-/** fetch_start() - strings are copied. */
+/** fetch_start() - start a request; strings are copied. */
 void fetch_start(struct fetcher *fetcher, const struct fetch_request *request);
 void fetcher_destroy(struct fetcher *fetcher);
--- a/serve.c
+++ b/serve.c
@@ -22,11 +22,11 @@
 #include "log.h"
 
 /**
- * DOC: shell of the reducer
+ * DOC: I/O around the reducer
  *
- * Turns what happens into events, and carries effects out. Effects of a round
- * are collected and carried out at its end, so the messages of one round for
- * one node share a frame. No decision is made here.
+ * Turns I/O into events and performs the effects that node_reduce() returns.
+ * Effects are collected and performed at the end of each event loop round, so
+ * that messages to the same node share a frame. No decisions are made here.
  */
 
 enum {
@@ -62,7 +62,7 @@
 
 /* Targets. */
 
-/** struct call - what a reply needs to find its way back */
+/** struct call - context of a request to a target */
 struct call {
 	struct server *server;
 	enum fetch_kind kind;
@@ -207,7 +207,7 @@
 
 			perform_effect(s, &fx);
 		}
-		/* May add events of lost connections, and so effects. */
+		/* Lost connections cause events, which can add effects. */
 		peers_flush(s->peers);
 	}
 	effects_clear(&s->fx);
@@ -270,7 +270,7 @@
 			: STR("{\"state\":\"not ready\"}"));
 }
 
-/** struct route - a path of the callers' interface */
+/** struct route - a path of the callers' HTTP interface */
 struct route {
 	const char *path;
 	enum event_type type;
@@ -357,7 +357,7 @@
 	(void)events;
 	if (!number)
 		return;
-	/* A second signal changes nothing: the stop goes on as planned. */
+	/* A second signal has no effect on a planned stop. */
 	LOG_INFO("signal %d: planned stop", number);
 	begin_drain(s);
 }
@@ -370,7 +370,7 @@
 	s->signals = loop_add(s->loop, s->signal_fd, APR_POLLIN, on_signal, s);
 }
 
-/* Life. */
+/* Start and stop. */
 
 static int listen_all(struct server *s, uint64_t incarnation, struct error *err)
 {
@@ -411,7 +411,7 @@
 	loop_hook(s->loop, (struct loop_hook){ perform_effects, wait_us, s });
 }
 
-/* Answers that are given may still be on their way to the sockets. */
+/* Waits until the answers to callers have been written to the sockets. */
 static void flush_answers(struct server *s)
 {
 	int64_t until = loop_now() + FLUSH_TIMEOUT_US;
--- a/serve.h
+++ b/serve.h
@@ -2,5 +2,9 @@
 
 #include "config.h"
 
-/** serve() - run a node until its planned stop; returns an exit code. */
+/**
+ * serve() - run a node until its planned stop
+ *
+ * Return: exit code, 0 or 1.
+ */
 int serve(const struct config *config);
