--- a/member.c
+++ b/member.c
@@ -363,8 +363,7 @@
 					     : VM_LEAVING;
 	vm->departed = vm->state == VM_LEAVING;
 	vm_set_domain(vm, msg->name);
-	/* After a pause, only the answer to the probe is known to be current.
-	 */
+	/* After a pause, only the answer to the probe is current. */
 	bool current = node->member->view_confirmed ||
 		       (msg->id && msg->id == node->member->nonce);
 
