--- a/node.h
+++ b/node.h
@@ -21,7 +21,7 @@
 struct front;
 struct once;
 
-/** struct safeguards - switches by which tests disable one safeguard each */
+/** struct safeguards - tests disable one at a time, to see the failure */
 struct safeguards {
 	bool no_ramp; /* gate: a new target gets all of its slots */
 	bool no_version_check; /* front: merge rows of any snapshot */
