--- a/answer.c
+++ b/answer.c
@@ -2,9 +2,9 @@
 
 #include <math.h>
 
-#define SHARE_STEPS 1e6
+#define COVERAGE_STEPS 1e6
 
-double answer_share(const struct question *q, double weight)
+double answer_coverage(const struct question *q, double weight)
 {
 	return q->total_weight > 0 ? weight / q->total_weight : 0;
 }
@@ -63,17 +63,17 @@
 {
 	struct buf out = { 0 };
 	bool complete = is_complete(q);
-	/* Rounded down: a partial answer never reads as a complete one. */
+	/* Rounded down: a partial answer must not show a coverage of 1. */
 	double covered = complete ? 1
-				  : floor(answer_share(q, q->merged_weight) *
-					  SHARE_STEPS) /
-					    SHARE_STEPS;
+				  : floor(answer_coverage(q, q->merged_weight) *
+					  COVERAGE_STEPS) /
+					    COVERAGE_STEPS;
 	int status = covered > 0 ? 200 : 504;
 
 	if (node->opt.off.no_coverage_merge)
 		covered = 1;
 	buf_str_add(&out, STR("{\"request_id\":"));
-	buf_json_add(&out, q->ask.request_id);
+	buf_json_add(&out, q->query.request_id);
 	buf_printf(&out, ",\"snapshot\":%llu,\"coverage\":%.6f",
 		   (unsigned long long)q->snapshot->version, covered);
 	buf_printf(&out, ",\"complete\":%s", complete ? "true" : "false");
--- a/fetch.c
+++ b/fetch.c
@@ -8,14 +8,14 @@
 #include "xmalloc.h"
 
 enum {
-	HOST_CONNECTIONS = 8,
-	CACHED_CONNECTIONS = 2048,
-	IDLE_HANDLES = 256,
-	CONNECT_MS = 2000,
+	MAX_HOST_CONNECTIONS = 8,
+	MAX_CACHED_CONNECTIONS = 2048,
+	MAX_IDLE_HANDLES = 256,
+	CONNECT_TIMEOUT_MS = 2000,
 	URL_MAX = 8192,
 };
 
-/** struct transfer - one request under way; its handle is reused later */
+/** struct transfer - a request in flight; its curl handle is reused */
 struct transfer {
 	struct fetcher *fetcher;
 	struct fetch_request request;
@@ -56,7 +56,7 @@
 	curl_multi_socket_action(fetcher->multi, fd, flags, &running);
 }
 
-/** struct socket - a watched socket of curl */
+/** struct socket - a socket that curl asked to watch */
 struct socket {
 	struct fetcher *fetcher;
 	struct watch *watch;
@@ -123,7 +123,7 @@
 	return left > 0 ? left : 0;
 }
 
-static void run(void *ctx)
+static void process_transfers(void *ctx)
 {
 	struct fetcher *fetcher = ctx;
 	int running;
@@ -141,7 +141,10 @@
 	struct fetcher *fetcher = xcalloc(1, sizeof(*fetcher));
 	CURLM *multi;
 
-	/* Here, as it takes half of the start of a node that needs no curl. */
+	/*
+	 * Not in main(): a node that does not use curl would spend half of its
+	 * start-up time here.
+	 */
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	multi = curl_multi_init();
 
@@ -154,10 +157,11 @@
 	curl_multi_setopt(multi, CURLMOPT_TIMERFUNCTION, timer_cb);
 	curl_multi_setopt(multi, CURLMOPT_TIMERDATA, fetcher);
 	curl_multi_setopt(multi, CURLMOPT_MAX_HOST_CONNECTIONS,
-			  (long)HOST_CONNECTIONS);
+			  (long)MAX_HOST_CONNECTIONS);
 	curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS,
-			  (long)CACHED_CONNECTIONS);
-	loop_hook(loop, (struct loop_hook){ run, wait_us, fetcher });
+			  (long)MAX_CACHED_CONNECTIONS);
+	loop_hook(loop,
+		  (struct loop_hook){ process_transfers, wait_us, fetcher });
 	return fetcher;
 }
 
@@ -177,9 +181,9 @@
 }
 
 /*
- * curl sends a request again by itself when a kept connection closes before
- * the reply. The target may have read the first one, so an entry would run
- * twice. This runs before each sending: the second one is stopped.
+ * curl resends a request by itself when a reused connection closes before the
+ * reply. The target may have read the first request, and an entry would run
+ * twice. curl calls this before each send; the second one is aborted.
  */
 static int prereq_cb(void *ctx, char *ip, char *local_ip, int port,
 		     int local_port)
@@ -242,7 +246,7 @@
 		t->next->prev = t->prev;
 	curl_slist_free_all(t->headers);
 	t->headers = NULL;
-	if (fetcher->nidle >= IDLE_HANDLES) {
+	if (fetcher->nidle >= MAX_IDLE_HANDLES) {
 		transfer_free(t);
 		return;
 	}
@@ -283,7 +287,8 @@
 	curl_easy_setopt(easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(easy, CURLOPT_HTTP_VERSION,
 			 (long)CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, (long)CONNECT_MS);
+	curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
+			 (long)CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
 			 (long)(request->timeout_us / 1000 + 1));
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, write_cb);
--- a/front.c
+++ b/front.c
@@ -137,7 +137,7 @@
 		.remaining_us = q->deadline - node->now,
 		.state = leaf->nattempts > 0,
 		.name = leaf->shard->index,
-		.text = q->ask.terms,
+		.text = q->query.terms,
 	};
 
 	*attempt = (struct attempt){
@@ -180,7 +180,8 @@
 
 static bool floor_reached(const struct question *q)
 {
-	return answer_share(q, q->merged_weight) >= q->plan.floor - EPSILON;
+	return answer_coverage(q, q->merged_weight) >=
+	       q->plan.coverage_floor - EPSILON;
 }
 
 bool front_is_done(const struct question *q)
@@ -201,8 +202,9 @@
 
 	if (q->restarted || q->deadline - node->now < node->now - q->start)
 		return false;
-	other = snapshot_choose(node, &q->ask, q->fleet, q->plan.floor,
-				q->snapshot, &count, &total_weight);
+	other = snapshot_choose(node, &q->query, q->fleet,
+				q->plan.coverage_floor, q->snapshot, &count,
+				&total_weight);
 	if (!other || node->front->budget < (double)q->nleaves / 2)
 		return false;
 	node->front->budget -= (double)q->nleaves / 2;
@@ -226,8 +228,8 @@
 	for (size_t i = 0; i < q->nleaves; i++)
 		if (q->leaves[i].state == LEAF_OPEN)
 			open += q->leaves[i].shard->weight;
-	return answer_share(q, q->merged_weight + open) >=
-	       q->plan.floor - EPSILON;
+	return answer_coverage(q, q->merged_weight + open) >=
+	       q->plan.coverage_floor - EPSILON;
 }
 
 /* Return: false when the question has been restarted. */
@@ -332,13 +334,13 @@
 	size_t n = 0;
 
 	q->leaves = apr_pcalloc(q->pool, q->nleaves * sizeof(struct leaf));
-	for (size_t i = 0; i < q->ask.nindexes; i++) {
+	for (size_t i = 0; i < q->query.nindexes; i++) {
 		size_t count;
-		const struct shard *shards =
-			snapshot_range(q->snapshot, q->ask.indexes[i], &count);
+		const struct shard *shards = snapshot_range(
+			q->snapshot, q->query.indexes[i], &count);
 
 		for (size_t j = 0; j < count; j++)
-			if (snapshot_selects(&q->ask, shards[j].id))
+			if (snapshot_selects(&q->query, shards[j].id))
 				q->leaves[n++].shard = &shards[j];
 	}
 	q->open_leaves = q->nleaves;
--- a/front.h
+++ b/front.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "ask.h"
 #include "member.h"
 #include "poison_sync.h"
+#include "request.h"
 
 /**
  * DOC: front
@@ -82,7 +82,7 @@
 	apr_pool_t *pool;
 	uint64_t id;
 	uint64_t caller;
-	struct ask ask;
+	struct query query;
 	struct plan plan;
 	bool awaiting_lease;
 	struct fleet *fleet;
--- a/gate.c
+++ b/gate.c
@@ -299,7 +299,7 @@
 		return;
 	}
 	/* After a pause, jobs wait for a confirmed view and gate_resume(). */
-	if (!member_view_ok(node) && !node->opt.off.no_pause_check)
+	if (!member_view_confirmed(node) && !node->opt.off.no_pause_check)
 		return;
 	if (node->now < target->start_after)
 		return;
@@ -499,7 +499,7 @@
 	struct target *target = job->target;
 	int reason = refusal_reason(node, target);
 
-	if (!reason && !member_view_ok(node) && !node->opt.off.no_grant)
+	if (!reason && !member_view_confirmed(node) && !node->opt.off.no_grant)
 		reason = ERR_ISOLATED;
 	if (reason) {
 		reply(node, job, reason, false, (struct str){ 0 });
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -42,7 +42,7 @@
 		return false;
 	if (target->owner) {
 		vm = member_find(node, target->owner);
-		return vm && member_hears(node, vm);
+		return vm && member_reachable(node, vm);
 	}
 	/* This node has just joined: another node was the gate. */
 	return member_count(node) > 1;
--- a/node.c
+++ b/node.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#include "conf.h"
+#include "doc_sync.h"
 #include "front.h"
 #include "front_poison.h"
 #include "gate.h"
@@ -13,34 +13,34 @@
 #include "xmalloc.h"
 
 enum {
-	REVIEW_US = 50000,
-	LEAVE_MIN_US = 1500000,
-	LEAVE_QUIET_US = 500000,
-	LEAVE_CHECK_US = 50000,
+	REVIEW_INTERVAL_US = 50000,
+	DRAIN_MIN_US = 1500000,
+	DRAIN_IDLE_US = 500000,
+	DRAIN_CHECK_PERIOD_US = 50000,
 };
 
-/** struct leave - progress of a planned stop, kept beside the node */
-struct leave {
-	int64_t begun;
-	int64_t last_request;
+/** struct drain - progress of a planned stop, private to this file */
+struct drain {
+	int64_t started_at;
+	int64_t last_request_at;
 	bool done;
 };
 
-struct full_node {
+struct node_impl {
 	struct node node;
-	struct leave leave;
+	struct drain drain;
 };
 
-static struct leave *leave_of(struct node *node)
+static struct drain *drain_of(struct node *node)
 {
-	return &((struct full_node *)node)->leave;
+	return &((struct node_impl *)node)->drain;
 }
 
 struct node *node_create(const struct node_options *opt, int64_t now,
 			 struct effects *fx)
 {
-	struct full_node *full = xcalloc(1, sizeof(*full));
-	struct node *node = &full->node;
+	struct node_impl *impl = xcalloc(1, sizeof(*impl));
+	struct node *node = &impl->node;
 
 	apr_pool_create(&node->pool, NULL);
 	node->opt = *opt;
@@ -53,7 +53,7 @@
 	node_audit(node, "node", STR("none"), STR("starting"), "start",
 		   opt->incarnation);
 	member_init(node);
-	conf_init(node);
+	doc_sync_init(node);
 	quota_init(node);
 	gate_init(node);
 	front_init(node);
@@ -68,7 +68,7 @@
 	front_destroy(node);
 	gate_destroy(node);
 	quota_destroy(node);
-	conf_destroy(node);
+	doc_sync_destroy(node);
 	member_destroy(node);
 	lists_free(node->lists);
 	fleet_unref(node->fleet);
@@ -170,15 +170,15 @@
 void node_vms_changed(struct node *node)
 {
 	node->member->epoch++;
-	if (node->now - node->reviewed_at >= REVIEW_US) {
+	if (node->now - node->reviewed_at >= REVIEW_INTERVAL_US) {
 		node_view_changed(node);
 		return;
 	}
 	if (node->review_due)
 		return;
 	node->review_due = true;
-	timer_add(&node->timers, node->reviewed_at + REVIEW_US, TIMER_REVIEW,
-		  0);
+	timer_add(&node->timers, node->reviewed_at + REVIEW_INTERVAL_US,
+		  TIMER_REVIEW, 0);
 }
 
 static void review_due(struct node *node)
@@ -189,53 +189,54 @@
 
 /* Planned stop. */
 
-static bool is_quiet(struct node *node)
+static bool is_idle(struct node *node)
 {
-	const struct leave *leave = leave_of(node);
+	const struct drain *drain = drain_of(node);
 
 	return !front_open(node) && !gate_open(node) && !once_open(node) &&
-	       node->now - leave->begun >= LEAVE_MIN_US &&
-	       node->now - leave->last_request >= LEAVE_QUIET_US;
+	       node->now - drain->started_at >= DRAIN_MIN_US &&
+	       node->now - drain->last_request_at >= DRAIN_IDLE_US;
 }
 
 /*
- * Peers need a heartbeat to move the gates, and the balancer a health check
- * to stop sending. A node that ends before that cuts off requests that were
- * sent in good faith, so it stays until it was quiet for a while.
+ * Peers move the gates after the next heartbeat, and the load balancer stops
+ * sending after the next health check. A node that exits earlier drops requests
+ * that were sent before either, so it drains until it has been idle for a
+ * while.
  */
-static void leave_check(struct node *node)
+static void drain_check(struct node *node)
 {
-	struct leave *leave = leave_of(node);
-	bool late = node->now - leave->begun >= node->opt.drain_us;
+	struct drain *drain = drain_of(node);
+	bool timed_out = node->now - drain->started_at >= node->opt.drain_us;
 
-	if (leave->done)
+	if (drain->done)
 		return;
-	if (!is_quiet(node) && !late && !node->opt.off.no_drain) {
-		timer_add(&node->timers, node->now + LEAVE_CHECK_US,
+	if (!is_idle(node) && !timed_out && !node->opt.off.no_drain) {
+		timer_add(&node->timers, node->now + DRAIN_CHECK_PERIOD_US,
 			  TIMER_LEAVE, 0);
 		return;
 	}
-	leave->done = true;
+	drain->done = true;
 	node_audit(node, "node", STR("leaving"), STR("stopped"),
-		   late ? "drain_ms is over" : "quiet", 0);
+		   timed_out ? "drain_ms is over" : "quiet", 0);
 	effects_add(node->fx, FX_STOP);
 }
 
-static void leave_begin(struct node *node)
+static void drain_begin(struct node *node)
 {
-	struct leave *leave = leave_of(node);
+	struct drain *drain = drain_of(node);
 
-	if (leave->begun)
+	if (drain->started_at)
 		return;
-	leave->begun = node->now;
-	leave->last_request = node->now;
+	drain->started_at = node->now;
+	drain->last_request_at = node->now;
 	member_set_state(node, VM_LEAVING);
-	leave_check(node);
+	drain_check(node);
 }
 
 /* Dispatch. */
 
-/** A handler of one kind of message. */
+/** struct handler - handles messages of one kind */
 struct handler {
 	void (*fn)(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
@@ -246,7 +247,7 @@
 {
 	(void)from;
 	(void)incarnation;
-	conf_peer_doc(node, msg);
+	doc_sync_on_peer_doc(node, msg);
 }
 
 static void on_lease_reply(struct node *node, struct str from,
@@ -258,9 +259,9 @@
 }
 
 static const struct handler handlers[MSG_KINDS] = {
-	[MSG_HEARTBEAT] = { member_heard },
-	[MSG_PROBE] = { member_probed },
-	[MSG_DOC_GET] = { conf_asked },
+	[MSG_HEARTBEAT] = { member_on_heartbeat },
+	[MSG_PROBE] = { member_on_probe },
+	[MSG_DOC_GET] = { doc_sync_on_request },
 	[MSG_DOC] = { on_doc },
 	[MSG_LEAF] = { gate_leaf },
 	[MSG_LEAF_REPLY] = { front_reply },
@@ -290,7 +291,7 @@
 
 static void on_caller(struct node *node, const struct event *event)
 {
-	leave_of(node)->last_request = node->now;
+	drain_of(node)->last_request_at = node->now;
 	switch (event->type) {
 	case EV_ASK:
 		front_ask(node, event->id, event->body);
@@ -332,16 +333,16 @@
 		gate_fetch_done(node, event->id, event->fetched);
 		break;
 	case EV_DOC:
-		conf_platform_doc(node, event->doc, event->body);
+		doc_sync_on_platform_doc(node, event->doc, event->body);
 		break;
 	case EV_DOC_SAME:
-		conf_platform_same(node, event->doc);
+		doc_sync_on_unchanged(node, event->doc);
 		break;
 	case EV_DOC_FAILED:
-		conf_platform_failed(node, event->doc);
+		doc_sync_on_failure(node, event->doc);
 		break;
 	case EV_LEAVE:
-		leave_begin(node);
+		drain_begin(node);
 		break;
 	}
 }
@@ -356,7 +357,7 @@
 		member_view_timeout(node, timer->id);
 		break;
 	case TIMER_CONF:
-		conf_timer(node, timer->id);
+		doc_sync_on_timer(node, timer->id);
 		break;
 	case TIMER_QUESTION:
 		front_timer(node, timer->id);
@@ -380,7 +381,7 @@
 		once_forward_timer(node, timer->id);
 		break;
 	case TIMER_LEAVE:
-		leave_check(node);
+		drain_check(node);
 		break;
 	case TIMER_REVIEW:
 		review_due(node);
@@ -391,8 +392,8 @@
 	}
 }
 
-/* Messages to oneself can cause further ones; all are handled at once. */
-static void drain_local(struct node *node)
+/* Handling a local message can queue further ones; handle them all. */
+static void dispatch_local(struct node *node)
 {
 	for (size_t i = 0; i < node->nlocal; i++) {
 		struct msg msg = node->local[i];
@@ -411,13 +412,13 @@
 	node->fx = fx;
 	if (gap > 0)
 		node->now = event->now;
-	if (gap > PAUSE_US && !node->opt.off.no_pause_check)
+	if (gap > PAUSE_THRESHOLD_US && !node->opt.off.no_pause_check)
 		member_paused(node, gap);
 	on_event(node, event);
-	drain_local(node);
+	dispatch_local(node);
 	while (timer_pop(&node->timers, node->now, &timer)) {
 		on_timer(node, &timer);
-		drain_local(node);
+		dispatch_local(node);
 	}
 	node->fx = NULL;
 }
--- a/once.h
+++ b/once.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "ask.h"
 #include "member.h"
+#include "request.h"
 
 /**
  * DOC: entries that run at most once
--- /dev/null
+++ b/request.h
@@ -0,0 +1,69 @@
+#pragma once
+
+#include "error.h"
+
+/**
+ * DOC: callers' requests
+ *
+ * Parses the JSON bodies that callers send. Every fault yields a typed error
+ * that names the field.
+ */
+
+enum {
+	REQUEST_BODY_MAX = 64 * 1024,
+	QUERY_TERMS_MAX = 1024,
+	REQUEST_NAME_MAX = 64,
+	QUERY_MAX_INDEXES = 16,
+	QUERY_MAX_SHARDS = 8192,
+};
+
+/**
+ * struct query - a parsed question
+ * @customer: customer to which it is charged
+ * @request_id: the caller's id, echoed in the answer
+ * @terms: search terms, passed on to the targets
+ * @indexes: indexes to search
+ * @nindexes: number of @indexes
+ * @shards: shard ids to search; all shards of the indexes when empty
+ * @nshards: number of @shards
+ * @deadline_us: the caller's deadline, 0 for the plan's
+ */
+struct query {
+	struct str customer;
+	struct str request_id;
+	struct str terms;
+	struct str *indexes;
+	size_t nindexes;
+	uint32_t *shards;
+	size_t nshards;
+	int64_t deadline_us;
+};
+
+/**
+ * struct entry - an action that must not run twice
+ * @customer: customer to which it is charged
+ * @request_id: the caller's id, echoed in the answer
+ * @ticket: ticket issued by a node, empty when the caller has none yet
+ * @index: index that the action changes
+ * @key: key that selects the shard
+ * @entry: the action, a JSON object, passed on to the target
+ * @deadline_us: the caller's deadline, 0 for the plan's
+ */
+struct entry {
+	struct str customer;
+	struct str request_id;
+	struct str ticket;
+	struct str index;
+	int64_t key;
+	struct str entry;
+	int64_t deadline_us;
+};
+
+int query_parse(struct str body, apr_pool_t *pool, struct query *query,
+		struct error *err);
+/**
+ * entry_parse() - parse an entry or a lookup
+ * @lookup: parse only customer, request_id and ticket
+ */
+int entry_parse(struct str body, bool lookup, apr_pool_t *pool,
+		struct entry *entry, struct error *err);
--- a/snapshot.h
+++ b/snapshot.h
@@ -1,22 +1,23 @@
 #pragma once
 
-#include "ask.h"
 #include "node.h"
+#include "request.h"
 
 /** DOC: choice of the snapshot from which a question is answered */
 
 /** snapshot_selects() - whether the question includes the shard @id. */
-bool snapshot_selects(const struct ask *ask, uint32_t id);
+bool snapshot_selects(const struct query *query, uint32_t id);
 /**
- * snapshot_choose() - choose the snapshot for @ask
+ * snapshot_choose() - choose the snapshot for @query
  * @floor: coverage that the plan requires
  * @excluded: snapshot not to choose, may be NULL
  * @count: number of the question's shards in the map of the snapshot
  * @total_weight: their weight
  *
- * Return: NULL if no snapshot has all indexes and shards of @ask.
+ * Return: NULL if no snapshot has all indexes and shards of @query.
  */
-const struct snapshot *snapshot_choose(struct node *node, const struct ask *ask,
+const struct snapshot *snapshot_choose(struct node *node,
+				       const struct query *query,
 				       const struct fleet *fleet, double floor,
 				       const struct snapshot *excluded,
 				       size_t *count, double *total_weight);
