--- a/batch.c
+++ b/batch.c
@@ -361,7 +361,7 @@
 	if (!catalog || catalog->version != msg->version ||
 	    parcel_open_request(msg->body, pool, request))
 		return NULL;
-	route = catalog_route(catalog, request->host, request->uri);
+	route = catalog_find_route(catalog, request->host, request->uri);
 	if (!route)
 		return NULL;
 	for (size_t i = 0; i < nparts; i++) {
--- a/call.c
+++ b/call.c
@@ -240,7 +240,7 @@
 
 static bool has_fresh_tries(const struct call *call, const struct part *part)
 {
-	return (int)part->ntried < call->route->attempts &&
+	return (int)part->ntried < call->route->max_attempts &&
 	       part->ntried < CALL_TRIES_MAX;
 }
 
@@ -500,7 +500,7 @@
 		 * What may run once only is left to end by itself: cutting it
 		 * would leave open whether it ran, also to the target's books.
 		 */
-		if (call->route->repeatable)
+		if (call->route->idempotent)
 			attempt_orphan(calls, attempt);
 		else
 			attempt->call = NULL;
--- a/catalog.c
+++ b/catalog.c
@@ -26,13 +26,13 @@
 		apr_pool_destroy(catalog->pool);
 }
 
-static bool begins_with(struct str s, struct str prefix)
+static bool starts_with(struct str s, struct str prefix)
 {
 	return s.len >= prefix.len && !memcmp(s.ptr, prefix.ptr, prefix.len);
 }
 
 /* Host names are case-insensitive, and a port is no part of the name. */
-static bool host_is(struct str host, struct str name)
+static bool host_matches(struct str host, struct str name)
 {
 	const char *colon;
 	size_t len = host.len;
@@ -45,16 +45,16 @@
 	return len == name.len && !strncasecmp(host.ptr, name.ptr, len);
 }
 
-const struct route *catalog_route(const struct catalog *catalog,
-				  struct str host, struct str path)
+const struct route *catalog_find_route(const struct catalog *catalog,
+				       struct str host, struct str path)
 {
 	const struct route *best = NULL;
 
 	for (size_t i = 0; i < catalog->nroutes; i++) {
 		const struct route *route = &catalog->routes[i];
 
-		if (!begins_with(path, route->prefix) ||
-		    !host_is(host, route->host))
+		if (!starts_with(path, route->prefix) ||
+		    !host_matches(host, route->host))
 			continue;
 		if (!best || route->prefix.len > best->prefix.len)
 			best = route;
@@ -62,8 +62,8 @@
 	return best;
 }
 
-const struct service *catalog_service(const struct catalog *catalog,
-				      uint64_t key)
+const struct service *catalog_find_service(const struct catalog *catalog,
+					   uint64_t key)
 {
 	for (size_t i = 0; i < catalog->nservices; i++)
 		if (catalog->services[i].key == key)
--- a/catalog.h
+++ b/catalog.h
@@ -30,8 +30,8 @@
 	double cold_per_s;
 };
 
-/** struct weighted - a service and its part of a route's requests */
-struct weighted {
+/** struct weighted_service - a service and its part of a route's requests */
+struct weighted_service {
 	uint64_t service;
 	double weight;
 };
@@ -39,39 +39,39 @@
 /**
  * struct route - which requests go where
  * @host, @prefix: what a request must name; the longest prefix wins
- * @repeatable: a request may run more than once
+ * @idempotent: a request may run more than once
  * @timeout_us: longest time that a caller is kept waiting
  * @goal_us: answers within this time are worth most
- * @attempts: targets that one request may be sent to, for each shard
+ * @max_attempts: targets that one request may be sent to, for each shard
  * @priority: 0 is the highest
  * @shares: services, one unless the requests are split by weight
  * @shards: services that each hold a part of the index, or none
- * @top: records in a merged answer
- * @least: share of the shards below which a merged answer is none
+ * @top_k: records in a merged answer
+ * @min_coverage: share of the shards below which a merged answer is none
  */
 struct route {
 	struct str name;
 	struct str host;
 	struct str prefix;
-	bool repeatable;
+	bool idempotent;
 	int64_t timeout_us;
 	int64_t goal_us;
-	int attempts;
+	int max_attempts;
 	int priority;
-	struct weighted *shares;
+	struct weighted_service *shares;
 	size_t nshares;
 	uint64_t *shards;
 	size_t nshards;
-	size_t top;
-	double least;
+	size_t top_k;
+	double min_coverage;
 };
 
 /** struct caller_limits - what callers may send, and how long they may take */
 struct caller_limits {
 	size_t header_bytes;
 	size_t body_bytes;
-	int64_t header_us;
-	int64_t idle_us;
+	int64_t header_timeout_us;
+	int64_t idle_timeout_us;
 };
 
 struct catalog {
@@ -90,9 +90,9 @@
 struct catalog *catalog_ref(struct catalog *catalog);
 /** catalog_unref() - frees it with the last reference; NULL is fine. */
 void catalog_unref(struct catalog *catalog);
-/** catalog_route() - route with the longest prefix of @path, or NULL. */
-const struct route *catalog_route(const struct catalog *catalog,
-				  struct str host, struct str path);
-/** catalog_service() - by the hash of its name, or NULL. */
-const struct service *catalog_service(const struct catalog *catalog,
-				      uint64_t key);
+/** catalog_find_route() - route with the longest prefix of @path, or NULL. */
+const struct route *catalog_find_route(const struct catalog *catalog,
+				       struct str host, struct str path);
+/** catalog_find_service() - by the hash of its name, or NULL. */
+const struct service *catalog_find_service(const struct catalog *catalog,
+					   uint64_t key);
--- a/dialect.h
+++ b/dialect.h
@@ -105,17 +105,17 @@
 	int64_t born_ms;
 };
 
-/** enum fact_kind - what a key of the store says */
-enum fact_kind {
-	FACT_NONE, /* a key of others */
-	FACT_CATALOG,
-	FACT_TARGET,
-	FACT_DOMAIN_OUT, /* nothing more may be sent to a failure domain */
+/** enum store_record_kind - what a key of the store says */
+enum store_record_kind {
+	RECORD_NONE, /* a key of others */
+	RECORD_CATALOG,
+	RECORD_TARGET,
+	RECORD_DOMAIN_OUT, /* nothing more may be sent to a failure domain */
 };
 
-/** struct fact - a store item, decoded */
-struct fact {
-	enum fact_kind kind;
+/** struct store_record - a store item, decoded */
+struct store_record {
+	enum store_record_kind kind;
 	struct catalog *catalog;
 	struct target_entry target;
 	struct str domain;
@@ -142,7 +142,7 @@
  * @range_uri: path and query of a read of the keys under @prefix after @after
  * @watch_uri: the same of a call that waits for changes after @revision
  * @range_reply, @watch_reply: decode what came back; strings live in @pool
- * @fact_kind: what a key is about, whatever its value
+ * @store_record_kind: what a key is about, whatever its value
  * @decode: decode the value of a key; ERR_LIST when it cannot be used
  */
 struct dialect {
@@ -158,7 +158,8 @@
 			   apr_pool_t *pool, struct error *err);
 	int (*watch_reply)(struct str body, struct store_reply *out,
 			   apr_pool_t *pool, struct error *err);
-	enum fact_kind (*kind)(struct str key);
-	int (*decode)(struct str key, struct str value, struct fact *out,
-		      apr_pool_t *pool, struct error *err);
+	enum store_record_kind (*kind)(struct str key);
+	int (*decode)(struct str key, struct str value,
+		      struct store_record *out, apr_pool_t *pool,
+		      struct error *err);
 };
--- a/directory.c
+++ b/directory.c
@@ -10,13 +10,13 @@
 	 * Connections of this node to a target, even where more nodes than that
 	 * would share them: not all nodes use all targets at a time.
 	 */
-	NEAR_CONNS_LEAST = 2,
-	FAR_CONNS_LEAST = 1,
+	NEAR_CONNS_MIN = 2,
+	FAR_CONNS_MIN = 1,
 	/*
 	 * A deleted key is remembered so that older news of another node does
 	 * not bring it back; nodes that are that far behind read all keys anew.
 	 */
-	KEPT_US = 60000000,
+	TOMBSTONE_TTL_US = 60000000,
 };
 
 /*
@@ -25,10 +25,10 @@
  * reset new ones beyond their cap. So half of them are used at most, that old
  * and new ones fit together.
  */
-static const double CONNS_PART = 0.5;
+static const double CONNS_FRACTION = 0.5;
 /* What nodes of other failure domains may have of it; the rest is near ones'.
  */
-static const double FAR_CONNS_PART = 0.64;
+static const double FAR_CONNS_FRACTION = 0.64;
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct roster *roster,
@@ -47,76 +47,78 @@
 	apr_hash_index_t *it;
 
 	for (it = apr_hash_first(NULL, dir->keys); it; it = apr_hash_next(it)) {
-		struct held_key *held = hash_value(it);
+		struct cached_key *cached = hash_value(it);
 
-		str_free(held->key);
-		str_free(held->value);
-		free(held);
+		str_free(cached->key);
+		str_free(cached->value);
+		free(cached);
 	}
 	catalog_unref(dir->catalog);
 }
 
-static struct held_key *held_get(struct directory *dir, struct str key)
+static struct cached_key *cached_key_get(struct directory *dir, struct str key)
 {
-	struct held_key *held =
+	struct cached_key *cached =
 		apr_hash_get(dir->keys, key.ptr, (apr_ssize_t)key.len);
 
-	if (held)
-		return held;
-	held = xcalloc(1, sizeof(*held));
-	held->key = str_keep(key);
-	held->deleted = true;
-	apr_hash_set(dir->keys, held->key.ptr, (apr_ssize_t)held->key.len,
-		     held);
-	return held;
+	if (cached)
+		return cached;
+	cached = xcalloc(1, sizeof(*cached));
+	cached->key = str_keep(key);
+	cached->deleted = true;
+	apr_hash_set(dir->keys, cached->key.ptr, (apr_ssize_t)cached->key.len,
+		     cached);
+	return cached;
 }
 
-static int cold_part(const struct directory *dir, double per_s)
+static int cold_rate_share(const struct directory *dir, double per_s)
 {
-	int all = (int)(per_s * dir->cold_factor) + dir->cold_extra;
-	int mine = all / dir->nodes;
+	int total = (int)(per_s * dir->cold_factor) + dir->cold_extra;
+	int share = total / dir->nodes;
 
-	return mine > 0 ? mine : 1;
+	return share > 0 ? share : 1;
 }
 
-struct conn_bound directory_conns(int max_conns, int near, int far)
+struct conn_bound directory_conn_limits(int max_conns, int near, int far)
 {
-	int all = (int)(max_conns * CONNS_PART);
-	struct conn_bound bound = { .near = NEAR_CONNS_LEAST,
-				    .far = FAR_CONNS_LEAST };
-	int each;
+	int total = (int)(max_conns * CONNS_FRACTION);
+	struct conn_bound bound = { .near = NEAR_CONNS_MIN,
+				    .far = FAR_CONNS_MIN };
+	int per_node;
 
 	if (near <= 0)
 		return bound;
 	if (far > 0) {
-		each = (int)(all * FAR_CONNS_PART) / far;
-		bound.far = each > bound.far ? each : bound.far;
-		all -= bound.far * far;
+		per_node = (int)(total * FAR_CONNS_FRACTION) / far;
+		bound.far = per_node > bound.far ? per_node : bound.far;
+		total -= bound.far * far;
 	}
-	each = all / near;
-	bound.near = each > bound.near ? each : bound.near;
+	per_node = total / near;
+	bound.near = per_node > bound.near ? per_node : bound.near;
 	return bound;
 }
 
-void directory_bounds(struct directory *dir, int nodes, int near)
+void directory_set_nodes(struct directory *dir, int nodes, int near)
 {
 	dir->nodes = nodes > 0 ? nodes : 1;
 	dir->near = near;
 	for (size_t i = 0; dir->catalog && i < dir->catalog->nservices; i++) {
 		const struct service *service = &dir->catalog->services[i];
 
-		roster_cold_bound(dir->roster, service->key,
-				  service->cold_per_s > 0
-					  ? cold_part(dir, service->cold_per_s)
-					  : 0);
-		roster_conn_bound(dir->roster, service->key,
-				  directory_conns(service->max_conns, dir->near,
-						  dir->nodes - dir->near));
+		roster_cold_bound(
+			dir->roster, service->key,
+			service->cold_per_s > 0
+				? cold_rate_share(dir, service->cold_per_s)
+				: 0);
+		roster_conn_bound(
+			dir->roster, service->key,
+			directory_conn_limits(service->max_conns, dir->near,
+					      dir->nodes - dir->near));
 	}
 }
 
-void directory_pack(const struct directory *dir, uint64_t since,
-		    struct buf *out)
+void directory_encode(const struct directory *dir, uint64_t since,
+		      struct buf *out)
 {
 	struct store_item *items =
 		xcalloc(apr_hash_count(dir->keys) + 1, sizeof(*items));
@@ -124,23 +126,23 @@
 	size_t count = 0;
 
 	for (it = apr_hash_first(NULL, dir->keys); it; it = apr_hash_next(it)) {
-		const struct held_key *held = hash_value(it);
+		const struct cached_key *cached = hash_value(it);
 
-		if (held->revision <= since)
+		if (cached->revision <= since)
 			continue;
-		items[count].key = held->key;
-		items[count].revision = held->revision;
-		items[count].deleted = held->deleted;
-		if (!held->deleted)
-			items[count].value = held->value;
+		items[count].key = cached->key;
+		items[count].revision = cached->revision;
+		items[count].deleted = cached->deleted;
+		if (!cached->deleted)
+			items[count].value = cached->value;
 		count++;
 	}
 	parcel_items(items, count, out);
 	free(items);
 }
 
-static void take_catalog(struct directory *dir, struct catalog *catalog,
-			 uint64_t revision, int64_t now)
+static void apply_catalog(struct directory *dir, struct catalog *catalog,
+			  uint64_t revision, int64_t now)
 {
 	if (dir->catalog && dir->catalog->version >= catalog->version) {
 		note_belief(dir->notes, now, "configuration passed over",
@@ -152,9 +154,9 @@
 	}
 	catalog_unref(dir->catalog);
 	dir->catalog = catalog;
-	dir->catalog_at = revision;
+	dir->catalog_revision = revision;
 	dir->notes->version = catalog->version;
-	directory_bounds(dir, dir->nodes, dir->near);
+	directory_set_nodes(dir, dir->nodes, dir->near);
 	note_belief(dir->notes, now, "configuration", STR("all routes"),
 		    "a newer version was published", catalog->version);
 }
@@ -163,101 +165,104 @@
  * The node goes on with the version before, which callers notice only by what
  * they are served: an operator must see it.
  */
-static void refuse_catalog(struct directory *dir, const struct held_key *held,
-			   const char *why, int64_t now)
+static void reject_catalog(struct directory *dir,
+			   const struct cached_key *cached, const char *why,
+			   int64_t now)
 {
 	metric_add(&dir->notes->metrics, METRIC_CONFIGURATIONS_REFUSED);
-	note_fault(dir->notes, now, "configuration refused", held->key, why,
-		   held->revision);
+	note_fault(dir->notes, now, "configuration refused", cached->key, why,
+		   cached->revision);
 }
 
-static void take_fact(struct directory *dir, const struct held_key *held,
-		      int64_t now)
+static void apply_record(struct directory *dir, const struct cached_key *cached,
+			 int64_t now)
 {
 	struct error err = { 0 };
-	struct fact fact;
+	struct store_record record;
 	apr_pool_t *pool;
 	int code;
 
 	apr_pool_create(&pool, dir->pool);
-	code = dir->dialect->decode(held->key, held->value, &fact, pool, &err);
-	if (fact.kind == FACT_CATALOG) {
-		dir->seen_at = held->revision;
-		dir->seen_bytes = held->value.len;
+	code = dir->dialect->decode(cached->key, cached->value, &record, pool,
+				    &err);
+	if (record.kind == RECORD_CATALOG) {
+		dir->seen_revision = cached->revision;
+		dir->seen_bytes = cached->value.len;
 	}
-	if (code && fact.kind == FACT_CATALOG) {
-		refuse_catalog(dir, held, err.text, now);
+	if (code && record.kind == RECORD_CATALOG) {
+		reject_catalog(dir, cached, err.text, now);
 	} else if (code) {
-		note_belief(dir->notes, now, "unusable", held->key, err.text,
-			    held->revision);
+		note_belief(dir->notes, now, "unusable", cached->key, err.text,
+			    cached->revision);
 		/* An entry that cannot be read names no target to use. */
-		if (fact.kind == FACT_TARGET && fact.target.id.len)
-			roster_drop(dir->roster, fact.target.id, now);
-	} else if (fact.kind == FACT_CATALOG) {
-		take_catalog(dir, fact.catalog, held->revision, now);
-	} else if (fact.kind == FACT_TARGET) {
-		roster_put(dir->roster, &fact.target, now);
-	} else if (fact.kind == FACT_DOMAIN_OUT) {
-		roster_domain(dir->roster, fact.domain, true);
-		note_belief(dir->notes, now, "failure domain out", fact.domain,
-			    "operators took it out", held->revision);
+		if (record.kind == RECORD_TARGET && record.target.id.len)
+			roster_drop(dir->roster, record.target.id, now);
+	} else if (record.kind == RECORD_CATALOG) {
+		apply_catalog(dir, record.catalog, cached->revision, now);
+	} else if (record.kind == RECORD_TARGET) {
+		roster_put(dir->roster, &record.target, now);
+	} else if (record.kind == RECORD_DOMAIN_OUT) {
+		roster_domain(dir->roster, record.domain, true);
+		note_belief(dir->notes, now, "failure domain out",
+			    record.domain, "operators took it out",
+			    cached->revision);
 	}
 	apr_pool_destroy(pool);
 }
 
-static void take_end(struct directory *dir, const struct held_key *held,
-		     int64_t now)
+static void apply_deletion(struct directory *dir,
+			   const struct cached_key *cached, int64_t now)
 {
 	struct error err = { 0 };
-	struct fact fact;
+	struct store_record record;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, dir->pool);
 	/* Only the key matters; the value was the last one. */
-	dir->dialect->decode(held->key, held->value, &fact, pool, &err);
-	if (fact.kind == FACT_TARGET && fact.target.id.len) {
-		roster_drop(dir->roster, fact.target.id, now);
-		note_belief(dir->notes, now, "target gone", fact.target.id,
-			    "its entry is gone", held->revision);
-	} else if (fact.kind == FACT_DOMAIN_OUT) {
-		roster_domain(dir->roster, fact.domain, false);
-		note_belief(dir->notes, now, "failure domain in", fact.domain,
-			    "operators took it back", held->revision);
+	dir->dialect->decode(cached->key, cached->value, &record, pool, &err);
+	if (record.kind == RECORD_TARGET && record.target.id.len) {
+		roster_drop(dir->roster, record.target.id, now);
+		note_belief(dir->notes, now, "target gone", record.target.id,
+			    "its entry is gone", cached->revision);
+	} else if (record.kind == RECORD_DOMAIN_OUT) {
+		roster_domain(dir->roster, record.domain, false);
+		note_belief(dir->notes, now, "failure domain in", record.domain,
+			    "operators took it back", cached->revision);
 	}
-	catalog_unref(fact.catalog);
+	catalog_unref(record.catalog);
 	apr_pool_destroy(pool);
 }
 
-static void apply_one(struct directory *dir, const struct store_item *item,
-		      int64_t now)
+static void apply_item(struct directory *dir, const struct store_item *item,
+		       int64_t now)
 {
-	struct held_key *held;
+	struct cached_key *cached;
 
-	if (dir->dialect->kind(item->key) == FACT_NONE)
+	if (dir->dialect->kind(item->key) == RECORD_NONE)
 		return;
-	held = held_get(dir, item->key);
-	held->round = dir->round;
-	if (item->revision <= held->revision)
+	cached = cached_key_get(dir, item->key);
+	cached->scan = dir->scan;
+	if (item->revision <= cached->revision)
 		return;
-	held->revision = item->revision;
+	cached->revision = item->revision;
 	if (item->deleted) {
-		if (!held->deleted)
-			take_end(dir, held, now);
-		held->deleted = true;
-		held->deleted_at = now;
+		if (!cached->deleted)
+			apply_deletion(dir, cached, now);
+		cached->deleted = true;
+		cached->deleted_at = now;
 		return;
 	}
-	held->deleted = false;
-	str_free(held->value);
-	held->value = str_keep(item->value);
-	take_fact(dir, held, now);
+	cached->deleted = false;
+	str_free(cached->value);
+	cached->value = str_keep(item->value);
+	apply_record(dir, cached, now);
 }
 
 void directory_apply(struct directory *dir, const struct store_item *items,
 		     size_t count, int64_t now)
 {
 	for (size_t i = 0; i < count; i++)
-		apply_one(dir, &items[i], now);
+		apply_item(dir, &items[i], now);
 }
 
 /*
@@ -265,7 +270,8 @@
  * that was cut off from the store sends them as they were; taken, their targets
  * would be asked until the whole store is read once more.
  */
-static bool is_gone(const struct directory *dir, const struct store_item *item)
+static bool is_deleted(const struct directory *dir,
+		       const struct store_item *item)
 {
 	return item->revision <= dir->revision &&
 	       !apr_hash_get(dir->keys, item->key.ptr,
@@ -276,56 +282,57 @@
 		     size_t count, int64_t now)
 {
 	for (size_t i = 0; i < count; i++)
-		if (!is_gone(dir, &items[i]))
-			apply_one(dir, &items[i], now);
+		if (!is_deleted(dir, &items[i]))
+			apply_item(dir, &items[i], now);
 }
 
-static struct held_key *find_gone(struct directory *dir, int64_t now)
+static struct cached_key *find_expired_tombstone(struct directory *dir,
+						 int64_t now)
 {
 	apr_hash_index_t *it;
 
 	for (it = apr_hash_first(NULL, dir->keys); it; it = apr_hash_next(it)) {
-		struct held_key *held = hash_value(it);
+		struct cached_key *cached = hash_value(it);
 
-		if (held->deleted && held->deleted_at &&
-		    now - held->deleted_at > KEPT_US)
-			return held;
+		if (cached->deleted && cached->deleted_at &&
+		    now - cached->deleted_at > TOMBSTONE_TTL_US)
+			return cached;
 	}
 	return NULL;
 }
 
 void directory_sweep(struct directory *dir, int64_t now)
 {
-	struct held_key *gone;
-
-	while ((gone = find_gone(dir, now))) {
-		apr_hash_set(dir->keys, gone->key.ptr,
-			     (apr_ssize_t)gone->key.len, NULL);
-		str_free(gone->key);
-		str_free(gone->value);
-		free(gone);
+	struct cached_key *expired;
+
+	while ((expired = find_expired_tombstone(dir, now))) {
+		apr_hash_set(dir->keys, expired->key.ptr,
+			     (apr_ssize_t)expired->key.len, NULL);
+		str_free(expired->key);
+		str_free(expired->value);
+		free(expired);
 	}
 }
 
-void directory_round(struct directory *dir)
+void directory_begin_scan(struct directory *dir)
 {
-	dir->round++;
+	dir->scan++;
 }
 
-void directory_whole(struct directory *dir, uint64_t revision, int64_t now)
+void directory_end_scan(struct directory *dir, uint64_t revision, int64_t now)
 {
 	apr_hash_index_t *it;
 
 	for (it = apr_hash_first(NULL, dir->keys); it; it = apr_hash_next(it)) {
-		struct held_key *held = hash_value(it);
+		struct cached_key *cached = hash_value(it);
 
-		if (held->deleted || held->round == dir->round ||
-		    held->revision > revision)
+		if (cached->deleted || cached->scan == dir->scan ||
+		    cached->revision > revision)
 			continue;
-		take_end(dir, held, now);
-		held->deleted = true;
-		held->deleted_at = now;
-		held->revision = revision;
+		apply_deletion(dir, cached, now);
+		cached->deleted = true;
+		cached->deleted_at = now;
+		cached->revision = revision;
 	}
 	if (revision > dir->revision)
 		dir->revision = revision;
--- a/edge.c
+++ b/edge.c
@@ -172,8 +172,8 @@
 			PAGE_MAX + VALUE_COST * edge->settings.store_value_max,
 		.connect_us = fx->timeout_us,
 		.timeout_us = fx->timeout_us,
-		.pause_us = fx->pause_us,
-		.whole_us = fx->whole_us,
+		.pause_us = fx->stall_us,
+		.whole_us = fx->transfer_us,
 	};
 
 	buf_str_add(&head, STR("GET "));
--- a/flow.h
+++ b/flow.h
@@ -134,7 +134,7 @@
  *                may hold the call
  * @timeout_us: FLOW_SEND: the transfer is ended after this time; FLOW_READ:
  *              until the reply begins
- * @pause_us, @whole_us: FLOW_READ: a reply that has begun may pause for so
+ * @stall_us, @transfer_us: FLOW_READ: a reply that has begun may pause for so
  *                       long at a time, and takes at most this long in all
  * @status, @headers, @body: FLOW_ANSWER; live until tier_reap()
  * @signatures: FLOW_ANSWER: of a merged answer
@@ -152,8 +152,8 @@
 	struct str expected;
 	int64_t time_left_us;
 	int64_t timeout_us;
-	int64_t pause_us;
-	int64_t whole_us;
+	int64_t stall_us;
+	int64_t transfer_us;
 	int status;
 	struct str headers;
 	struct str body;
--- a/forward.c
+++ b/forward.c
@@ -106,7 +106,7 @@
 	try_again(calls, call, "no target may be asked");
 	if (call->attempts)
 		call_review_at(calls, call,
-			       call->route->repeatable ? hedge_at(call)
+			       call->route->idempotent ? hedge_at(call)
 						       : call->give_up_at);
 }
 
@@ -116,7 +116,7 @@
 		give_up(calls, call, "out of time");
 		return;
 	}
-	if (call->route->repeatable && trial_hopeless(calls, call)) {
+	if (call->route->idempotent && trial_hopeless(calls, call)) {
 		give_up(calls, call, "no target may have it");
 		return;
 	}
@@ -124,7 +124,7 @@
 		try_again(calls, call, why_held(call));
 		if (!call->attempts)
 			return;
-	} else if (call->route->repeatable && call->parts[0].open == 1 &&
+	} else if (call->route->idempotent && call->parts[0].open == 1 &&
 		   call_has(calls, MECHANISM_HEDGES)) {
 		call_send(calls, call, 0);
 	}
@@ -161,7 +161,7 @@
 		return reply->signature.len > 0;
 	if (promises_not_run(reply->status))
 		return false;
-	return reply->status < 500 || !call->route->repeatable;
+	return reply->status < 500 || !call->route->idempotent;
 }
 
 static void replied(struct calls *calls, struct call *call,
@@ -181,7 +181,7 @@
 	if (reply->result == FETCH_OK)
 		why = reply->not_run ? "the target is full"
 				     : "the target failed";
-	if (part->ran && !call->route->repeatable) {
+	if (part->ran && !call->route->idempotent) {
 		give_up(calls, call, why);
 		return;
 	}
--- a/merge.c
+++ b/merge.c
@@ -64,7 +64,7 @@
 
 bool merge_enough(const struct route *route, size_t done)
 {
-	double need = route->least * (double)route->nshards;
+	double need = route->min_coverage * (double)route->nshards;
 
 	return done > 0 && (double)done + 1e-9 >= need;
 }
@@ -480,7 +480,7 @@
 	call->state = state;
 	apr_pool_cleanup_register(call->pool, state, free_state,
 				  apr_pool_cleanup_null);
-	records_init(&state->records, route->top, call->pool);
+	records_init(&state->records, route->top_k, call->pool);
 	state->fresh = apr_palloc(call->pool,
 				  (route->nshards + 1) * sizeof(*state->fresh));
 	call->soft_at = call_has(calls, MECHANISM_SOFT_DEADLINE)
@@ -596,7 +596,8 @@
 
 	if (call->asker.len || nparts < BATCH_LEAST ||
 	    call->handed >= HANDED_MOST ||
-	    (int)tried >= call->route->attempts || is_suspect(calls, call) ||
+	    (int)tried >= call->route->max_attempts ||
+	    is_suspect(calls, call) ||
 	    spread_here(spread, call->catalog, call->route, calls->now))
 		return false;
 	member = spread_choose(spread, call->catalog, call->route, 0,
--- a/reader.c
+++ b/reader.c
@@ -6,34 +6,34 @@
 	 * silent ends after this and the slack, and a new one brings the
 	 * change: well within the three seconds of a drain.
 	 */
-	WATCH_US = 1200000,
+	WATCH_WAIT_US = 1200000,
 	WATCH_SLACK_US = 400000,
-	RANGE_US = 600000,
+	RANGE_TIMEOUT_US = 600000,
 	/*
 	 * A large configuration takes a small VM's link for a second and more,
 	 * beside its other work. Ended by the time that a call may wait, each
 	 * call failed, and a node that started got no configuration at all. A
 	 * call that brings bytes goes on; a silent connection is found as soon.
 	 */
-	REPLY_PAUSE_US = 600000,
-	REPLY_WHOLE_US = 5000000,
+	REPLY_STALL_US = 600000,
+	REPLY_TIMEOUT_US = 5000000,
 	/*
 	 * A call returns with the first change. When many targets come or go,
 	 * this pause lets a call bring several, at four calls a second at most.
 	 */
-	WATCH_GAP_US = 250000,
+	WATCH_COALESCE_US = 250000,
 	/* After a failure, doubled with each in a row up to the most. */
-	PAUSE_US = 100000,
-	PAUSE_MOST_US = 400000,
+	BACKOFF_US = 100000,
+	BACKOFF_MAX_US = 400000,
 	/* After this long without reading the store is worth a try again. */
-	REST_US = 5000000,
+	FAILURES_RESET_US = 5000000,
 };
 
 void reader_init(struct reader *reader, struct directory *dir,
 		 struct flow_effects *fx, int64_t now)
 {
 	*reader = (struct reader){
-		.dir = dir, .fx = fx, .next_at = now, .need_range = true
+		.dir = dir, .fx = fx, .next_at = now, .need_scan = true
 	};
 }
 
@@ -42,56 +42,58 @@
 	buf_free(&reader->after);
 }
 
-static struct flow_effect *call(struct reader *reader, enum store_call read)
+static struct flow_effect *start_call(struct reader *reader,
+				      enum store_call read)
 {
 	struct flow_effect *fx = flow_add(reader->fx, FLOW_READ);
 
 	metric_add(&reader->dir->notes->metrics, METRIC_STORE_CALLS);
 	fx->read = read;
-	fx->pause_us = REPLY_PAUSE_US;
-	fx->whole_us = REPLY_WHOLE_US;
+	fx->stall_us = REPLY_STALL_US;
+	fx->transfer_us = REPLY_TIMEOUT_US;
 	return fx;
 }
 
-static void call_range(struct reader *reader)
+static void start_range(struct reader *reader)
 {
 	const struct dialect *dialect = reader->dir->dialect;
-	struct flow_effect *fx = call(reader, STORE_RANGE);
+	struct flow_effect *fx = start_call(reader, STORE_RANGE);
 
 	reader->state = READER_RANGE;
 	fx->prefix = dialect->prefixes[reader->prefix];
 	fx->after = str_dup(reader->fx->pool, buf_str(&reader->after));
-	fx->timeout_us = RANGE_US;
+	fx->timeout_us = RANGE_TIMEOUT_US;
 }
 
-static void call_watch(struct reader *reader)
+static void start_watch(struct reader *reader)
 {
-	struct flow_effect *fx = call(reader, STORE_WATCH);
+	struct flow_effect *fx = start_call(reader, STORE_WATCH);
 
 	reader->state = READER_WATCH;
 	fx->revision = reader->dir->revision;
-	fx->time_left_us = WATCH_US;
-	fx->timeout_us = WATCH_US + WATCH_SLACK_US;
+	fx->time_left_us = WATCH_WAIT_US;
+	fx->timeout_us = WATCH_WAIT_US + WATCH_SLACK_US;
 }
 
-static void begin_range(struct reader *reader)
+static void begin_scan(struct reader *reader)
 {
 	reader->prefix = 0;
 	reader->after.len = 0;
-	reader->first_revision = 0;
-	directory_round(reader->dir);
-	call_range(reader);
+	reader->scan_revision = 0;
+	directory_begin_scan(reader->dir);
+	start_range(reader);
 }
 
-void reader_active(struct reader *reader, bool active, int64_t now)
+void reader_set_active(struct reader *reader, bool active, int64_t now)
 {
-	if (active && !reader->active && now > reader->idle_since + REST_US)
+	if (active && !reader->active &&
+	    now > reader->idle_since + FAILURES_RESET_US)
 		reader->failures = 0;
 	if (!active && reader->active)
 		reader->idle_since = now;
 	/* Other nodes have sent all that a read of all keys would. */
 	if (reader->dir->revision)
-		reader->need_range = reader->need_range && !reader->dir->synced;
+		reader->need_scan = reader->need_scan && !reader->dir->synced;
 	if (active != reader->active)
 		note_belief(
 			reader->dir->notes, now,
@@ -108,28 +110,28 @@
 	if (!reader->active || reader->state != READER_IDLE ||
 	    now < reader->next_at)
 		return;
-	if (reader->need_range)
-		begin_range(reader);
+	if (reader->need_scan)
+		begin_scan(reader);
 	else
-		call_watch(reader);
+		start_watch(reader);
 }
 
-static void failed(struct reader *reader, const char *why, int64_t now)
+static void on_failure(struct reader *reader, const char *why, int64_t now)
 {
-	int64_t pause = PAUSE_US;
+	int64_t backoff = BACKOFF_US;
 
 	metric_add(&reader->dir->notes->metrics, METRIC_STORE_FAILED);
 	if (!reader->failures++)
 		note_belief(reader->dir->notes, now, "store lost", STR("store"),
 			    why, reader->dir->revision);
-	for (int i = 1; i < reader->failures && pause < PAUSE_MOST_US; i++)
-		pause *= 2;
+	for (int i = 1; i < reader->failures && backoff < BACKOFF_MAX_US; i++)
+		backoff *= 2;
 	roster_store_lost(reader->dir->roster, now);
 	reader->state = READER_IDLE;
-	reader->next_at = now + pause;
+	reader->next_at = now + backoff;
 }
 
-static void heard(struct reader *reader, int64_t now)
+static void on_success(struct reader *reader, int64_t now)
 {
 	if (reader->failures)
 		note_belief(reader->dir->notes, now, "store back", STR("store"),
@@ -139,13 +141,13 @@
 	reader->dir->notes->read_at = now;
 }
 
-static void took_page(struct reader *reader, const struct store_reply *page,
-		      int64_t now)
+static void apply_page(struct reader *reader, const struct store_reply *page,
+		       int64_t now)
 {
 	const struct dialect *dialect = reader->dir->dialect;
 
-	if (!reader->first_revision)
-		reader->first_revision = page->revision;
+	if (!reader->scan_revision)
+		reader->scan_revision = page->revision;
 	directory_apply(reader->dir, page->items, page->count, now);
 	reader->after.len = 0;
 	if (page->more && page->count) {
@@ -155,19 +157,19 @@
 		 * Pages are no snapshot: what changed after the first is taken
 		 * again from the changes since.
 		 */
-		directory_whole(reader->dir, reader->first_revision, now);
-		reader->need_range = false;
-		reader->whole = true;
+		directory_end_scan(reader->dir, reader->scan_revision, now);
+		reader->need_scan = false;
+		reader->complete = true;
 		reader->state = READER_IDLE;
 		reader->next_at = now;
 		return;
 	}
-	call_range(reader);
+	start_range(reader);
 }
 
-static void read_anew(struct reader *reader)
+static void restart_scan(struct reader *reader)
 {
-	reader->need_range = true;
+	reader->need_scan = true;
 	reader->dir->synced = false;
 }
 
@@ -175,7 +177,7 @@
 		  int64_t now)
 {
 	if (reply->lost_history) {
-		read_anew(reader);
+		restart_scan(reader);
 		reader->state = READER_IDLE;
 		reader->next_at = now;
 		note_belief(reader->dir->notes, now, "store history lost",
@@ -186,20 +188,20 @@
 	if (!reply->ok) {
 		/* A page of a read that broke off may be of another time. */
 		if (reply->call == STORE_RANGE)
-			reader->need_range = true;
+			reader->need_scan = true;
 		/*
 		 * Several versions of a large configuration may not fit in one
 		 * reply. Asked for again they never would, and the node would
 		 * stay at the old one; the keys hold only the newest.
 		 */
 		if (reply->unusable)
-			read_anew(reader);
-		failed(reader, reply->why, now);
+			restart_scan(reader);
+		on_failure(reader, reply->why, now);
 		return;
 	}
-	heard(reader, now);
+	on_success(reader, now);
 	if (reply->call == STORE_RANGE) {
-		took_page(reader, reply->reply, now);
+		apply_page(reader, reply->reply, now);
 		return;
 	}
 	directory_apply(reader->dir, reply->reply->items, reply->reply->count,
@@ -208,7 +210,7 @@
 		reader->dir->revision = reply->reply->revision;
 	reader->dir->notes->revision = reader->dir->revision;
 	reader->state = READER_IDLE;
-	reader->next_at = now + (reply->reply->count ? WATCH_GAP_US : 0);
+	reader->next_at = now + (reply->reply->count ? WATCH_COALESCE_US : 0);
 }
 
 int64_t reader_wake_at(const struct reader *reader)
--- a/reader.h
+++ b/reader.h
@@ -21,12 +21,12 @@
  * struct reader - where reading has come to
  * @prefix: index of the prefix at hand
  * @after: last key of the page before
- * @first_revision: of the store when this read of all keys began
+ * @scan_revision: of the store when this read of all keys began
  * @next_at: when the next call is due, if none is under way
  * @failures: in a row
  * @idle_since: when it last stopped reading
  * @active: this node reads; else other nodes send it what they read
- * @whole: all keys have been read once
+ * @complete: all keys have been read once
  */
 struct reader {
 	struct directory *dir;
@@ -34,21 +34,22 @@
 	enum reader_state state;
 	size_t prefix;
 	struct buf after;
-	uint64_t first_revision;
+	uint64_t scan_revision;
 	int64_t next_at;
 	int failures;
 	int64_t idle_since;
 	bool active;
-	bool whole;
-	bool need_range;
+	bool complete;
+	bool need_scan;
 };
 
 void reader_init(struct reader *reader, struct directory *dir,
 		 struct flow_effects *fx, int64_t now);
 void reader_destroy(struct reader *reader);
-/** reader_active() - read from now on, or let the call under way be the last.
+/** reader_set_active() - read from now on, or let the call under way be the
+ * last.
  */
-void reader_active(struct reader *reader, bool active, int64_t now);
+void reader_set_active(struct reader *reader, bool active, int64_t now);
 /** reader_tick() - start the next call if it is due. */
 void reader_tick(struct reader *reader, int64_t now);
 /** reader_reply() - what came of the call under way. */
--- a/share.c
+++ b/share.c
@@ -104,7 +104,7 @@
 	struct buf items = { 0 };
 	struct str body;
 
-	directory_pack(share->dir, since, &items);
+	directory_encode(share->dir, since, &items);
 	body = str_dup(share->fx->pool, buf_str(&items));
 	buf_free(&items);
 	return body;
@@ -156,7 +156,7 @@
 	bool read = should_read(share, now);
 	struct member_entry *self = &share->gossip->self;
 
-	reader_active(share->reader, read, now);
+	reader_set_active(share->reader, read, now);
 	self->revision = share->dir->revision;
 	self->version = share->dir->catalog ? share->dir->catalog->version : 0;
 	if (share->reader->failures)
--- a/spread.c
+++ b/spread.c
@@ -218,7 +218,7 @@
 			   const struct route *route, size_t domains)
 {
 	const struct service *service =
-		catalog_service(catalog, route->shards[0]);
+		catalog_find_service(catalog, route->shards[0]);
 	double conns = service ? service->max_conns : 0;
 	size_t all = (size_t)(conns * CONNS_PART / CONNS_EACH);
 	size_t each = all / domains;
@@ -264,7 +264,7 @@
 			const struct route *route, size_t domains)
 {
 	const struct service *service =
-		catalog_service(catalog, route->shards[0]);
+		catalog_find_service(catalog, route->shards[0]);
 	int merging = (int)plan->count + plan->self;
 	int near = plan->self;
 	struct conn_bound bound;
@@ -274,8 +274,8 @@
 		return;
 	for (size_t i = 0; i < plan->count; i++)
 		near += plan->members[i]->near;
-	bound = directory_conns(service->max_conns, near,
-				merging - merging / (int)domains);
+	bound = directory_conn_limits(service->max_conns, near,
+				      merging - merging / (int)domains);
 	for (size_t i = 0; i < route->nshards; i++)
 		roster_conn_bound(spread->roster, route->shards[i], bound);
 }
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -109,7 +109,7 @@
 	struct store_item *items;
 	size_t count;
 
-	directory_pack(&from->dir, 0, &body);
+	directory_encode(&from->dir, 0, &body);
 	msg.body = buf_str(&body);
 	frame_encode(&frame, &bytes);
 	ck_assert_uint_le(bytes.len, FRAME_MAX);
@@ -139,8 +139,8 @@
 	ck_assert_uint_eq(reader->dir.catalog->version, 2);
 	ck_assert_uint_eq(other->dir.catalog->version, 2);
 	snprintf(last, sizeof(last), "/r%d/x", routes - 1);
-	ck_assert_ptr_nonnull(catalog_route(other->dir.catalog,
-					    STR("h.example"), str_of(last)));
+	ck_assert_ptr_nonnull(catalog_find_route(
+		other->dir.catalog, STR("h.example"), str_of(last)));
 	reading_destroy(other);
 	reading_destroy(reader);
 }
@@ -193,7 +193,7 @@
 	path = reading->dir.catalog->routes[0].prefix;
 	ck_assert_uint_eq(path.len, 4002);
 	ck_assert_ptr_nonnull(
-		catalog_route(reading->dir.catalog, STR("h"), path));
+		catalog_find_route(reading->dir.catalog, STR("h"), path));
 	buf_free(&text);
 	reading_destroy(reading);
 }
@@ -252,7 +252,7 @@
 	int64_t now = 1000000;
 
 	reader_init(&reader, &reading->dir, &reading->fx, now);
-	reader_active(&reader, true, now);
+	reader_set_active(&reader, true, now);
 	read_all(&reader, 1, &now);
 	ck_assert_int_eq(next_call(&reader, &now).read, STORE_WATCH);
 	reader_reply(&reader, &refused, now);
@@ -292,8 +292,8 @@
 		told = told || reading->fx.list[i].severe;
 	ck_assert(told);
 	ck_assert_uint_eq(reading->dir.catalog->version, 1);
-	ck_assert_uint_eq(reading->dir.catalog_at, 1);
-	ck_assert_uint_eq(reading->dir.seen_at, 2);
+	ck_assert_uint_eq(reading->dir.catalog_revision, 1);
+	ck_assert_uint_eq(reading->dir.seen_revision, 2);
 	ck_assert_uint_eq(
 		reading->notes.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
 		1);
@@ -322,7 +322,7 @@
 	size_t count;
 
 	publish(reading, config_text(1, 1400, ""), 1);
-	directory_pack(&reading->dir, 0, &body);
+	directory_encode(&reading->dir, 0, &body);
 	ck_assert_int_eq(
 		parcel_open_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -174,12 +174,12 @@
 static struct catalog *read_catalog(void)
 {
 	struct error err = { 0 };
-	struct fact fact;
+	struct store_record record;
 
 	ck_assert_int_eq(platform_decode(STR("op/config"), str_of(config_text),
-					 &fact, pool, &err),
+					 &record, pool, &err),
 			 0);
-	return fact.catalog;
+	return record.catalog;
 }
 
 START_TEST(test_routes)
@@ -187,7 +187,7 @@
 	const struct route_case *c = &route_cases[_i];
 	struct catalog *catalog = read_catalog();
 	const struct route *route =
-		catalog_route(catalog, str_of(c->host), str_of(c->path));
+		catalog_find_route(catalog, str_of(c->host), str_of(c->path));
 
 	if (c->name) {
 		ck_assert_ptr_nonnull(route);
@@ -205,13 +205,13 @@
 
 	ck_assert_uint_eq(catalog->version, 3);
 	ck_assert_uint_eq(catalog->nroutes, 3);
-	ck_assert(catalog->routes[0].repeatable);
+	ck_assert(catalog->routes[0].idempotent);
 	ck_assert_int_eq(catalog->routes[0].timeout_us, 500000);
 	ck_assert_int_eq(catalog->routes[0].goal_us, 50000);
-	ck_assert(!catalog->routes[1].repeatable);
+	ck_assert(!catalog->routes[1].idempotent);
 	ck_assert_uint_eq(catalog->routes[1].nshares, 2);
 	ck_assert_uint_eq(catalog->routes[2].nshards, 2);
-	ck_assert_uint_eq(catalog->routes[2].top, 5);
+	ck_assert_uint_eq(catalog->routes[2].top_k, 5);
 	ck_assert_int_eq(catalog->services[0].max_conns, 9);
 	ck_assert_int_eq(catalog->services[0].warmup_us, 3 * SECOND_US);
 	ck_assert_uint_eq(catalog->limits.body_bytes, 1000);
@@ -501,7 +501,8 @@
 	static const struct call_kind kind = { .name = "test",
 					       .in_line = true,
 					       .replied = leave_it };
-	static const struct route route = { .attempts = 3, .goal_us = 100000 };
+	static const struct route route = { .max_attempts = 3,
+					    .goal_us = 100000 };
 	struct flow_reply failed = { .result = FETCH_BROKEN };
 	struct flow_request request = { .request_id = STR("r") };
 	struct part part = { .service = 5 };
@@ -720,7 +721,8 @@
 {
 	const struct fleet_case *c = &fleet_cases[_i];
 	int far = c->nodes - c->near;
-	struct conn_bound bound = directory_conns(c->max_conns, c->near, far);
+	struct conn_bound bound =
+		directory_conn_limits(c->max_conns, c->near, far);
 	int all = c->near * bound.near + far * bound.far;
 
 	ck_assert_int_gt(all, 0);
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -160,14 +160,14 @@
 START_TEST(test_entries)
 {
 	struct error err = { 0 };
-	struct fact fact;
+	struct store_record record;
 	int code = platform_decode(STR("servers/i-1"), str_of(entries[_i].text),
-				   &fact, pool, &err);
+				   &record, pool, &err);
 
 	check_error(&entries[_i], code, ERR_LIST, &err);
-	ck_assert_int_eq(fact.kind, FACT_TARGET);
+	ck_assert_int_eq(record.kind, RECORD_TARGET);
 	if (!code)
-		ck_assert(str_eq(fact.target.id, STR("i-1")));
+		ck_assert(str_eq(record.target.id, STR("i-1")));
 }
 END_TEST
 
@@ -190,26 +190,26 @@
 START_TEST(test_configs)
 {
 	struct error err = { 0 };
-	struct fact fact;
+	struct store_record record;
 	int code = platform_decode(STR("op/config"), str_of(configs[_i].text),
-				   &fact, pool, &err);
+				   &record, pool, &err);
 
 	check_error(&configs[_i], code, ERR_LIST, &err);
-	ck_assert_int_eq(fact.catalog == NULL, code != 0);
-	catalog_unref(fact.catalog);
+	ck_assert_int_eq(record.catalog == NULL, code != 0);
+	catalog_unref(record.catalog);
 }
 END_TEST
 
 struct key_case {
 	const char *key;
-	enum fact_kind kind;
+	enum store_record_kind kind;
 };
 
 static const struct key_case keys[] = {
-	{ "op/config", FACT_CATALOG },	      { "op/configs", FACT_NONE },
-	{ "op/evacuate/z", FACT_DOMAIN_OUT }, { "op/evacuate/", FACT_NONE },
-	{ "servers/i-1", FACT_TARGET },	      { "servers/", FACT_NONE },
-	{ "my/leader", FACT_NONE },	      { "", FACT_NONE },
+	{ "op/config", RECORD_CATALOG },	{ "op/configs", RECORD_NONE },
+	{ "op/evacuate/z", RECORD_DOMAIN_OUT }, { "op/evacuate/", RECORD_NONE },
+	{ "servers/i-1", RECORD_TARGET },	{ "servers/", RECORD_NONE },
+	{ "my/leader", RECORD_NONE },		{ "", RECORD_NONE },
 };
 
 START_TEST(test_keys)
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -70,7 +70,7 @@
 {
 	struct vm_settings settings;
 	struct store_reply page;
-	struct fact fact;
+	struct store_record record;
 	struct error err;
 	apr_pool_t *pool;
 
@@ -78,9 +78,9 @@
 	platform_settings(in, &settings, pool, &err);
 	platform_range_reply(in, &page, pool, &err);
 	platform_watch_reply(in, &page, pool, &err);
-	platform_decode(STR("servers/i"), in, &fact, pool, &err);
-	if (!platform_decode(STR("op/config"), in, &fact, pool, &err))
-		catalog_unref(fact.catalog);
+	platform_decode(STR("servers/i"), in, &record, pool, &err);
+	if (!platform_decode(STR("op/config"), in, &record, pool, &err))
+		catalog_unref(record.catalog);
 	apr_pool_destroy(pool);
 }
 
--- a/tests/stage_dialect.c
+++ b/tests/stage_dialect.c
@@ -13,19 +13,19 @@
 
 static const struct str prefixes[] = { { "all/", 4 } };
 
-static enum fact_kind fake_kind(struct str key)
+static enum store_record_kind fake_kind(struct str key)
 {
 	if (key.len < 5)
-		return FACT_NONE;
+		return RECORD_NONE;
 	switch (key.ptr[4]) {
 	case 'c':
-		return FACT_CATALOG;
+		return RECORD_CATALOG;
 	case 't':
-		return FACT_TARGET;
+		return RECORD_TARGET;
 	case 'o':
-		return FACT_DOMAIN_OUT;
+		return RECORD_DOMAIN_OUT;
 	default:
-		return FACT_NONE;
+		return RECORD_NONE;
 	}
 }
 
@@ -51,31 +51,32 @@
 	*route = (struct route){ .name = str_of(name),
 				 .host = STR("h"),
 				 .prefix = str_of(name),
-				 .repeatable = true,
+				 .idempotent = true,
 				 .timeout_us = TIMEOUT_US,
 				 .goal_us = GOAL_US,
-				 .attempts = 2 };
+				 .max_attempts = 2 };
 	return route;
 }
 
 static void add_single(struct catalog *catalog, const char *name,
-		       bool repeatable)
+		       bool idempotent)
 {
 	struct route *route = add_route(catalog, name);
 
-	route->repeatable = repeatable;
+	route->idempotent = idempotent;
 	route->shares = apr_pcalloc(catalog->pool, sizeof(*route->shares));
-	route->shares[0] = (struct weighted){ str_hash(STR("single")), 1 };
+	route->shares[0] =
+		(struct weighted_service){ str_hash(STR("single")), 1 };
 	route->nshares = 1;
 }
 
-static void add_merged(struct catalog *catalog, const char *name, double least,
-		       const char *fmt)
+static void add_merged(struct catalog *catalog, const char *name,
+		       double min_coverage, const char *fmt)
 {
 	struct route *route = add_route(catalog, name);
 
-	route->top = TOP;
-	route->least = least;
+	route->top_k = TOP;
+	route->min_coverage = min_coverage;
 	route->shards =
 		apr_pcalloc(catalog->pool, STAGE_SHARDS * sizeof(uint64_t));
 	for (int i = 0; i < STAGE_SHARDS; i++)
@@ -95,7 +96,7 @@
 		pool, (STAGE_SHARDS + 1) * sizeof(*catalog->services));
 	add_merged(catalog, "/all/", 0.7, fmt);
 	add_merged(catalog, "/strict/", 0.9, fmt);
-	catalog->routes[1].attempts = 3;
+	catalog->routes[1].max_attempts = 3;
 	for (int i = 0; i < STAGE_SHARDS; i++)
 		add_service(catalog, stage_text(pool, fmt, i));
 	add_service(catalog, STR("single"));
@@ -104,8 +105,9 @@
 	return catalog;
 }
 
-static int fake_decode(struct str key, struct str value, struct fact *out,
-		       apr_pool_t *pool, struct error *err)
+static int fake_decode(struct str key, struct str value,
+		       struct store_record *out, apr_pool_t *pool,
+		       struct error *err)
 {
 	char service[32];
 	char addr[32];
@@ -113,13 +115,13 @@
 	int leaving;
 	int born;
 
-	*out = (struct fact){ .kind = fake_kind(key) };
-	if (out->kind == FACT_CATALOG)
+	*out = (struct store_record){ .kind = fake_kind(key) };
+	if (out->kind == RECORD_CATALOG)
 		out->catalog = make_catalog(strtoull(value.ptr, NULL, 10));
-	if (out->kind == FACT_DOMAIN_OUT)
+	if (out->kind == RECORD_DOMAIN_OUT)
 		out->domain =
 			str_dup(pool, (struct str){ key.ptr + 6, key.len - 6 });
-	if (out->kind != FACT_TARGET)
+	if (out->kind != RECORD_TARGET)
 		return 0;
 	out->target.id =
 		str_dup(pool, (struct str){ key.ptr + 6, key.len - 6 });
--- a/tier.c
+++ b/tier.c
@@ -258,7 +258,8 @@
 	}
 	if (copy.time_left_us >= 0)
 		copy.time_left_us -= event->held_us;
-	route = catalog_route(tier->dir.catalog, request->host, request->uri);
+	route = catalog_find_route(tier->dir.catalog, request->host,
+				   request->uri);
 	if (!route) {
 		refuse_early(tier, event->id, 404, ERR_NOT_FOUND,
 			     "no route for this host and path", 0);
@@ -342,7 +343,7 @@
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
 	gossip_seeds(&tier->gossip, settings);
-	directory_bounds(&tier->dir, tier->dir.nodes, tier->dir.near);
+	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near);
 }
 
 /* Other nodes. */
@@ -422,7 +423,7 @@
 		return;
 	note_belief(&tier->notes, tier->calls.now, "nodes", STR("all"),
 		    "heard of", (uint64_t)nodes);
-	directory_bounds(&tier->dir, nodes, near);
+	directory_set_nodes(&tier->dir, nodes, near);
 	tier->spread.met = met;
 	spread_forget(&tier->spread);
 	budget_nodes(tier->calls.budget, nodes);
@@ -546,11 +547,11 @@
 		     dir->catalog ? dir->catalog->version : 0);
 	metric_gauge(out, "configuration_revision",
 		     "of the store, at which it was published",
-		     dir->catalog_at);
+		     dir->catalog_revision);
 	metric_gauge(out, "configuration_seen_revision",
 		     "of the newest one that was read; above the one in force: "
 		     "it was refused",
-		     dir->seen_at);
+		     dir->seen_revision);
 	metric_gauge(out, "configuration_seen_bytes", "size of that one",
 		     dir->seen_bytes);
 	metric_gauge(out, "store_revision", "that this node knows",
