--- a/batch.c
+++ b/batch.c
@@ -97,9 +97,9 @@
 		     batch);
 	metric_add(&calls->notes->metrics, METRIC_BATCHES);
 	member->open++;
-	if (!member->unheard_since)
-		member->unheard_since = calls->now;
-	parcel_request(&call->request, &body);
+	if (!member->unanswered_since)
+		member->unanswered_since = calls->now;
+	payload_encode_request(&call->request, &body);
 	fx->msg.id = batch->id;
 	fx->msg.version = call->catalog->version;
 	fx->msg.state = may_hand_on;
@@ -151,11 +151,11 @@
 	struct member_info *member = gossip_find(calls->batches->gossip, addr);
 	struct flow_effect *fx;
 
-	if (!member || calls->now < member->rest_until)
+	if (!member || calls->now < member->backoff_until)
 		return;
-	member->rest_until = calls->now + REST_US;
-	if (!member->unheard_since ||
-	    calls->now - member->unheard_since < SILENT_US)
+	member->backoff_until = calls->now + REST_US;
+	if (!member->unanswered_since ||
+	    calls->now - member->unanswered_since < SILENT_US)
 		return;
 	note_belief(calls->notes, calls->now, "node is late", addr,
 		    "it has not answered for its shards", 0);
@@ -191,8 +191,8 @@
 
 	if (batch->replied || calls->now - batch->sent_at < SILENT_LEAST_US)
 		return false;
-	return !member || (member->unheard_since &&
-			   member->unheard_since <= batch->sent_at);
+	return !member || (member->unanswered_since &&
+			   member->unanswered_since <= batch->sent_at);
 }
 
 static struct batch *find_silent(struct calls *calls, const struct call *call)
@@ -333,7 +333,7 @@
 	struct batch *batch = find_at(calls, addr);
 
 	if (member)
-		member->rest_until = calls->now + REST_US;
+		member->backoff_until = calls->now + REST_US;
 	for (; batch; batch = find_at(calls, addr))
 		batch_fail(calls, batch, "its connection broke");
 }
@@ -359,7 +359,7 @@
 
 	/* Indexes of shards mean the same in the same version only. */
 	if (!catalog || catalog->version != msg->version ||
-	    parcel_open_request(msg->body, pool, request))
+	    payload_decode_request(msg->body, pool, request))
 		return NULL;
 	route = catalog_find_route(catalog, request->host, request->uri);
 	if (!route)
--- a/directory.c
+++ b/directory.c
@@ -137,7 +137,7 @@
 			items[count].value = cached->value;
 		count++;
 	}
-	parcel_items(items, count, out);
+	payload_encode_items(items, count, out);
 	free(items);
 }
 
--- a/gossip.c
+++ b/gossip.c
@@ -7,21 +7,21 @@
 #include "xmalloc.h"
 
 enum {
-	PERIOD_US = 1000000,
+	GOSSIP_PERIOD_US = 1000000,
 	/*
 	 * Word of a new node goes on this soon. When all VMs start anew a
 	 * period took three times as long to bring it round as they took to be
 	 * ready: until then each counts few others, so its part of shared
 	 * bounds is too large, and small VMs merge.
 	 */
-	NEWS_US = 150000,
+	EARLY_ROUND_US = 150000,
 	/*
 	 * A round brings all nodes that are known: with more than this each
 	 * round is work for a small VM, while a start is under way.
 	 */
-	NEWS_NODES = 100,
+	EARLY_ROUND_NODES_MAX = 100,
 	/* Seeds that do not answer are tried again as soon, for this long. */
-	SEEDS_WAIT_US = 3000000,
+	SEEDS_RETRY_WINDOW_US = 3000000,
 	/*
 	 * Nodes of the own failure domain that are sent all, each period: a
 	 * change has reached 25 of them after three periods.
@@ -32,17 +32,17 @@
 	 * gossip to this many nodes elsewhere each period, and only of their
 	 * own domain.
 	 */
-	FAR_TOGETHER = 4,
+	FAR_FANOUT_PER_DOMAIN = 4,
 	FAR_FANOUT = 1,
 	/* A beat that stands still this long: three lost rounds. */
-	DOWN_US = 3500000,
+	DOWN_TIMEOUT_US = 3500000,
 	/* The same of another domain, of which word comes less often. */
-	FAR_DOWN_US = 8000000,
+	FAR_DOWN_TIMEOUT_US = 8000000,
 	/* Down nodes may be only out of reach: they keep their part of shared
 	 * bounds for as long as such cuts last, mostly. */
-	COUNT_US = 15000000,
-	FORGET_US = 60000000,
-	ADDR_MAX = 32,
+	COUNTED_TIMEOUT_US = 15000000,
+	FORGET_TIMEOUT_US = 60000000,
+	ADDR_TEXT_MAX = 32,
 };
 
 static uint32_t ip_number(struct str ip)
@@ -58,14 +58,14 @@
 
 static struct str addr_text(apr_pool_t *pool, uint32_t ip, uint16_t port)
 {
-	char text[ADDR_MAX];
+	char text[ADDR_TEXT_MAX];
 	int len = snprintf(text, sizeof(text), "%u.%u.%u.%u:%u", ip >> 24,
 			   ip >> 16 & 255, ip >> 8 & 255, ip & 255, port);
 
 	return str_dup(pool, (struct str){ text, (size_t)len });
 }
 
-void gossip_seeds(struct gossip *gossip, const struct vm_settings *settings)
+void gossip_set_seeds(struct gossip *gossip, const struct vm_settings *settings)
 {
 	gossip->nseeds = 0;
 	for (size_t i = 0; i < settings->nseeds; i++) {
@@ -95,7 +95,7 @@
 	gossip->self.incarnation = incarnation;
 	gossip->self.domain = str_hash(settings->domain);
 	gossip->self.core = (uint32_t)(settings->core * 1000);
-	gossip_seeds(gossip, settings);
+	gossip_set_seeds(gossip, settings);
 }
 
 void gossip_destroy(struct gossip *gossip)
@@ -112,17 +112,18 @@
 
 static bool is_up(const struct member_info *member, int64_t now)
 {
-	return now - member->heard_at < (member->near ? DOWN_US : FAR_DOWN_US);
+	return now - member->last_beat_at <
+	       (member->near ? DOWN_TIMEOUT_US : FAR_DOWN_TIMEOUT_US);
 }
 
-bool gossip_counts(const struct member_info *member, int64_t now)
+bool gossip_is_counted(const struct member_info *member, int64_t now)
 {
-	return now - member->heard_at < COUNT_US;
+	return now - member->last_beat_at < COUNTED_TIMEOUT_US;
 }
 
 bool gossip_is_live(const struct member_info *member, int64_t now)
 {
-	return is_up(member, now) && !(member->entry.state & MEMBER_LEAVES);
+	return is_up(member, now) && !(member->entry.state & MEMBER_LEAVING);
 }
 
 bool gossip_is_seed(const struct gossip *gossip)
@@ -144,35 +145,36 @@
 	return apr_hash_get(gossip->members, &ip, sizeof(ip));
 }
 
-void gossip_heard(struct gossip *gossip, struct str addr)
+void gossip_mark_answered(struct gossip *gossip, struct str addr)
 {
 	struct member_info *member = gossip_find(gossip, addr);
 
 	if (member)
-		member->unheard_since = 0;
+		member->unanswered_since = 0;
 }
 
-int64_t gossip_delay(struct gossip *gossip, struct str addr,
-		     uint64_t incarnation, int64_t sent_us, int64_t now)
+int64_t gossip_excess_delay(struct gossip *gossip, struct str addr,
+			    uint64_t incarnation, int64_t sent_us, int64_t now)
 {
 	struct member_info *member = gossip_find(gossip, addr);
-	int64_t gap = now - sent_us;
+	int64_t offset = now - sent_us;
 
 	if (!member || !sent_us)
 		return 0;
-	if (member->clock_of != incarnation || gap < member->clock_gap) {
-		member->clock_of = incarnation;
-		member->clock_gap = gap;
+	if (member->clock_incarnation != incarnation ||
+	    offset < member->min_clock_offset) {
+		member->clock_incarnation = incarnation;
+		member->min_clock_offset = offset;
 	}
-	return gap - member->clock_gap;
+	return offset - member->min_clock_offset;
 }
 
-int gossip_count(const struct gossip *gossip)
+int gossip_counted_nodes(const struct gossip *gossip)
 {
 	return gossip->counted;
 }
 
-/* Nodes that went down lately still count; see COUNT_US. */
+/* Nodes that went down lately still count; see COUNTED_TIMEOUT_US. */
 static void count_live(struct gossip *gossip, int64_t now)
 {
 	apr_hash_index_t *it;
@@ -184,13 +186,14 @@
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
 
-		if (gossip_counts(member, now)) {
+		if (gossip_is_counted(member, now)) {
 			counted++;
 			gossip->near_counted += member->near;
 		}
 		if (gossip_is_live(member, now) && member->near)
 			gossip->near_live++;
-		if (now - member->heard_at > FORGET_US && !member->open) {
+		if (now - member->last_beat_at > FORGET_TIMEOUT_US &&
+		    !member->open) {
 			apr_hash_set(gossip->members, &member->entry.ip,
 				     sizeof(member->entry.ip), NULL);
 			free(member);
@@ -202,10 +205,11 @@
 /* Sending. */
 
 /* @all: of all domains, or of the own one only. */
-static void pack(struct gossip *gossip, bool all, int64_t now, struct buf *out)
+static void encode_members(struct gossip *gossip, bool all, int64_t now,
+			   struct buf *out)
 {
-	size_t most = apr_hash_count(gossip->members) + 1;
-	struct member_entry *list = xcalloc(most, sizeof(*list));
+	size_t max = apr_hash_count(gossip->members) + 1;
+	struct member_entry *list = xcalloc(max, sizeof(*list));
 	apr_hash_index_t *it;
 	size_t count = 0;
 
@@ -218,7 +222,7 @@
 		if (is_up(member, now) && (all || member->near))
 			list[count++] = member->entry;
 	}
-	parcel_members(list, count, out);
+	payload_encode_members(list, count, out);
 	free(list);
 }
 
@@ -232,25 +236,25 @@
 	fx->msg.body = str_dup(gossip->fx->pool, body);
 }
 
-/** enum side - which nodes are meant */
-enum side {
-	SIDE_NEAR,
-	SIDE_FAR,
-	SIDE_NEAR_UP,
+/** enum scope - which nodes are meant */
+enum scope {
+	SCOPE_NEAR,
+	SCOPE_FAR,
+	SCOPE_NEAR_UP,
 };
 
-static bool is_of_side(const struct member_info *member, enum side side,
-		       int64_t now)
+static bool in_scope(const struct member_info *member, enum scope scope,
+		     int64_t now)
 {
-	if (side == SIDE_NEAR_UP)
+	if (scope == SCOPE_NEAR_UP)
 		return member->near && is_up(member, now);
-	return member->near == (side == SIDE_NEAR) &&
-	       gossip_counts(member, now);
+	return member->near == (scope == SCOPE_NEAR) &&
+	       gossip_is_counted(member, now);
 }
 
-/* Picks up to @most of those of one side, each with the same chance. */
-static size_t pick(struct gossip *gossip, enum side side, size_t most,
-		   int64_t now, struct member_info **out)
+/* Picks up to @max of those of one side, each with the same chance. */
+static size_t sample_members(struct gossip *gossip, enum scope scope,
+			     size_t max, int64_t now, struct member_info **out)
 {
 	apr_hash_index_t *it;
 	size_t seen = 0;
@@ -260,25 +264,25 @@
 		struct member_info *member = hash_value(it);
 		size_t place;
 
-		if (!is_of_side(member, side, now))
+		if (!in_scope(member, scope, now))
 			continue;
 		place = seen++;
-		if (place >= most)
+		if (place >= max)
 			place = rng_below(gossip->rng, seen);
-		if (place < most)
+		if (place < max)
 			out[place] = member;
 	}
-	return seen < most ? seen : most;
+	return seen < max ? seen : max;
 }
 
-size_t gossip_near(struct gossip *gossip, size_t most, int64_t now,
-		   struct member_info **out)
+size_t gossip_pick_near(struct gossip *gossip, size_t max, int64_t now,
+			struct member_info **out)
 {
-	return pick(gossip, SIDE_NEAR_UP, most, now, out);
+	return sample_members(gossip, SCOPE_NEAR_UP, max, now, out);
 }
 
-size_t gossip_far(struct gossip *gossip, size_t most, int64_t now,
-		  struct member_info **out)
+size_t gossip_pick_far(struct gossip *gossip, size_t max, int64_t now,
+		       struct member_info **out)
 {
 	apr_hash_index_t *it;
 	size_t count = 0;
@@ -293,7 +297,7 @@
 		while (at < count &&
 		       out[at]->entry.domain != member->entry.domain)
 			at++;
-		if (at == count && count < most)
+		if (at == count && count < max)
 			out[count++] = member;
 		else if (at < count && rng_below(gossip->rng, 2))
 			out[at] = member;
@@ -301,7 +305,7 @@
 	return count;
 }
 
-static uint64_t weight(uint32_t ip, uint64_t key)
+static uint64_t rendezvous_weight(uint32_t ip, uint64_t key)
 {
 	uint64_t words[] = { key, ip };
 
@@ -311,8 +315,9 @@
 struct member_info *gossip_owner(const struct gossip *gossip, uint64_t key,
 				 int64_t now)
 {
-	bool leaves = gossip->self.state & MEMBER_LEAVES;
-	uint64_t most = leaves ? 0 : weight(gossip->self.ip, key);
+	bool leaving = gossip->self.state & MEMBER_LEAVING;
+	uint64_t max_weight =
+		leaving ? 0 : rendezvous_weight(gossip->self.ip, key);
 	struct member_info *owner = NULL;
 	apr_hash_index_t *it;
 
@@ -321,10 +326,10 @@
 		struct member_info *member = hash_value(it);
 
 		if (!gossip_is_live(member, now) ||
-		    weight(member->entry.ip, key) <= most)
+		    rendezvous_weight(member->entry.ip, key) <= max_weight)
 			continue;
 		owner = member;
-		most = weight(member->entry.ip, key);
+		max_weight = rendezvous_weight(member->entry.ip, key);
 	}
 	return owner;
 }
@@ -351,10 +356,10 @@
 }
 
 /* Each node's part of its domain's gossip elsewhere, by a draw. */
-static bool gossips_far(struct gossip *gossip)
+static bool draw_far_gossip(struct gossip *gossip)
 {
 	return rng_below(gossip->rng, (uint64_t)gossip->near_live) <
-	       FAR_TOGETHER;
+	       FAR_FANOUT_PER_DOMAIN;
 }
 
 void gossip_tick(struct gossip *gossip, int64_t now)
@@ -366,23 +371,24 @@
 
 	if (now < gossip->next_at)
 		return;
-	gossip->next_at = now + PERIOD_US;
+	gossip->next_at = now + GOSSIP_PERIOD_US;
 	gossip->sent_at = now;
 	gossip->self.beat++;
 	count_live(gossip, now);
-	pack(gossip, true, now, &all);
-	count = pick(gossip, SIDE_NEAR, NEAR_FANOUT, now, picked);
+	encode_members(gossip, true, now, &all);
+	count = sample_members(gossip, SCOPE_NEAR, NEAR_FANOUT, now, picked);
 	for (size_t i = 0; i < count; i++)
 		send_gossip(gossip, picked[i]->addr, buf_str(&all));
-	pack(gossip, false, now, &own);
-	count = gossips_far(gossip)
-			? pick(gossip, SIDE_FAR, FAR_FANOUT, now, picked)
+	encode_members(gossip, false, now, &own);
+	count = draw_far_gossip(gossip)
+			? sample_members(gossip, SCOPE_FAR, FAR_FANOUT, now,
+					 picked)
 			: 0;
 	for (size_t i = 0; i < count; i++)
 		send_gossip(gossip, picked[i]->addr, buf_str(&own));
 	if (contact_seeds(gossip, buf_str(&own), now) &&
-	    now - gossip->started_at < SEEDS_WAIT_US)
-		gossip->next_at = now + NEWS_US;
+	    now - gossip->started_at < SEEDS_RETRY_WINDOW_US)
+		gossip->next_at = now + EARLY_ROUND_US;
 	buf_free(&all);
 	buf_free(&own);
 }
@@ -393,7 +399,7 @@
 	struct buf body = { 0 };
 
 	gossip->self.beat++;
-	parcel_members(&gossip->self, 1, &body);
+	payload_encode_members(&gossip->self, 1, &body);
 	for (it = apr_hash_first(NULL, gossip->members); it;
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
@@ -407,11 +413,11 @@
 /* Receiving. */
 
 /* Not sooner after the last round, however many nodes are new. */
-static void hasten(struct gossip *gossip, int64_t now)
+static void schedule_early_round(struct gossip *gossip, int64_t now)
 {
-	int64_t sooner = gossip->sent_at + NEWS_US;
+	int64_t sooner = gossip->sent_at + EARLY_ROUND_US;
 
-	if (gossip->counted > NEWS_NODES)
+	if (gossip->counted > EARLY_ROUND_NODES_MAX)
 		return;
 	if (sooner < now)
 		sooner = now;
@@ -419,8 +425,8 @@
 		gossip->next_at = sooner;
 }
 
-static void learn(struct gossip *gossip, const struct member_entry *entry,
-		  int64_t now)
+static void merge_member(struct gossip *gossip,
+			 const struct member_entry *entry, int64_t now)
 {
 	struct member_info *member =
 		apr_hash_get(gossip->members, &entry->ip, sizeof(entry->ip));
@@ -431,12 +437,12 @@
 		member = xcalloc(1, sizeof(*member));
 		member->addr = addr_text(gossip->pool, entry->ip, gossip->port);
 		member->entry = *entry;
-		member->heard_at = now;
+		member->last_beat_at = now;
 		member->near = entry->domain == gossip->self.domain;
 		apr_hash_set(gossip->members, &member->entry.ip,
 			     sizeof(member->entry.ip), member);
 		count_live(gossip, now);
-		hasten(gossip, now);
+		schedule_early_round(gossip, now);
 		return;
 	}
 	/*
@@ -444,30 +450,30 @@
 	 * may still go round: it is believed once the known one stands still.
 	 */
 	if (member->entry.incarnation != entry->incarnation) {
-		if (now - member->heard_at < PERIOD_US / 2 &&
+		if (now - member->last_beat_at < GOSSIP_PERIOD_US / 2 &&
 		    entry->beat > member->entry.beat)
 			return;
-		hasten(gossip, now);
+		schedule_early_round(gossip, now);
 	} else if (entry->beat <= member->entry.beat) {
 		return;
 	}
 	member->entry = *entry;
 	member->near = entry->domain == gossip->self.domain;
-	member->heard_at = now;
+	member->last_beat_at = now;
 }
 
 /* A newcomer is sent all that are known at once. */
-static void greet(struct gossip *gossip, struct str from, int64_t now)
+static void send_full_list(struct gossip *gossip, struct str from, int64_t now)
 {
 	struct buf body = { 0 };
 
-	pack(gossip, true, now, &body);
+	encode_members(gossip, true, now, &body);
 	send_gossip(gossip, from, buf_str(&body));
 	buf_free(&body);
 }
 
-void gossip_msg(struct gossip *gossip, struct str from, struct str body,
-		int64_t now)
+void gossip_receive(struct gossip *gossip, struct str from, struct str body,
+		    int64_t now)
 {
 	bool known = gossip_find(gossip, from) != NULL;
 	struct member_entry *members;
@@ -475,15 +481,15 @@
 	size_t count;
 
 	apr_pool_create(&pool, gossip->pool);
-	if (!parcel_open_members(body, pool, &members, &count))
+	if (!payload_decode_members(body, pool, &members, &count))
 		for (size_t i = 0; i < count; i++)
-			learn(gossip, &members[i], now);
+			merge_member(gossip, &members[i], now);
 	apr_pool_destroy(pool);
 	if (!known)
-		greet(gossip, from, now);
+		send_full_list(gossip, from, now);
 }
 
-bool gossip_reads(const struct gossip *gossip, int64_t now)
+bool gossip_is_store_reader(const struct gossip *gossip, int64_t now)
 {
 	apr_hash_index_t *it;
 
@@ -493,7 +499,7 @@
 
 		if (member->entry.domain == gossip->self.domain &&
 		    member->entry.ip < gossip->self.ip &&
-		    (member->entry.state & MEMBER_READS) &&
+		    (member->entry.state & MEMBER_READS_STORE) &&
 		    gossip_is_live(member, now))
 			return false;
 	}
--- a/gossip.h
+++ b/gossip.h
@@ -11,34 +11,34 @@
  * is taken to be down. Seeds are asked until somebody is known.
  */
 
-/** enum member_bits - state of a node, as it states it */
-enum member_bits {
-	MEMBER_SERVES = 1, /* has a configuration and takes requests */
-	MEMBER_LEAVES = 2, /* planned stop */
-	MEMBER_READS = 4, /* the store answers it */
+/** enum member_state - state of a node, as it states it */
+enum member_state {
+	MEMBER_SERVING = 1, /* has a configuration and takes requests */
+	MEMBER_LEAVING = 2, /* planned stop */
+	MEMBER_READS_STORE = 4, /* the store answers it */
 };
 
 /**
  * struct member_info - a node as it is known here
  * @addr: "ip:port" between nodes
  * @near: in this node's failure domain
- * @heard_at: when its beat last went up here
- * @unheard_since: first question since it was last heard, 0 for none
- * @clock_of, @clock_gap: incarnation, and the least difference seen between its
- *                       clock and this one's: what is more is delay
+ * @last_beat_at: when its beat last went up here
+ * @unanswered_since: first question since it was last heard, 0 for none
+ * @clock_incarnation, @min_clock_offset: incarnation, and the least difference
+ * seen between its clock and this one's: what is more is delay
  * @open: questions that it has not answered
- * @rest_until: gets no questions until then
+ * @backoff_until: gets no questions until then
  */
 struct member_info {
 	struct member_entry entry;
 	struct str addr;
 	bool near;
-	int64_t heard_at;
-	int64_t unheard_since;
-	uint64_t clock_of;
-	int64_t clock_gap;
+	int64_t last_beat_at;
+	int64_t unanswered_since;
+	uint64_t clock_incarnation;
+	int64_t min_clock_offset;
 	int open;
-	int64_t rest_until;
+	int64_t backoff_until;
 };
 
 /**
@@ -75,41 +75,44 @@
 		 const struct vm_settings *settings, uint64_t incarnation,
 		 int64_t now);
 void gossip_destroy(struct gossip *gossip);
-void gossip_seeds(struct gossip *gossip, const struct vm_settings *settings);
+void gossip_set_seeds(struct gossip *gossip,
+		      const struct vm_settings *settings);
 /** gossip_tick() - a round to a few nodes, if it is time. */
 void gossip_tick(struct gossip *gossip, int64_t now);
 /** gossip_announce() - send all live nodes the changed state at once. */
 void gossip_announce(struct gossip *gossip, int64_t now);
-/** gossip_msg() - members that another node knows. */
-void gossip_msg(struct gossip *gossip, struct str from, struct str body,
-		int64_t now);
-/** gossip_heard() - any message came from the node at @addr. */
-void gossip_heard(struct gossip *gossip, struct str addr);
+/** gossip_receive() - members that another node knows. */
+void gossip_receive(struct gossip *gossip, struct str from, struct str body,
+		    int64_t now);
+/** gossip_mark_answered() - any message came from the node at @addr. */
+void gossip_mark_answered(struct gossip *gossip, struct str addr);
 /**
- * gossip_delay() - how much longer than the quickest one a message took that
- * the node at @addr sent at @sent_us of its own clock
+ * gossip_excess_delay() - how much longer than the quickest one a message took
+ * that the node at @addr sent at @sent_us of its own clock
  */
-int64_t gossip_delay(struct gossip *gossip, struct str addr,
-		     uint64_t incarnation, int64_t sent_us, int64_t now);
-/** gossip_counts() - heard of so lately that it has a part of shared bounds. */
-bool gossip_counts(const struct member_info *member, int64_t now);
-/** gossip_count() - nodes that may hold a part of shared bounds. */
-int gossip_count(const struct gossip *gossip);
+int64_t gossip_excess_delay(struct gossip *gossip, struct str addr,
+			    uint64_t incarnation, int64_t sent_us, int64_t now);
+/** gossip_is_counted() - heard of so lately that it has a part of shared
+ * bounds. */
+bool gossip_is_counted(const struct member_info *member, int64_t now);
+/** gossip_counted_nodes() - nodes that may hold a part of shared bounds. */
+int gossip_counted_nodes(const struct gossip *gossip);
 /**
- * gossip_near() - up to @most nodes of this failure domain that are up, each
- * with the same chance
+ * gossip_pick_near() - up to @max nodes of this failure domain that are up,
+ * each with the same chance
  *
  * Return: how many.
  */
-size_t gossip_near(struct gossip *gossip, size_t most, int64_t now,
-		   struct member_info **out);
+size_t gossip_pick_near(struct gossip *gossip, size_t max, int64_t now,
+			struct member_info **out);
 /**
- * gossip_far() - a node that is up of each other failure domain, @most at most
+ * gossip_pick_far() - a node that is up of each other failure domain, @max at
+ * most
  *
  * Return: how many.
  */
-size_t gossip_far(struct gossip *gossip, size_t most, int64_t now,
-		  struct member_info **out);
+size_t gossip_pick_far(struct gossip *gossip, size_t max, int64_t now,
+		       struct member_info **out);
 /**
  * gossip_owner() - the live node that decides about @key: the same one on all
  * nodes that know the same others; NULL when it is this one
@@ -121,7 +124,7 @@
 /** gossip_is_seed() - this node is one of the seeds. */
 bool gossip_is_seed(const struct gossip *gossip);
 /**
- * gossip_reads() - this node reads the store for its failure domain: it has
- * the lowest address of those there that the store answers
+ * gossip_is_store_reader() - this node reads the store for its failure domain:
+ * it has the lowest address of those there that the store answers
  */
-bool gossip_reads(const struct gossip *gossip, int64_t now);
+bool gossip_is_store_reader(const struct gossip *gossip, int64_t now);
--- a/parcel.c
+++ b/parcel.c
@@ -13,9 +13,9 @@
 	 * for two seconds, in which beats and shards waited behind it. It packs
 	 * to a tenth in some ms. Short lists go as they are.
 	 */
-	PACK_FROM = 16 * 1024,
+	COMPRESS_MIN_BYTES = 16 * 1024,
 	/* What a packed list may unpack to; a damaged size is not believed. */
-	UNPACKED_MAX = 64 * 1024 * 1024,
+	DECOMPRESSED_MAX_BYTES = 64 * 1024 * 1024,
 	/* No request is tried so often; a damaged number is not believed. */
 	ROUNDS_MAX = 1000000,
 };
@@ -30,7 +30,7 @@
 	return str_dup(pool, (struct str){ (const char *)data.data, data.len });
 }
 
-static void add_items(const Wire__Items *wire, struct buf *out)
+static void append_items(const Wire__Items *wire, struct buf *out)
 {
 	size_t len = wire__items__get_packed_size(wire);
 
@@ -40,29 +40,30 @@
 }
 
 /* Return: false when it does not get shorter, or there is no memory. */
-static bool add_packed(struct str plain, struct buf *out)
+static bool append_compressed(struct str uncompressed, struct buf *out)
 {
 	Wire__Items wire = WIRE__ITEMS__INIT;
-	uLongf len = compressBound(plain.len);
+	uLongf len = compressBound(uncompressed.len);
 	Bytef *bytes = xcalloc(1, len);
-	bool shorter = compress2(bytes, &len, (const Bytef *)plain.ptr,
-				 plain.len, Z_BEST_SPEED) == Z_OK &&
-		       len < plain.len;
+	bool smaller = compress2(bytes, &len, (const Bytef *)uncompressed.ptr,
+				 uncompressed.len, Z_BEST_SPEED) == Z_OK &&
+		       len < uncompressed.len;
 
 	wire.packed = (ProtobufCBinaryData){ len, bytes };
-	wire.size = plain.len;
-	if (shorter)
-		add_items(&wire, out);
+	wire.size = uncompressed.len;
+	if (smaller)
+		append_items(&wire, out);
 	free(bytes);
-	return shorter;
+	return smaller;
 }
 
-void parcel_items(const struct store_item *items, size_t count, struct buf *out)
+void payload_encode_items(const struct store_item *items, size_t count,
+			  struct buf *out)
 {
 	Wire__Items wire = WIRE__ITEMS__INIT;
 	Wire__Item *list = xcalloc(count + 1, sizeof(*list));
 	Wire__Item **ptrs = xcalloc(count + 1, sizeof(*ptrs));
-	struct buf plain = { 0 };
+	struct buf uncompressed = { 0 };
 
 	for (size_t i = 0; i < count; i++) {
 		wire__item__init(&list[i]);
@@ -74,22 +75,23 @@
 	}
 	wire.n_items = count;
 	wire.items = ptrs;
-	add_items(&wire, &plain);
-	if (plain.len < PACK_FROM || !add_packed(buf_str(&plain), out))
-		buf_str_add(out, buf_str(&plain));
-	buf_free(&plain);
+	append_items(&wire, &uncompressed);
+	if (uncompressed.len < COMPRESS_MIN_BYTES ||
+	    !append_compressed(buf_str(&uncompressed), out))
+		buf_str_add(out, buf_str(&uncompressed));
+	buf_free(&uncompressed);
 	free(ptrs);
 	free(list);
 }
 
 /* Return: the list in @packed, or NULL. */
-static Wire__Items *unpack(ProtobufCBinaryData packed, uint64_t size)
+static Wire__Items *decompress_items(ProtobufCBinaryData packed, uint64_t size)
 {
 	uLongf len = size;
 	Wire__Items *wire = NULL;
 	Bytef *bytes;
 
-	if (!size || size > UNPACKED_MAX)
+	if (!size || size > DECOMPRESSED_MAX_BYTES)
 		return NULL;
 	bytes = xcalloc(1, size);
 	if (uncompress(bytes, &len, packed.data, packed.len) == Z_OK &&
@@ -99,23 +101,23 @@
 	return wire;
 }
 
-static Wire__Items *open_items(struct str body)
+static Wire__Items *decode_items(struct str body)
 {
 	Wire__Items *wire =
 		wire__items__unpack(NULL, body.len, (const uint8_t *)body.ptr);
-	Wire__Items *plain;
+	Wire__Items *uncompressed;
 
 	if (!wire || !wire->packed.len)
 		return wire;
-	plain = unpack(wire->packed, wire->size);
+	uncompressed = decompress_items(wire->packed, wire->size);
 	wire__items__free_unpacked(wire, NULL);
-	return plain;
+	return uncompressed;
 }
 
-int parcel_open_items(struct str body, apr_pool_t *pool,
-		      struct store_item **items, size_t *count)
+int payload_decode_items(struct str body, apr_pool_t *pool,
+			 struct store_item **items, size_t *count)
 {
-	Wire__Items *wire = open_items(body);
+	Wire__Items *wire = decode_items(body);
 
 	*count = 0;
 	if (!wire)
@@ -133,8 +135,8 @@
 	return 0;
 }
 
-void parcel_members(const struct member_entry *members, size_t count,
-		    struct buf *out)
+void payload_encode_members(const struct member_entry *members, size_t count,
+			    struct buf *out)
 {
 	Wire__Members wire = WIRE__MEMBERS__INIT;
 	Wire__Member *list = xcalloc(count + 1, sizeof(*list));
@@ -163,8 +165,8 @@
 	free(list);
 }
 
-int parcel_open_members(struct str body, apr_pool_t *pool,
-			struct member_entry **members, size_t *count)
+int payload_decode_members(struct str body, apr_pool_t *pool,
+			   struct member_entry **members, size_t *count)
 {
 	Wire__Members *wire = wire__members__unpack(NULL, body.len,
 						    (const uint8_t *)body.ptr);
@@ -192,8 +194,8 @@
 	return 0;
 }
 
-static void pack_crashes(const struct poison_entry *entry, int64_t now,
-			 Wire__Crash *crashes, Wire__Crash **ptrs)
+static void encode_crashes(const struct poison_entry *entry, int64_t now,
+			   Wire__Crash *crashes, Wire__Crash **ptrs)
 {
 	for (size_t i = 0; i < entry->ncrashes; i++) {
 		wire__crash__init(&crashes[i]);
@@ -204,15 +206,15 @@
 	}
 }
 
-/** struct packed_suspect - an entry with the crashes that it points to */
-struct packed_suspect {
+/** struct encoded_suspect - an entry with the crashes that it points to */
+struct encoded_suspect {
 	Wire__Suspect wire;
 	Wire__Crash crashes[POISON_TARGETS_MAX];
 	Wire__Crash *ptrs[POISON_TARGETS_MAX];
 };
 
-static void pack_suspect(const struct poison_entry *entry, int64_t now,
-			 struct packed_suspect *out)
+static void encode_suspect(const struct poison_entry *entry, int64_t now,
+			   struct encoded_suspect *out)
 {
 	wire__suspect__init(&out->wire);
 	out->wire.content_high = entry->print.content[0];
@@ -222,19 +224,19 @@
 	out->wire.harmless = entry->harmless;
 	out->wire.n_crashes = entry->ncrashes;
 	out->wire.crashes = out->ptrs;
-	pack_crashes(entry, now, out->crashes, out->ptrs);
+	encode_crashes(entry, now, out->crashes, out->ptrs);
 }
 
-void parcel_suspects(struct poison_entry *const *list, size_t count,
-		     int64_t now, struct buf *out)
+void payload_encode_suspects(struct poison_entry *const *list, size_t count,
+			     int64_t now, struct buf *out)
 {
 	Wire__Suspects wire = WIRE__SUSPECTS__INIT;
-	struct packed_suspect *packed = xcalloc(count + 1, sizeof(*packed));
+	struct encoded_suspect *packed = xcalloc(count + 1, sizeof(*packed));
 	Wire__Suspect **ptrs = xcalloc(count + 1, sizeof(*ptrs));
 	size_t len;
 
 	for (size_t i = 0; i < count; i++) {
-		pack_suspect(list[i], now, &packed[i]);
+		encode_suspect(list[i], now, &packed[i]);
 		ptrs[i] = &packed[i].wire;
 	}
 	wire.n_suspects = count;
@@ -247,7 +249,8 @@
 	free(packed);
 }
 
-static struct poison_entry open_suspect(const Wire__Suspect *from, int64_t now)
+static struct poison_entry decode_suspect(const Wire__Suspect *from,
+					  int64_t now)
 {
 	struct poison_entry entry = {
 		.print = { { from->content_high, from->content_low },
@@ -270,8 +273,8 @@
 	return entry;
 }
 
-int parcel_open_suspects(struct str body, int64_t now, apr_pool_t *pool,
-			 struct poison_entry **list, size_t *count)
+int payload_decode_suspects(struct str body, int64_t now, apr_pool_t *pool,
+			    struct poison_entry **list, size_t *count)
 {
 	Wire__Suspects *wire = wire__suspects__unpack(
 		NULL, body.len, (const uint8_t *)body.ptr);
@@ -281,13 +284,13 @@
 		return ERR_FRAME;
 	*list = apr_pcalloc(pool, (wire->n_suspects + 1) * sizeof(**list));
 	for (size_t i = 0; i < wire->n_suspects; i++)
-		(*list)[i] = open_suspect(wire->suspects[i], now);
+		(*list)[i] = decode_suspect(wire->suspects[i], now);
 	*count = wire->n_suspects;
 	wire__suspects__free_unpacked(wire, NULL);
 	return 0;
 }
 
-void parcel_request(const struct flow_request *request, struct buf *out)
+void payload_encode_request(const struct flow_request *request, struct buf *out)
 {
 	Wire__Ask wire = WIRE__ASK__INIT;
 	size_t len;
@@ -304,8 +307,8 @@
 	out->len += len;
 }
 
-int parcel_open_request(struct str body, apr_pool_t *pool,
-			struct flow_request *request)
+int payload_decode_request(struct str body, apr_pool_t *pool,
+			   struct flow_request *request)
 {
 	Wire__Ask *wire =
 		wire__ask__unpack(NULL, body.len, (const uint8_t *)body.ptr);
--- a/parcel.h
+++ b/parcel.h
@@ -16,7 +16,7 @@
  * @beat: counts up in one life of a process
  * @domain: hash of the failure domain
  * @core: thousandths of a processor core
- * @state: bits, enum member_bits
+ * @state: bits, enum member_state
  * @revision: of the store, as far as it knows
  * @version: of the configuration in force there
  */
@@ -31,21 +31,23 @@
 	uint64_t version;
 };
 
-/** parcel_items() - append @items; a long list is packed. */
-void parcel_items(const struct store_item *items, size_t count,
-		  struct buf *out);
-/** parcel_open_items() - strings live in @pool; ERR_FRAME when it is none. */
-int parcel_open_items(struct str body, apr_pool_t *pool,
-		      struct store_item **items, size_t *count);
-void parcel_members(const struct member_entry *members, size_t count,
-		    struct buf *out);
-int parcel_open_members(struct str body, apr_pool_t *pool,
-			struct member_entry **members, size_t *count);
-/** parcel_suspects() - evidence against requests, as it is at @now. */
-void parcel_suspects(struct poison_entry *const *list, size_t count,
-		     int64_t now, struct buf *out);
-int parcel_open_suspects(struct str body, int64_t now, apr_pool_t *pool,
-			 struct poison_entry **list, size_t *count);
-void parcel_request(const struct flow_request *request, struct buf *out);
-int parcel_open_request(struct str body, apr_pool_t *pool,
-			struct flow_request *request);
+/** payload_encode_items() - append @items; a long list is packed. */
+void payload_encode_items(const struct store_item *items, size_t count,
+			  struct buf *out);
+/** payload_decode_items() - strings live in @pool; ERR_FRAME when it is none.
+ */
+int payload_decode_items(struct str body, apr_pool_t *pool,
+			 struct store_item **items, size_t *count);
+void payload_encode_members(const struct member_entry *members, size_t count,
+			    struct buf *out);
+int payload_decode_members(struct str body, apr_pool_t *pool,
+			   struct member_entry **members, size_t *count);
+/** payload_encode_suspects() - evidence against requests, as it is at @now. */
+void payload_encode_suspects(struct poison_entry *const *list, size_t count,
+			     int64_t now, struct buf *out);
+int payload_decode_suspects(struct str body, int64_t now, apr_pool_t *pool,
+			    struct poison_entry **list, size_t *count);
+void payload_encode_request(const struct flow_request *request,
+			    struct buf *out);
+int payload_decode_request(struct str body, apr_pool_t *pool,
+			   struct flow_request *request);
--- a/poison_news.c
+++ b/poison_news.c
@@ -32,7 +32,7 @@
 			   .state = to->answer && last,
 			   .hash = poison_digest(news->poison, now) };
 
-	parcel_suspects(list, count, now, &body);
+	payload_encode_suspects(list, count, now, &body);
 	for (size_t i = 0; i < count; i++)
 		list[i]->told = true;
 	msg.body = buf_str(&body);
@@ -134,7 +134,7 @@
 	size_t count;
 
 	apr_pool_create(&pool, news->pool);
-	if (!parcel_open_suspects(msg->body, now, pool, &list, &count))
+	if (!payload_decode_suspects(msg->body, now, pool, &list, &count))
 		for (size_t i = 0; i < count; i++)
 			poison_take(news->poison, &list[i], msg->ran,
 				    targets_known, now);
--- a/share.c
+++ b/share.c
@@ -56,7 +56,8 @@
 /* When all VMs are new no caller waits, and calls to the store are saved. */
 static bool is_patient(const struct share *share)
 {
-	return share->first_start || gossip_count(share->gossip) > QUICK_NODES;
+	return share->first_start ||
+	       gossip_counted_nodes(share->gossip) > QUICK_NODES;
 }
 
 /* From then on a node that knows nothing reads if that is its part. */
@@ -78,8 +79,8 @@
 		return gossip_is_seed(share->gossip) ||
 		       now >= read_anyway_from(share) ||
 		       (now >= read_from(share) &&
-			gossip_reads(share->gossip, now));
-	return gossip_reads(share->gossip, now) ||
+			gossip_is_store_reader(share->gossip, now));
+	return gossip_is_store_reader(share->gossip, now) ||
 	       now - share->dir->read_at >= STALE_US;
 }
 
@@ -160,9 +161,9 @@
 	self->revision = share->dir->revision;
 	self->version = share->dir->catalog ? share->dir->catalog->version : 0;
 	if (share->reader->failures)
-		self->state &= ~(uint32_t)MEMBER_READS;
+		self->state &= ~(uint32_t)MEMBER_READS_STORE;
 	else
-		self->state |= MEMBER_READS;
+		self->state |= MEMBER_READS_STORE;
 	if (!share->dir->revision || now - share->dir->read_at >= STALE_US)
 		ask_for_more(share, now);
 }
@@ -193,17 +194,18 @@
 	struct place first;
 
 	places[count++] =
-		(struct place){ self->ip, self->state & MEMBER_READS, NULL };
+		(struct place){ self->ip, self->state & MEMBER_READS_STORE,
+				NULL };
 	for (it = apr_hash_first(NULL, share->gossip->members); it;
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
 
 		if (member->near && gossip_is_live(member, now) &&
 		    count < PLACES_MAX)
-			places[count++] = (struct place){ member->entry.ip,
-							  member->entry.state &
-								  MEMBER_READS,
-							  member };
+			places[count++] = (struct place){
+				member->entry.ip,
+				member->entry.state & MEMBER_READS_STORE, member
+			};
 	}
 	qsort(places, count, sizeof(*places), by_ip);
 	while (reader + 1 < count && !places[reader].reads)
@@ -239,7 +241,8 @@
 
 void share_read(struct share *share, int64_t now)
 {
-	if (!share->dir->revision || !gossip_reads(share->gossip, now))
+	if (!share->dir->revision ||
+	    !gossip_is_store_reader(share->gossip, now))
 		return;
 	relay(share, share->pushed, pack(share, share->pushed), now);
 	share->pushed = share->dir->revision;
@@ -255,7 +258,7 @@
 	bool newer;
 
 	apr_pool_create(&pool, dir->pool);
-	if (parcel_open_items(msg->body, pool, &items, &count)) {
+	if (payload_decode_items(msg->body, pool, &items, &count)) {
 		note_belief(dir->notes, now, "unusable", from,
 			    "its message holds no items", msg->version);
 		apr_pool_destroy(pool);
--- a/spread.c
+++ b/spread.c
@@ -142,8 +142,8 @@
 static bool may_run(const struct member_info *member, bool later, int64_t now)
 {
 	if (later)
-		return gossip_counts(member, now);
-	return (member->entry.state & MEMBER_SERVES) &&
+		return gossip_is_counted(member, now);
+	return (member->entry.state & MEMBER_SERVING) &&
 	       gossip_is_live(member, now);
 }
 
@@ -156,7 +156,7 @@
 	size_t count = 0;
 
 	if (gossip->self.domain == domain &&
-	    !(gossip->self.state & MEMBER_LEAVES))
+	    !(gossip->self.state & MEMBER_LEAVING))
 		runners[count++] =
 			(struct runner){ NULL, domain, gossip->self.core,
 					 gossip->self.ip };
@@ -328,9 +328,9 @@
 
 static bool may_ask(const struct member_info *member, int64_t now)
 {
-	return now >= member->rest_until && gossip_is_live(member, now) &&
-	       (!member->unheard_since ||
-		now - member->unheard_since < OVERDUE_US);
+	return now >= member->backoff_until && gossip_is_live(member, now) &&
+	       (!member->unanswered_since ||
+		now - member->unanswered_since < OVERDUE_US);
 }
 
 static double load(const struct member_info *member)
@@ -349,7 +349,7 @@
 		    const struct route *route, int64_t now)
 {
 	const struct spread_plan *plan = get_plan(spread, catalog, route, now);
-	size_t nodes = (size_t)gossip_count(spread->gossip);
+	size_t nodes = (size_t)gossip_counted_nodes(spread->gossip);
 
 	if (!plan->sharing || plan->sharing >= nodes ||
 	    !mechanism_on(spread->without, MECHANISM_MERGER_BUDGET))
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -116,7 +116,8 @@
 	ck_assert_int_eq(frame_decode(buf_str(&bytes), &got, &err),
 			 (int)bytes.len);
 	ck_assert_int_eq(
-		parcel_open_items(got.msgs[0].body, pool, &items, &count), 0);
+		payload_decode_items(got.msgs[0].body, pool, &items, &count),
+		0);
 	directory_apply(&to->dir, items, count, 1000);
 	frame_free(&got);
 	buf_free(&body);
@@ -324,14 +325,14 @@
 	publish(reading, config_text(1, 1400, ""), 1);
 	directory_encode(&reading->dir, 0, &body);
 	ck_assert_int_eq(
-		parcel_open_items(buf_str(&body), pool, &items, &count), 0);
+		payload_decode_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
 	if (damage->at)
 		body.ptr[damage->at > 0 ? (size_t)damage->at
 					: body.len - (size_t)-damage->at] ^= 85;
 	body.len -= (size_t)damage->cut;
 	ck_assert_int_eq(
-		parcel_open_items(buf_str(&body), pool, &items, &count),
+		payload_decode_items(buf_str(&body), pool, &items, &count),
 		ERR_FRAME);
 	ck_assert_uint_eq(count, 0);
 	buf_free(&body);
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -359,9 +359,9 @@
 		for (list[count] = hash_value(it); list[count];
 		     list[count] = list[count - 1]->next)
 			count++;
-	parcel_suspects(list, count, scene.now, &body);
-	ck_assert(!parcel_open_suspects(buf_str(&body), other.now, other.pool,
-					&got, &count));
+	payload_encode_suspects(list, count, scene.now, &body);
+	ck_assert(!payload_decode_suspects(buf_str(&body), other.now,
+					   other.pool, &got, &count));
 	for (size_t i = 0; i < count; i++)
 		poison_take(&other.poison, &got[i], false, true, other.now);
 	for (int caller = 0; caller < 2; caller++) {
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -93,9 +93,9 @@
 	size_t count;
 
 	apr_pool_create(&pool, NULL);
-	parcel_open_members(in, pool, &members, &count);
-	parcel_open_items(in, pool, &items, &count);
-	parcel_open_request(in, pool, &request);
+	payload_decode_members(in, pool, &members, &count);
+	payload_decode_items(in, pool, &items, &count);
+	payload_decode_request(in, pool, &request);
 	apr_pool_destroy(pool);
 }
 
--- a/tier.c
+++ b/tier.c
@@ -108,12 +108,13 @@
 	struct member_info *members[NEWS_DIRECT];
 	size_t count;
 
-	count = gossip_near(&tier->gossip, relays ? NEWS_FANOUT : NEWS_DIRECT,
-			    now, members);
+	count = gossip_pick_near(&tier->gossip,
+				 relays ? NEWS_FANOUT : NEWS_DIRECT, now,
+				 members);
 	spread_to(tier, *msg, relays, members, count);
 	if (near)
 		return;
-	count = gossip_far(&tier->gossip, NEWS_DIRECT, now, members);
+	count = gossip_pick_far(&tier->gossip, NEWS_DIRECT, now, members);
 	spread_to(tier, *msg, true, members, count);
 }
 
@@ -295,9 +296,9 @@
 	fx = flow_add(tier->fx, FLOW_READY);
 	fx->on = ready;
 	if (ready)
-		tier->gossip.self.state |= MEMBER_SERVES;
+		tier->gossip.self.state |= MEMBER_SERVING;
 	else
-		tier->gossip.self.state |= MEMBER_LEAVES;
+		tier->gossip.self.state |= MEMBER_LEAVING;
 	/* Others must not hand shards to a node that is about to end. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
@@ -342,7 +343,7 @@
 	budget_rules(tier->calls.budget, rules_of(settings));
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
-	gossip_seeds(&tier->gossip, settings);
+	gossip_set_seeds(&tier->gossip, settings);
 	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near);
 }
 
@@ -360,16 +361,17 @@
 	const struct msg *msg = event->msg;
 	struct flow_effect *fx;
 
-	int64_t late_us =
-		gossip_delay(&tier->gossip, event->from, event->incarnation,
-			     event->sent_us, event->now);
+	int64_t late_us = gossip_excess_delay(&tier->gossip, event->from,
+					      event->incarnation,
+					      event->sent_us, event->now);
 
 	if (late_us < event->held_us)
 		late_us = event->held_us;
-	gossip_heard(&tier->gossip, event->from);
+	gossip_mark_answered(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
-		gossip_msg(&tier->gossip, event->from, msg->body, event->now);
+		gossip_receive(&tier->gossip, event->from, msg->body,
+			       event->now);
 		poison_news_digest(&tier->poison_news, event->from, msg->hash,
 				   event->now);
 		break;
@@ -415,7 +417,7 @@
 
 static void count_nodes(struct tier *tier)
 {
-	int nodes = gossip_count(&tier->gossip);
+	int nodes = gossip_counted_nodes(&tier->gossip);
 	bool met = tier->calls.now - tier->gossip.started_at > MEET_US;
 	int near = met ? tier->gossip.near_counted : 0;
 
