--- a/batch.c
+++ b/batch.c
@@ -95,7 +95,7 @@
 	call->batches = batch;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id),
 		     batch);
-	metric_add(&calls->notes->metrics, METRIC_BATCHES);
+	metric_add(&calls->dlog->metrics, METRIC_BATCHES);
 	member->open++;
 	if (!member->unanswered_since)
 		member->unanswered_since = calls->now;
@@ -157,8 +157,8 @@
 	if (!member->unanswered_since ||
 	    calls->now - member->unanswered_since < SILENT_US)
 		return;
-	note_belief(calls->notes, calls->now, "node is late", addr,
-		    "it has not answered for its shards", 0);
+	decision_log_state(calls->dlog, calls->now, "node is late", addr,
+			   "it has not answered for its shards", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
 	tell(calls, addr, 0, MSG_RELINK);
@@ -173,8 +173,8 @@
 {
 	struct call *call = batch->call;
 
-	note_batch(calls->notes, calls->now, call, batch->addr, batch->nparts,
-		   why);
+	decision_log_batch(calls->dlog, calls->now, call, batch->addr,
+			   batch->nparts, why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
 			       batch->tried + (batch->go ? 2 : 1));
@@ -287,9 +287,10 @@
 	for (size_t i = 0; i < nparts; i++)
 		parts[i] = find_part(call, parts[i]);
 	if (!is_awaited(batch, parts, nparts)) {
-		note_belief(calls->notes, calls->now, "unusable", from,
-			    "it answers for shards that it was not asked for",
-			    msg->version);
+		decision_log_state(
+			calls->dlog, calls->now, "unusable", from,
+			"it answers for shards that it was not asked for",
+			msg->version);
 		batch_fail(calls, batch, "its answer is unusable");
 		return;
 	}
--- a/call.c
+++ b/call.c
@@ -176,7 +176,7 @@
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_CANCEL);
 
 	fx->id = attempt->id;
-	metric_add(&calls->notes->metrics, METRIC_CUT);
+	metric_add(&calls->dlog->metrics, METRIC_CUT);
 	roster_answered(calls->roster, attempt->target, REPLY_DROPPED,
 			attempt->usual_us, attempt->sent_at, calls->now);
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id), NULL);
@@ -314,12 +314,12 @@
 		return SEND_NO_TARGET;
 	if (!p->ntried && !p->again) {
 		budget_first(calls->budget, p->service, calls->now);
-		metric_add(&calls->notes->metrics, METRIC_SENT);
+		metric_add(&calls->dlog->metrics, METRIC_SENT);
 	} else if (budget_take(calls->budget, p->service, call->retry_share,
 			       calls->now)) {
-		metric_add(&calls->notes->metrics, METRIC_SENT_AGAIN);
+		metric_add(&calls->dlog->metrics, METRIC_SENT_AGAIN);
 	} else {
-		metric_add(&calls->notes->metrics, METRIC_NO_BUDGET);
+		metric_add(&calls->dlog->metrics, METRIC_NO_BUDGET);
 		return SEND_NO_BUDGET;
 	}
 	attempt_start(calls, call, part, target);
@@ -369,7 +369,7 @@
 {
 	call->served = true;
 	if (poison_served(calls->poison, &call->print, calls->now))
-		note_cleared(calls->notes, calls->now, &call->print);
+		decision_log_cleared(calls->dlog, calls->now, &call->print);
 	poison_news_send(calls->news, calls->now);
 }
 
@@ -393,8 +393,8 @@
 			     &crash);
 	if (!entry)
 		return;
-	note_suspect(calls->notes, calls->now, calls->poison, entry,
-		     attempt->target->id);
+	decision_log_suspect(calls->dlog, calls->now, calls->poison, entry,
+			     attempt->target->id);
 	poison_news_send(calls->news, calls->now);
 }
 
@@ -415,9 +415,10 @@
 	apr_hash_set(calls->attempts, &copy.id, sizeof(copy.id), NULL);
 	free(attempt);
 	if (call && judge(reply) != REPLY_GOOD)
-		note_tried(calls->notes, calls->now, call, &copy, reply);
+		decision_log_attempt(calls->dlog, calls->now, call, &copy,
+				     reply);
 	if (judge(reply) == REPLY_GOOD) {
-		metric_latency(&calls->notes->metrics, LATENCY_TARGET,
+		metric_latency(&calls->dlog->metrics, LATENCY_TARGET,
 			       calls->now - copy.sent_at);
 		usual_add(copy.usual, calls->now - copy.sent_at);
 	}
@@ -519,7 +520,7 @@
 {
 	struct flow_effect *fx;
 
-	note_final(calls->notes, calls->now, call, final);
+	decision_log_final(calls->dlog, calls->now, call, final);
 	tell_unserved(calls, call);
 	fx = flow_add(calls->fx, FLOW_ANSWER);
 	fx->id = call->id;
@@ -577,7 +578,7 @@
 
 void call_abandon(struct calls *calls, struct call *call)
 {
-	note_gone(calls->notes, calls->now, call);
+	decision_log_caller_gone(calls->dlog, calls->now, call);
 	call->abandoned = true;
 	call_end(calls, call);
 }
--- a/call.h
+++ b/call.h
@@ -220,7 +220,7 @@
 	uint64_t next_id;
 	struct call *dead;
 	size_t nopen;
-	struct note_book *notes;
+	struct decision_log *dlog;
 	struct gossip *gossip;
 	struct poison *poison;
 	struct poison_news *news;
--- a/directory.c
+++ b/directory.c
@@ -32,12 +32,12 @@
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct roster *roster,
-		    struct note_book *notes)
+		    struct decision_log *dlog)
 {
 	*dir = (struct directory){ .pool = pool,
 				   .dialect = dialect,
 				   .roster = roster,
-				   .notes = notes,
+				   .dlog = dlog,
 				   .nodes = 1 };
 	dir->keys = hash_make(pool);
 }
@@ -145,20 +145,20 @@
 			  uint64_t revision, int64_t now)
 {
 	if (dir->catalog && dir->catalog->version >= catalog->version) {
-		note_belief(dir->notes, now, "configuration passed over",
-			    STR("all routes"),
-			    "its version is not above the one in force",
-			    catalog->version);
+		decision_log_state(dir->dlog, now, "configuration passed over",
+				   STR("all routes"),
+				   "its version is not above the one in force",
+				   catalog->version);
 		catalog_unref(catalog);
 		return;
 	}
 	catalog_unref(dir->catalog);
 	dir->catalog = catalog;
 	dir->catalog_revision = revision;
-	dir->notes->version = catalog->version;
+	dir->dlog->version = catalog->version;
 	directory_set_nodes(dir, dir->nodes, dir->near);
-	note_belief(dir->notes, now, "configuration", STR("all routes"),
-		    "a newer version was published", catalog->version);
+	decision_log_state(dir->dlog, now, "configuration", STR("all routes"),
+			   "a newer version was published", catalog->version);
 }
 
 /*
@@ -169,9 +169,9 @@
 			   const struct cached_key *cached, const char *why,
 			   int64_t now)
 {
-	metric_add(&dir->notes->metrics, METRIC_CONFIGURATIONS_REFUSED);
-	note_fault(dir->notes, now, "configuration refused", cached->key, why,
-		   cached->revision);
+	metric_add(&dir->dlog->metrics, METRIC_CONFIGURATIONS_REFUSED);
+	decision_log_error(dir->dlog, now, "configuration refused", cached->key,
+			   why, cached->revision);
 }
 
 static void apply_record(struct directory *dir, const struct cached_key *cached,
@@ -192,8 +192,8 @@
 	if (code && record.kind == RECORD_CATALOG) {
 		reject_catalog(dir, cached, err.text, now);
 	} else if (code) {
-		note_belief(dir->notes, now, "unusable", cached->key, err.text,
-			    cached->revision);
+		decision_log_state(dir->dlog, now, "unusable", cached->key,
+				   err.text, cached->revision);
 		/* An entry that cannot be read names no target to use. */
 		if (record.kind == RECORD_TARGET && record.target.id.len)
 			roster_drop(dir->roster, record.target.id, now);
@@ -203,9 +203,9 @@
 		roster_put(dir->roster, &record.target, now);
 	} else if (record.kind == RECORD_DOMAIN_OUT) {
 		roster_domain(dir->roster, record.domain, true);
-		note_belief(dir->notes, now, "failure domain out",
-			    record.domain, "operators took it out",
-			    cached->revision);
+		decision_log_state(dir->dlog, now, "failure domain out",
+				   record.domain, "operators took it out",
+				   cached->revision);
 	}
 	apr_pool_destroy(pool);
 }
@@ -222,12 +222,14 @@
 	dir->dialect->decode(cached->key, cached->value, &record, pool, &err);
 	if (record.kind == RECORD_TARGET && record.target.id.len) {
 		roster_drop(dir->roster, record.target.id, now);
-		note_belief(dir->notes, now, "target gone", record.target.id,
-			    "its entry is gone", cached->revision);
+		decision_log_state(dir->dlog, now, "target gone",
+				   record.target.id, "its entry is gone",
+				   cached->revision);
 	} else if (record.kind == RECORD_DOMAIN_OUT) {
 		roster_domain(dir->roster, record.domain, false);
-		note_belief(dir->notes, now, "failure domain in", record.domain,
-			    "operators took it back", cached->revision);
+		decision_log_state(dir->dlog, now, "failure domain in",
+				   record.domain, "operators took it back",
+				   cached->revision);
 	}
 	catalog_unref(record.catalog);
 	apr_pool_destroy(pool);
--- a/directory.h
+++ b/directory.h
@@ -30,7 +30,7 @@
 	apr_pool_t *pool;
 	const struct dialect *dialect;
 	struct roster *roster;
-	struct note_book *notes;
+	struct decision_log *dlog;
 	apr_hash_t *keys;
 	struct catalog *catalog;
 	uint64_t catalog_revision;
@@ -58,7 +58,7 @@
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct roster *roster,
-		    struct note_book *notes);
+		    struct decision_log *dlog);
 void directory_destroy(struct directory *dir);
 /** directory_apply() - take items that are newer than what is held. */
 void directory_apply(struct directory *dir, const struct store_item *items,
--- a/explain.c
+++ b/explain.c
@@ -32,7 +32,7 @@
 	struct str id;
 	struct told_list about;
 	struct told_list crashes;
-	int left_out;
+	int omitted;
 };
 
 /** struct cause - what the "why" of a last line means, and what to look at */
@@ -147,7 +147,7 @@
 	doc = json_loadb(brace, line.len - (size_t)(brace - line.ptr), 0, NULL);
 	event = json_object_get(doc, "event");
 	if (says(event, "note", "left_out"))
-		explain->left_out += (int)json_integer_value(
+		explain->omitted += (int)json_integer_value(
 			json_object_get(event, "lines"));
 	if (is_about(event, explain->id))
 		keep(&explain->about, doc, event);
@@ -257,7 +257,7 @@
 			   "No line names %.*s: it was answered whole and in "
 			   "time, or none of these nodes took it, or its lines "
 			   "are among the %d left out.\n",
-			   STR_ARG(explain->id), explain->left_out);
+			   STR_ARG(explain->id), explain->omitted);
 		return 0;
 	}
 	sort(&explain->about);
--- a/note.c
+++ b/note.c
@@ -4,76 +4,77 @@
 	SECOND_US = 1000000,
 	/* A line costs some 30 us of a small core: 40 are a thousandth of it.
 	 */
-	LINES_A_SECOND = 40,
-	WAITS_TOLD = 3,
+	LINES_PER_SECOND_MAX = 40,
+	PENDING_MAX = 3,
 };
 
-static const char *const kind_names[NOTE_KINDS] = {
-	[NOTE_FINAL] = "final",
-	[NOTE_TRIED] = "tried",
-	[NOTE_BELIEF] = "belief",
+static const char *const kind_names[DECISION_KINDS] = {
+	[DECISION_FINAL] = "final",
+	[DECISION_ATTEMPT] = "tried",
+	[DECISION_STATE] = "belief",
 };
 
-/** struct belief - @what is so of @who now, on the grounds @why */
-struct belief {
+/** struct state_change - @what is so of @who now, on the grounds @why */
+struct state_change {
 	const char *what;
 	struct str who;
 	const char *why;
 	uint64_t at; /* version or revision */
 };
 
-static void put(struct note_book *notes, struct buf *line, bool severe)
+static void write_line(struct decision_log *dlog, struct buf *line, bool severe)
 {
-	struct flow_effect *fx = flow_add(notes->fx, FLOW_LOG);
+	struct flow_effect *fx = flow_add(dlog->fx, FLOW_LOG);
 
 	fx->severe = severe;
-	fx->text = str_dup(notes->fx->pool, buf_str(line));
+	fx->text = str_dup(dlog->fx->pool, buf_str(line));
 	buf_free(line);
 }
 
-static void tell_left_out(struct note_book *notes)
+static void write_omitted_counts(struct decision_log *dlog)
 {
-	for (int kind = 0; kind < NOTE_KINDS; kind++) {
+	for (int kind = 0; kind < DECISION_KINDS; kind++) {
 		struct buf line = { 0 };
 
-		notes->lines[kind] = 0;
-		if (!notes->left_out[kind])
+		dlog->lines[kind] = 0;
+		if (!dlog->omitted[kind])
 			continue;
 		buf_printf(&line,
 			   "{\"note\":\"left_out\",\"of\":\"%s\","
 			   "\"lines\":%d}",
-			   kind_names[kind], notes->left_out[kind]);
-		notes->left_out[kind] = 0;
-		put(notes, &line, false);
+			   kind_names[kind], dlog->omitted[kind]);
+		dlog->omitted[kind] = 0;
+		write_line(dlog, &line, false);
 	}
 }
 
-static bool admit(struct note_book *notes, int64_t now, enum note_kind kind)
+static bool admit(struct decision_log *dlog, int64_t now,
+		  enum decision_kind kind)
 {
-	if (now - notes->second >= SECOND_US) {
-		notes->second = now;
-		tell_left_out(notes);
+	if (now - dlog->second >= SECOND_US) {
+		dlog->second = now;
+		write_omitted_counts(dlog);
 	}
-	if (notes->lines[kind] < LINES_A_SECOND) {
-		notes->lines[kind]++;
+	if (dlog->lines[kind] < LINES_PER_SECOND_MAX) {
+		dlog->lines[kind]++;
 		return true;
 	}
-	notes->left_out[kind]++;
+	dlog->omitted[kind]++;
 	return false;
 }
 
-static void begin(struct note_book *notes, struct buf *line, int64_t now,
-		  enum note_kind kind)
+static void begin_line(struct decision_log *dlog, struct buf *line, int64_t now,
+		       enum decision_kind kind)
 {
 	buf_printf(line, "{\"note\":\"%s\",\"version\":%llu,\"revision\":%llu",
-		   kind_names[kind], (unsigned long long)notes->version,
-		   (unsigned long long)notes->revision);
+		   kind_names[kind], (unsigned long long)dlog->version,
+		   (unsigned long long)dlog->revision);
 	buf_printf(line, ",\"store_age_ms\":%lld",
-		   notes->read_at ? (long long)(now - notes->read_at) / 1000
-				  : -1LL);
+		   dlog->read_at ? (long long)(now - dlog->read_at) / 1000
+				 : -1LL);
 }
 
-static void add_print(struct buf *line, const struct fingerprint *print)
+static void add_fingerprint(struct buf *line, const struct fingerprint *print)
 {
 	buf_printf(line, ",\"content\":\"%016llx\",\"caller\":\"%016llx\"",
 		   (unsigned long long)print->content[0],
@@ -86,7 +87,7 @@
 	buf_json_add(line, call->request.request_id);
 	buf_printf(line, ",\"route\":");
 	buf_json_add(line, call->route->name);
-	add_print(line, &call->print);
+	add_fingerprint(line, &call->print);
 	buf_printf(line, ",\"after_ms\":%.1f,\"left_ms\":%.1f",
 		   (double)(now - call->start) / 1000,
 		   (double)(call->give_up_at - now) / 1000);
@@ -96,19 +97,20 @@
 }
 
 /* Whose replies it did not wait for; the first few say enough. */
-static void add_waits(struct buf *line, int64_t now, const struct call *call)
+static void add_pending_attempts(struct buf *line, int64_t now,
+				 const struct call *call)
 {
-	int told = 0;
+	int count = 0;
 
-	for (const struct attempt *at = call->attempts; at && told < WAITS_TOLD;
-	     at = at->next, told++) {
-		buf_str_add(line, told ? STR(",") : STR(",\"waits_for\":["));
+	for (const struct attempt *at = call->attempts;
+	     at && count < PENDING_MAX; at = at->next, count++) {
+		buf_str_add(line, count ? STR(",") : STR(",\"waits_for\":["));
 		buf_str_add(line, STR("{\"target\":"));
 		buf_json_add(line, at->target->id);
 		buf_printf(line, ",\"for_ms\":%.1f}",
 			   (double)(now - at->sent_at) / 1000);
 	}
-	if (told)
+	if (count)
 		buf_str_add(line, STR("]"));
 }
 
@@ -117,7 +119,7 @@
  * or leave to ask a target. Tells apart a slow target from a bound that is used
  * up, which look alike to the caller.
  */
-static void add_missing(struct buf *line, const struct call *call)
+static void add_missing_shards(struct buf *line, const struct call *call)
 {
 	static const char *const names[] = {
 		[SEND_DONE] = "not_sent",	[SEND_NO_TARGET] = "no_target",
@@ -150,10 +152,10 @@
 	buf_str_add(line, STR("}"));
 }
 
-static void count_final(struct note_book *notes, int64_t us,
-			const struct call *call, const struct final *final)
+static void count_answer(struct decision_log *dlog, int64_t us,
+			 const struct call *call, const struct final *final)
 {
-	struct metrics *metrics = &notes->metrics;
+	struct metrics *metrics = &dlog->metrics;
 
 	metric_latency(metrics,
 		       final->merged ? LATENCY_MERGED : LATENCY_FORWARDED, us);
@@ -170,56 +172,59 @@
 	}
 }
 
-void note_final(struct note_book *notes, int64_t now, const struct call *call,
-		const struct final *final)
+void decision_log_final(struct decision_log *dlog, int64_t now,
+			const struct call *call, const struct final *final)
 {
 	struct buf line = { 0 };
 	bool late = now - call->start > call->route->goal_us;
 
-	count_final(notes, now - call->start, call, final);
+	count_answer(dlog, now - call->start, call, final);
 	if (final->status / 100 == 2 && !late && !final->missing)
 		return;
-	if (!admit(notes, now, NOTE_FINAL))
+	if (!admit(dlog, now, DECISION_FINAL))
 		return;
-	begin(notes, &line, now, NOTE_FINAL);
+	begin_line(dlog, &line, now, DECISION_FINAL);
 	add_call(&line, now, call);
-	add_missing(&line, call);
-	add_waits(&line, now, call);
+	add_missing_shards(&line, call);
+	add_pending_attempts(&line, now, call);
 	buf_printf(&line, ",\"status\":%d,\"why\":\"%s\"}", final->status,
 		   final->why);
-	put(notes, &line, false);
+	write_line(dlog, &line, false);
 }
 
-void note_gone(struct note_book *notes, int64_t now, const struct call *call)
+void decision_log_caller_gone(struct decision_log *dlog, int64_t now,
+			      const struct call *call)
 {
 	struct buf line = { 0 };
 
 	/* Shards that another node no longer wants are no caller's. */
 	if (!call->asker.len)
-		metric_add(&notes->metrics, METRIC_CALLERS_GONE);
-	if (!admit(notes, now, NOTE_FINAL))
+		metric_add(&dlog->metrics, METRIC_CALLERS_GONE);
+	if (!admit(dlog, now, DECISION_FINAL))
 		return;
-	begin(notes, &line, now, NOTE_FINAL);
+	begin_line(dlog, &line, now, DECISION_FINAL);
 	add_call(&line, now, call);
-	add_missing(&line, call);
+	add_missing_shards(&line, call);
 	buf_printf(&line, ",\"why\":\"%s\"}",
 		   call->asker.len ? "the asking node has its answer"
 				   : "the caller closed");
-	put(notes, &line, false);
+	write_line(dlog, &line, false);
 }
 
-void note_tried(struct note_book *notes, int64_t now, const struct call *call,
-		const struct attempt *attempt, const struct flow_reply *reply)
+void decision_log_attempt(struct decision_log *dlog, int64_t now,
+			  const struct call *call,
+			  const struct attempt *attempt,
+			  const struct flow_reply *reply)
 {
 	struct buf line = { 0 };
 
-	metric_add(&notes->metrics,
+	metric_add(&dlog->metrics,
 		   reply->not_run ? METRIC_NOT_RUN : METRIC_FAILED);
 	if (reply->result == FETCH_BROKEN)
-		metric_add(&notes->metrics, METRIC_BROKEN);
-	if (!admit(notes, now, NOTE_TRIED))
+		metric_add(&dlog->metrics, METRIC_BROKEN);
+	if (!admit(dlog, now, DECISION_ATTEMPT))
 		return;
-	begin(notes, &line, now, NOTE_TRIED);
+	begin_line(dlog, &line, now, DECISION_ATTEMPT);
 	add_call(&line, now, call);
 	buf_printf(&line, ",\"target\":");
 	buf_json_add(&line, attempt->target->id);
@@ -233,7 +238,7 @@
 				   reply->result == FETCH_REFUSED
 			   ? "false"
 			   : "true");
-	put(notes, &line, false);
+	write_line(dlog, &line, false);
 }
 
 static const char *verdict_name(enum poison_verdict verdict)
@@ -249,83 +254,88 @@
 	return "blocked";
 }
 
-void note_suspect(struct note_book *notes, int64_t now,
-		  const struct poison *poison, const struct poison_entry *entry,
-		  struct str target)
+void decision_log_suspect(struct decision_log *dlog, int64_t now,
+			  const struct poison *poison,
+			  const struct poison_entry *entry, struct str target)
 {
 	enum poison_verdict verdict = poison_verdict(poison, &entry->print);
 	struct buf line = { 0 };
 
-	if (!admit(notes, now, NOTE_BELIEF))
+	if (!admit(dlog, now, DECISION_STATE))
 		return;
-	begin(notes, &line, now, NOTE_BELIEF);
+	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes targets\"");
-	add_print(&line, &entry->print);
+	add_fingerprint(&line, &entry->print);
 	buf_printf(&line,
 		   ",\"verdict\":\"%s\",\"rounds\":%d,\"crashes\":%zu,"
 		   "\"target\":",
 		   verdict_name(verdict), entry->rounds, entry->ncrashes);
 	buf_json_add(&line, target);
 	buf_str_add(&line, STR("}"));
-	put(notes, &line, verdict == POISON_BLOCKED);
+	write_line(dlog, &line, verdict == POISON_BLOCKED);
 }
 
-void note_cleared(struct note_book *notes, int64_t now,
-		  const struct fingerprint *print)
+void decision_log_cleared(struct decision_log *dlog, int64_t now,
+			  const struct fingerprint *print)
 {
 	struct buf line = { 0 };
 
-	if (!admit(notes, now, NOTE_BELIEF))
+	if (!admit(dlog, now, DECISION_STATE))
 		return;
-	begin(notes, &line, now, NOTE_BELIEF);
+	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes no target\"");
-	add_print(&line, print);
+	add_fingerprint(&line, print);
 	buf_printf(&line, ",\"why\":\"a target answered it\"}");
-	put(notes, &line, false);
+	write_line(dlog, &line, false);
 }
 
-void note_batch(struct note_book *notes, int64_t now, const struct call *call,
-		struct str addr, size_t shards, const char *why)
+void decision_log_batch(struct decision_log *dlog, int64_t now,
+			const struct call *call, struct str addr, size_t shards,
+			const char *why)
 {
 	struct buf line = { 0 };
 
-	metric_add(&notes->metrics, METRIC_BATCHES_BACK);
-	if (!admit(notes, now, NOTE_TRIED))
+	metric_add(&dlog->metrics, METRIC_BATCHES_BACK);
+	if (!admit(dlog, now, DECISION_ATTEMPT))
 		return;
-	begin(notes, &line, now, NOTE_TRIED);
+	begin_line(dlog, &line, now, DECISION_ATTEMPT);
 	add_call(&line, now, call);
 	buf_printf(&line, ",\"node\":");
 	buf_json_add(&line, addr);
 	buf_printf(&line, ",\"shards_back\":%zu,\"why\":\"%s\"}", shards, why);
-	put(notes, &line, false);
+	write_line(dlog, &line, false);
 }
 
-static void put_belief(struct note_book *notes, int64_t now,
-		       const struct belief *belief, bool severe)
+static void write_state_change(struct decision_log *dlog, int64_t now,
+			       const struct state_change *change, bool severe)
 {
 	struct buf line = { 0 };
 
-	if (!admit(notes, now, NOTE_BELIEF))
+	if (!admit(dlog, now, DECISION_STATE))
 		return;
-	begin(notes, &line, now, NOTE_BELIEF);
-	buf_printf(&line, ",\"what\":\"%s\",\"who\":", belief->what);
-	buf_json_add(&line, belief->who);
+	begin_line(dlog, &line, now, DECISION_STATE);
+	buf_printf(&line, ",\"what\":\"%s\",\"who\":", change->what);
+	buf_json_add(&line, change->who);
 	buf_printf(&line, ",\"why\":");
-	buf_json_add(&line, str_of(belief->why));
-	buf_printf(&line, ",\"at\":%llu}", (unsigned long long)belief->at);
-	put(notes, &line, severe);
+	buf_json_add(&line, str_of(change->why));
+	buf_printf(&line, ",\"at\":%llu}", (unsigned long long)change->at);
+	write_line(dlog, &line, severe);
 }
 
-void note_belief(struct note_book *notes, int64_t now, const char *what,
-		 struct str who, const char *why, uint64_t version)
+void decision_log_state(struct decision_log *dlog, int64_t now,
+			const char *what, struct str who, const char *why,
+			uint64_t version)
 {
-	put_belief(notes, now, &(struct belief){ what, who, why, version },
-		   false);
+	write_state_change(dlog, now,
+			   &(struct state_change){ what, who, why, version },
+			   false);
 }
 
-void note_fault(struct note_book *notes, int64_t now, const char *what,
-		struct str who, const char *why, uint64_t version)
+void decision_log_error(struct decision_log *dlog, int64_t now,
+			const char *what, struct str who, const char *why,
+			uint64_t version)
 {
-	put_belief(notes, now, &(struct belief){ what, who, why, version },
-		   true);
+	write_state_change(dlog, now,
+			   &(struct state_change){ what, who, why, version },
+			   true);
 }
--- a/reader.c
+++ b/reader.c
@@ -47,7 +47,7 @@
 {
 	struct flow_effect *fx = flow_add(reader->fx, FLOW_READ);
 
-	metric_add(&reader->dir->notes->metrics, METRIC_STORE_CALLS);
+	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_CALLS);
 	fx->read = read;
 	fx->stall_us = REPLY_STALL_US;
 	fx->transfer_us = REPLY_TIMEOUT_US;
@@ -95,8 +95,8 @@
 	if (reader->dir->revision)
 		reader->need_scan = reader->need_scan && !reader->dir->synced;
 	if (active != reader->active)
-		note_belief(
-			reader->dir->notes, now,
+		decision_log_state(
+			reader->dir->dlog, now,
 			active ? "reads the store" : "follows a reader",
 			STR("store"),
 			active ? "it is this node's part, or nothing was heard"
@@ -120,10 +120,10 @@
 {
 	int64_t backoff = BACKOFF_US;
 
-	metric_add(&reader->dir->notes->metrics, METRIC_STORE_FAILED);
+	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_FAILED);
 	if (!reader->failures++)
-		note_belief(reader->dir->notes, now, "store lost", STR("store"),
-			    why, reader->dir->revision);
+		decision_log_state(reader->dir->dlog, now, "store lost",
+				   STR("store"), why, reader->dir->revision);
 	for (int i = 1; i < reader->failures && backoff < BACKOFF_MAX_US; i++)
 		backoff *= 2;
 	roster_store_lost(reader->dir->roster, now);
@@ -134,11 +134,12 @@
 static void on_success(struct reader *reader, int64_t now)
 {
 	if (reader->failures)
-		note_belief(reader->dir->notes, now, "store back", STR("store"),
-			    "it answers again", reader->dir->revision);
+		decision_log_state(reader->dir->dlog, now, "store back",
+				   STR("store"), "it answers again",
+				   reader->dir->revision);
 	reader->failures = 0;
 	reader->dir->read_at = now;
-	reader->dir->notes->read_at = now;
+	reader->dir->dlog->read_at = now;
 }
 
 static void apply_page(struct reader *reader, const struct store_reply *page,
@@ -180,9 +181,9 @@
 		restart_scan(reader);
 		reader->state = READER_IDLE;
 		reader->next_at = now;
-		note_belief(reader->dir->notes, now, "store history lost",
-			    STR("store"), "all keys are read again",
-			    reader->dir->revision);
+		decision_log_state(reader->dir->dlog, now, "store history lost",
+				   STR("store"), "all keys are read again",
+				   reader->dir->revision);
 		return;
 	}
 	if (!reply->ok) {
@@ -208,7 +209,7 @@
 			now);
 	if (reply->reply->revision > reader->dir->revision)
 		reader->dir->revision = reply->reply->revision;
-	reader->dir->notes->revision = reader->dir->revision;
+	reader->dir->dlog->revision = reader->dir->revision;
 	reader->state = READER_IDLE;
 	reader->next_at = now + (reply->reply->count ? WATCH_COALESCE_US : 0);
 }
--- a/share.c
+++ b/share.c
@@ -259,8 +259,8 @@
 
 	apr_pool_create(&pool, dir->pool);
 	if (payload_decode_items(msg->body, pool, &items, &count)) {
-		note_belief(dir->notes, now, "unusable", from,
-			    "its message holds no items", msg->version);
+		decision_log_state(dir->dlog, now, "unusable", from,
+				   "its message holds no items", msg->version);
 		apr_pool_destroy(pool);
 		return;
 	}
@@ -282,8 +282,8 @@
 	dir->synced = true;
 	if (now - msg->fresh_us > dir->read_at)
 		dir->read_at = now - msg->fresh_us;
-	dir->notes->revision = dir->revision;
-	dir->notes->read_at = dir->read_at;
+	dir->dlog->revision = dir->revision;
+	dir->dlog->read_at = dir->read_at;
 	/* Answers to a question of this node are for it alone. */
 	if (newer && msg->state)
 		relay(share, msg->key, str_dup(share->fx->pool, msg->body),
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -43,7 +43,7 @@
 /** struct reading - a node's copy of what is published */
 struct reading {
 	struct flow_effects fx;
-	struct note_book notes;
+	struct decision_log dlog;
 	struct directory dir;
 };
 
@@ -52,9 +52,9 @@
 	struct reading *reading = apr_pcalloc(pool, sizeof(*reading));
 
 	flow_effects_init(&reading->fx, pool);
-	reading->notes.fx = &reading->fx;
+	reading->dlog.fx = &reading->fx;
 	directory_init(&reading->dir, pool, &platform_dialect,
-		       roster_create(pool, STR("z"), 0), &reading->notes);
+		       roster_create(pool, STR("z"), 0), &reading->dlog);
 	return reading;
 }
 
@@ -296,7 +296,7 @@
 	ck_assert_uint_eq(reading->dir.catalog_revision, 1);
 	ck_assert_uint_eq(reading->dir.seen_revision, 2);
 	ck_assert_uint_eq(
-		reading->notes.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
+		reading->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
 		1);
 	reading_destroy(reading);
 }
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -509,7 +509,7 @@
 	struct target_entry a = entry("a", "here");
 	struct target_entry b = entry("b", "there");
 	struct flow_effects fx;
-	struct note_book notes = { .fx = &fx };
+	struct decision_log dlog = { .fx = &fx };
 	struct poison poison;
 	struct poison_news news = { .poison = &poison,
 				    .links = { tell_nobody, NULL, NULL },
@@ -522,7 +522,7 @@
 	calls.poison = &poison;
 	calls.news = &news;
 	calls.fx = &fx;
-	calls.notes = &notes;
+	calls.dlog = &dlog;
 	calls.now = 100 * (int64_t)SECOND_US;
 	calls.roster = roster_create(pool, STR("here"), 0);
 	poison_init(&poison, pool, (struct poison_targets){ 0 });
@@ -579,11 +579,11 @@
 	};
 	struct roster *roster = roster_create(pool, STR("here"), 0);
 	struct flow_effects fx;
-	struct note_book notes = { .fx = &fx };
+	struct decision_log dlog = { .fx = &fx };
 	struct directory dir;
 
 	flow_effects_init(&fx, pool);
-	directory_init(&dir, pool, &platform_dialect, roster, &notes);
+	directory_init(&dir, pool, &platform_dialect, roster, &dlog);
 	dir.revision = 50;
 	directory_merge(&dir, &item, 1, SECOND_US);
 	ck_assert_msg(roster_count(roster) == c->taken, "%s", c->name);
--- a/tier.c
+++ b/tier.c
@@ -55,7 +55,7 @@
 	uint64_t incarnation;
 	struct flow_effects *fx;
 	struct roster *roster;
-	struct note_book notes;
+	struct decision_log dlog;
 	struct directory dir;
 	struct reader reader;
 	struct calls calls;
@@ -135,11 +135,11 @@
 	tier->dialect = opt->dialect;
 	tier->incarnation = opt->incarnation;
 	tier->fx = fx;
-	tier->notes.fx = fx;
+	tier->dlog.fx = fx;
 	tier->roster =
 		roster_create(tier->pool, tier->settings.domain, opt->without);
 	directory_init(&tier->dir, tier->pool, opt->dialect, tier->roster,
-		       &tier->notes);
+		       &tier->dlog);
 	tier->dir.cold_factor = tier->settings.cold_factor;
 	tier->dir.cold_extra = tier->settings.cold_extra;
 	reader_init(&tier->reader, &tier->dir, fx, now);
@@ -149,7 +149,7 @@
 		budget_create(tier->pool, rules_of(&tier->settings));
 	tier->calls.without = opt->without;
 	tier->calls.fx = fx;
-	tier->calls.notes = &tier->notes;
+	tier->calls.dlog = &tier->dlog;
 	gossip_init(&tier->gossip, tier->pool, fx, &tier->calls.rng,
 		    &tier->settings, opt->incarnation, now);
 	share_init(&tier->share, &tier->gossip, &tier->reader, fx,
@@ -202,7 +202,7 @@
 	fx->body = str_dup(tier->fx->pool, buf_str(&body));
 	fx->retry_after_us = retry_after_us;
 	if (status == 503)
-		metric_add(&tier->notes.metrics, METRIC_REFUSED);
+		metric_add(&tier->dlog.metrics, METRIC_REFUSED);
 	buf_free(&body);
 }
 
@@ -234,7 +234,7 @@
 
 	if (poison_verdict(&tier->poison, &call->print) != POISON_BLOCKED)
 		return false;
-	metric_add(&tier->notes.metrics, METRIC_BLOCKED);
+	metric_add(&tier->dlog.metrics, METRIC_BLOCKED);
 	trial_excuse(&tier->calls, call, &why, &retry_us);
 	call_refuse(&tier->calls, call, 503, why, retry_us);
 	return true;
@@ -302,10 +302,11 @@
 	/* Others must not hand shards to a node that is about to end. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
-	note_belief(&tier->notes, tier->calls.now, "ready",
-		    ready ? STR("yes") : STR("no"),
-		    ready ? "a configuration is in force" : "planned stop",
-		    tier->notes.version);
+	decision_log_state(&tier->dlog, tier->calls.now, "ready",
+			   ready ? STR("yes") : STR("no"),
+			   ready ? "a configuration is in force"
+				 : "planned stop",
+			   tier->dlog.version);
 }
 
 static void tell_limits(struct tier *tier)
@@ -423,8 +424,8 @@
 
 	if (nodes == tier->dir.nodes && near == tier->dir.near)
 		return;
-	note_belief(&tier->notes, tier->calls.now, "nodes", STR("all"),
-		    "heard of", (uint64_t)nodes);
+	decision_log_state(&tier->dlog, tier->calls.now, "nodes", STR("all"),
+			   "heard of", (uint64_t)nodes);
 	directory_set_nodes(&tier->dir, nodes, near);
 	tier->spread.met = met;
 	spread_forget(&tier->spread);
@@ -535,7 +536,7 @@
 	struct poison_counts counts = poison_count(&tier->poison);
 	const struct directory *dir = &tier->dir;
 
-	metrics_text(&tier->notes.metrics, out);
+	metrics_text(&tier->dlog.metrics, out);
 	metric_gauge(out, "open_calls", "requests without an answer",
 		     tier->calls.nopen);
 	metric_gauge(out, "waiting",
--- a/trial.c
+++ b/trial.c
@@ -23,7 +23,7 @@
 {
 	call->trial.state = leave ? TRIAL_GRANTED : TRIAL_DENIED;
 	if (leave)
-		metric_add(&calls->notes->metrics, METRIC_TRIALS);
+		metric_add(&calls->dlog->metrics, METRIC_TRIALS);
 }
 
 static void ask_leave(struct calls *calls, struct call *call)
