--- a/call.c
+++ b/call.c
@@ -358,7 +358,7 @@
 	case FETCH_OK:
 		break;
 	}
-	if (reply->other)
+	if (reply->wrong_target)
 		return REPLY_OTHER;
 	if (reply->not_run)
 		return REPLY_FULL;
@@ -429,9 +429,10 @@
 			copy.sent_at, calls->now);
 	if (!call)
 		return;
-	if (reply->result != FETCH_REFUSED && !reply->not_run && !reply->other)
+	if (reply->result != FETCH_REFUSED && !reply->not_run &&
+	    !reply->wrong_target)
 		call->parts[copy.part].ran = true;
-	else if (reply->not_run && !reply->other)
+	else if (reply->not_run && !reply->wrong_target)
 		mark_rejected(&call->parts[copy.part], copy.target->key);
 	call->kind->replied(calls, call, &copy, reply);
 	/* The call may have ended: only its parts tell, and they still live. */
--- a/event.h
+++ b/event.h
@@ -22,7 +22,7 @@
 	EV_PEER_LOST, /* the connection to a node broke: from */
 	EV_FETCHED, /* a target's reply: id, fetched */
 	EV_DOC, /* a platform's reading: doc, body */
-	EV_DOC_SAME, /* the platform has nothing newer: doc */
+	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
 	EV_DOC_FAILED, /* the platform did not answer: doc */
 	EV_LEAVE, /* planned stop */
 };
--- a/explain.c
+++ b/explain.c
@@ -7,31 +7,31 @@
 #include "event.h"
 #include "xmalloc.h"
 
-/** struct told - a line about the request */
-struct told {
+/** struct log_line - a line about the request */
+struct log_line {
 	struct str when;
 	struct str node;
 	json_t *event;
 	size_t order;
 };
 
-/** struct told_list - lines, in the order of the logs */
-struct told_list {
-	struct told *lines;
+/** struct log_lines - lines, in the order of the logs */
+struct log_lines {
+	struct log_line *lines;
 	size_t count;
 	size_t cap;
 };
 
 /**
  * struct explain - what the logs say
- * @about: lines of the request
- * @crashes: of any request under which connections broke, as what is known of
- *           the one that is asked for may be known from others like it
+ * @request_lines: lines of the request
+ * @crash_lines: of any request under which connections broke, as what is known
+ * of the one that is asked for may be known from others like it
  */
 struct explain {
 	struct str id;
-	struct told_list about;
-	struct told_list crashes;
+	struct log_lines request_lines;
+	struct log_lines crash_lines;
 	int omitted;
 };
 
@@ -101,7 +101,7 @@
 	return str_keep(str_of(json_string_value(json_object_get(obj, key))));
 }
 
-static bool is_about(json_t *event, struct str id)
+static bool is_for_request(json_t *event, struct str id)
 {
 	json_t *request = json_object_get(event, "request");
 
@@ -109,21 +109,22 @@
 	       str_eq(str_of(json_string_value(request)), id);
 }
 
-static void keep(struct told_list *list, json_t *doc, json_t *event)
+static void append_line(struct log_lines *list, json_t *doc, json_t *event)
 {
 	if (list->count == list->cap) {
 		list->cap = list->cap ? list->cap * 2 : 16;
 		list->lines =
 			xrealloc(list->lines, list->cap * sizeof(*list->lines));
 	}
-	list->lines[list->count] = (struct told){ .when = text_of(doc, "time"),
-						  .node = text_of(doc, "node"),
-						  .event = json_incref(event),
-						  .order = list->count };
+	list->lines[list->count] =
+		(struct log_line){ .when = text_of(doc, "time"),
+				   .node = text_of(doc, "node"),
+				   .event = json_incref(event),
+				   .order = list->count };
 	list->count++;
 }
 
-static bool says(json_t *event, const char *key, const char *text)
+static bool has_value(json_t *event, const char *key, const char *text)
 {
 	const char *value = json_string_value(json_object_get(event, key));
 
@@ -132,8 +133,8 @@
 
 static bool is_crash(json_t *event)
 {
-	return says(event, "result", fetch_result_text(FETCH_BROKEN)) ||
-	       says(event, "what", "request crashes targets");
+	return has_value(event, "result", fetch_result_text(FETCH_BROKEN)) ||
+	       has_value(event, "what", "request crashes targets");
 }
 
 void explain_line(struct explain *explain, struct str line)
@@ -146,33 +147,34 @@
 		return;
 	doc = json_loadb(brace, line.len - (size_t)(brace - line.ptr), 0, NULL);
 	event = json_object_get(doc, "event");
-	if (says(event, "note", "left_out"))
+	if (has_value(event, "note", "left_out"))
 		explain->omitted += (int)json_integer_value(
 			json_object_get(event, "lines"));
-	if (is_about(event, explain->id))
-		keep(&explain->about, doc, event);
+	if (is_for_request(event, explain->id))
+		append_line(&explain->request_lines, doc, event);
 	else if (is_crash(event))
-		keep(&explain->crashes, doc, event);
+		append_line(&explain->crash_lines, doc, event);
 	json_decref(doc);
 }
 
-static int by_time(const void *a, const void *b)
+static int compare_time(const void *a, const void *b)
 {
-	const struct told *x = a;
-	const struct told *y = b;
+	const struct log_line *x = a;
+	const struct log_line *y = b;
 	int order = strcmp(x->when.ptr, y->when.ptr);
 
 	return order ? order : x->order < y->order ? -1 : 1;
 }
 
 /* @id: of the request that is explained, which goes without saying. */
-static void tell_line(const struct told *told, struct str id, struct buf *out)
+static void print_line(const struct log_line *line, struct str id,
+		       struct buf *out)
 {
 	const char *key;
 	json_t *value;
 
-	buf_printf(out, "%.*s %.*s", STR_ARG(told->when), STR_ARG(told->node));
-	json_object_foreach(told->event, key, value)
+	buf_printf(out, "%.*s %.*s", STR_ARG(line->when), STR_ARG(line->node));
+	json_object_foreach(line->event, key, value)
 	{
 		char *text;
 
@@ -188,12 +190,12 @@
 }
 
 /* The last word to the caller; words between nodes are no answers. */
-static json_t *last_word(const struct explain *explain)
+static json_t *final_event(const struct explain *explain)
 {
 	json_t *gone = NULL;
 
-	for (size_t i = explain->about.count; i-- > 0;) {
-		json_t *event = explain->about.lines[i].event;
+	for (size_t i = explain->request_lines.count; i-- > 0;) {
+		json_t *event = explain->request_lines.lines[i].event;
 
 		if (json_object_get(event, "status") &&
 		    !json_object_get(event, "target"))
@@ -205,9 +207,9 @@
 	return gone;
 }
 
-static void tell_cause(const struct explain *explain, struct buf *out)
+static void print_cause(const struct explain *explain, struct buf *out)
 {
-	json_t *event = last_word(explain);
+	json_t *event = final_event(explain);
 	const char *why = json_string_value(json_object_get(event, "why"));
 
 	buf_str_add(out, STR("Cause: "));
@@ -223,7 +225,7 @@
 			 "first, or its log is not among these.");
 }
 
-static bool is_alike(json_t *event, json_t *other, const char *key)
+static bool has_same_value(json_t *event, json_t *other, const char *key)
 {
 	json_t *value = json_object_get(event, key);
 
@@ -231,28 +233,31 @@
 }
 
 /* What the same content did to targets under other ids, whoever sent it. */
-static void tell_crashes(const struct explain *explain, struct buf *out)
+static void print_crashes(const struct explain *explain, struct buf *out)
 {
-	json_t *event = last_word(explain);
+	json_t *event = final_event(explain);
 
-	if (!says(event, "why", "it crashes the targets that run it") &&
-	    !says(event, "why", "it may crash targets and is being tried"))
+	if (!has_value(event, "why", "it crashes the targets that run it") &&
+	    !has_value(event, "why", "it may crash targets and is being tried"))
 		return;
 	buf_str_add(out, STR("The same content under other ids:\n"));
-	for (size_t i = 0; i < explain->crashes.count; i++)
-		if (is_alike(event, explain->crashes.lines[i].event, "content"))
-			tell_line(&explain->crashes.lines[i], explain->id, out);
+	for (size_t i = 0; i < explain->crash_lines.count; i++)
+		if (has_same_value(event, explain->crash_lines.lines[i].event,
+				   "content"))
+			print_line(&explain->crash_lines.lines[i], explain->id,
+				   out);
 }
 
-static void sort(struct told_list *list)
+static void sort(struct log_lines *list)
 {
 	if (list->count)
-		qsort(list->lines, list->count, sizeof(*list->lines), by_time);
+		qsort(list->lines, list->count, sizeof(*list->lines),
+		      compare_time);
 }
 
 int explain_text(struct explain *explain, struct buf *out)
 {
-	if (!explain->about.count) {
+	if (!explain->request_lines.count) {
 		buf_printf(out,
 			   "No line names %.*s: it was answered whole and in "
 			   "time, or none of these nodes took it, or its lines "
@@ -260,16 +265,16 @@
 			   STR_ARG(explain->id), explain->omitted);
 		return 0;
 	}
-	sort(&explain->about);
-	sort(&explain->crashes);
-	for (size_t i = 0; i < explain->about.count; i++)
-		tell_line(&explain->about.lines[i], explain->id, out);
-	tell_crashes(explain, out);
-	tell_cause(explain, out);
-	return (int)explain->about.count;
+	sort(&explain->request_lines);
+	sort(&explain->crash_lines);
+	for (size_t i = 0; i < explain->request_lines.count; i++)
+		print_line(&explain->request_lines.lines[i], explain->id, out);
+	print_crashes(explain, out);
+	print_cause(explain, out);
+	return (int)explain->request_lines.count;
 }
 
-static void free_list(struct told_list *list)
+static void free_list(struct log_lines *list)
 {
 	for (size_t i = 0; i < list->count; i++) {
 		str_free(list->lines[i].when);
@@ -281,8 +286,8 @@
 
 void explain_destroy(struct explain *explain)
 {
-	free_list(&explain->about);
-	free_list(&explain->crashes);
+	free_list(&explain->request_lines);
+	free_list(&explain->crash_lines);
 	str_free(explain->id);
 	free(explain);
 }
--- a/flow.h
+++ b/flow.h
@@ -48,7 +48,7 @@
  * @signature: of the target; a success without one is none
  * @encoded: the body is not in the form that was asked for
  * @not_run: the target says that it did not run the request
- * @other: another target has this address, and did not run it either
+ * @wrong_target: another target has this address, and did not run it either
  * @cold_us: the target says how long it stays cold, -1 when it does not
  * @running, @waiting: load that the target tells of, -1 when it does not
  * @headers: lines for the caller, each with its line end
@@ -59,7 +59,7 @@
 	struct str signature;
 	bool encoded;
 	bool not_run;
-	bool other;
+	bool wrong_target;
 	int64_t cold_us;
 	int running;
 	int waiting;
--- a/forward.c
+++ b/forward.c
@@ -154,8 +154,8 @@
 
 static bool is_final(const struct call *call, const struct flow_reply *reply)
 {
-	if (reply->result != FETCH_OK || reply->not_run || reply->other ||
-	    reply->encoded)
+	if (reply->result != FETCH_OK || reply->not_run ||
+	    reply->wrong_target || reply->encoded)
 		return false;
 	if (reply->status / 100 == 2)
 		return reply->signature.len > 0;
--- a/head.c
+++ b/head.c
@@ -148,8 +148,8 @@
 		return;
 	out->signature = find(reply, names->signature);
 	out->encoded = find(reply, STR("Content-Encoding")).len > 0;
-	out->other = reply->status == 421;
-	out->not_run = out->other || find(reply, names->not_run).len > 0;
+	out->wrong_target = reply->status == 421;
+	out->not_run = out->wrong_target || find(reply, names->not_run).len > 0;
 	cold = find(reply, names->cold_left);
 	out->cold_us = head_time_left(cold);
 	read_load(find(reply, names->load), out);
--- a/node.c
+++ b/node.c
@@ -334,7 +334,7 @@
 	case EV_DOC:
 		conf_platform_doc(node, event->doc, event->body);
 		break;
-	case EV_DOC_SAME:
+	case EV_DOC_UNCHANGED:
 		conf_platform_same(node, event->doc);
 		break;
 	case EV_DOC_FAILED:
--- a/note.c
+++ b/note.c
@@ -234,7 +234,7 @@
 		   call->parts[attempt->part].ntried,
 		   (double)(now - attempt->sent_at) / 1000,
 		   fetch_result_text(reply->result), reply->status,
-		   reply->not_run || reply->other ||
+		   reply->not_run || reply->wrong_target ||
 				   reply->result == FETCH_REFUSED
 			   ? "false"
 			   : "true");
--- a/peer.c
+++ b/peer.c
@@ -11,33 +11,33 @@
 #include "xmalloc.h"
 
 enum {
-	BACKLOG = 256,
+	LISTEN_BACKLOG = 256,
 	READ_SIZE = 64 * 1024,
 	/* Beyond this much unsent a node is too slow, and is told no more. */
-	OUT_MAX = 2 * WIRE_MAX,
+	UNSENT_MAX_BYTES = 2 * WIRE_MAX,
 	/*
 	 * Messages share a frame up to this size; a larger one goes by itself.
 	 * A frame over WIRE_MAX would have its reader close the connection.
 	 */
-	FRAME_FULL = 1024 * 1024,
-	RETRY_US = 100000,
+	FRAME_TARGET_BYTES = 1024 * 1024,
+	RECONNECT_DELAY_US = 100000,
 	/*
 	 * A VM without power answers nothing. A connection that takes no more
 	 * bytes is given up after this long.
 	 */
-	SILENT_US = 1000000,
+	STALL_TIMEOUT_US = 1000000,
 	/*
 	 * One that is still opening is opened anew after this long, at the next
 	 * message: its first packet was lost, or came before the VM had power,
 	 * and is sent again only after a second. Nodes are some ms apart.
 	 */
-	OPENING_US = 200000,
+	CONNECT_TIMEOUT_US = 200000,
 };
 
 /**
  * struct link - connection to a node, opened by this one
  * @queued_bytes: of the bodies of @queue
- * @listed: among peers.pending
+ * @is_pending: among peers.pending
  */
 struct link {
 	struct peers *peers;
@@ -54,18 +54,18 @@
 	size_t queued_bytes;
 	size_t cap;
 	uint64_t to;
-	bool listed;
+	bool is_pending;
 	struct link *next_pending;
 };
 
-/** struct inlet - connection that another node opened */
-struct inlet {
+/** struct inbound - connection that another node opened */
+struct inbound {
 	struct peers *peers;
 	int fd;
 	struct watch *watch;
 	struct buf in;
-	struct inlet *next;
-	struct inlet *prev;
+	struct inbound *next;
+	struct inbound *prev;
 };
 
 /**
@@ -83,10 +83,10 @@
 	struct watch *watch;
 	apr_hash_t *links;
 	struct link *pending;
-	struct inlet *inlets;
+	struct inbound *inbounds;
 };
 
-static void link_close(struct link *link, bool tell)
+static void link_close(struct link *link, bool notify)
 {
 	struct peers *peers = link->peers;
 
@@ -96,16 +96,16 @@
 	close(link->fd);
 	link->fd = -1;
 	link->out.len = 0;
-	link->retry_at = loop_now() + RETRY_US;
-	if (tell)
+	link->retry_at = loop_now() + RECONNECT_DELAY_US;
+	if (notify)
 		peers->handler.lost(peers->handler.ctx, link->addr);
 }
 
-static void link_pending(struct link *link)
+static void link_mark_pending(struct link *link)
 {
-	if (link->listed)
+	if (link->is_pending)
 		return;
-	link->listed = true;
+	link->is_pending = true;
 	link->next_pending = link->peers->pending;
 	link->peers->pending = link;
 }
@@ -137,11 +137,11 @@
 	char byte;
 
 	if (link->connecting) {
-		int fault = 0;
-		socklen_t len = sizeof(fault);
+		int so_error = 0;
+		socklen_t len = sizeof(so_error);
 
-		getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &fault, &len);
-		if (fault || (events & (APR_POLLERR | APR_POLLHUP))) {
+		getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &so_error, &len);
+		if (so_error || (events & (APR_POLLERR | APR_POLLHUP))) {
 			link_close(link, true);
 			return;
 		}
@@ -168,13 +168,13 @@
 	int64_t now = loop_now();
 
 	if (link->connecting && link->fd >= 0 &&
-	    now - link->opened_at > OPENING_US) {
+	    now - link->opened_at > CONNECT_TIMEOUT_US) {
 		link_close(link, true);
 		link->retry_at = 0;
 	}
 	if (link->fd >= 0 || now < link->retry_at)
 		return;
-	link->fd = os_socket(link->addr, SILENT_US / 1000, &sin);
+	link->fd = os_socket(link->addr, STALL_TIMEOUT_US / 1000, &sin);
 	if (link->fd < 0)
 		return;
 	link->connecting = true;
@@ -233,7 +233,7 @@
 
 	if (link->queued &&
 	    (link->to != incarnation || link->queued == WIRE_MAX_MSGS ||
-	     link->queued_bytes + bytes > FRAME_FULL))
+	     link->queued_bytes + bytes > FRAME_TARGET_BYTES))
 		link_encode(link);
 	link->to = incarnation;
 	if (link->queued == link->cap) {
@@ -243,7 +243,7 @@
 	}
 	link->queue[link->queued++] = *msg;
 	link->queued_bytes += bytes;
-	link_pending(link);
+	link_mark_pending(link);
 }
 
 static void link_flush(struct link *link)
@@ -253,13 +253,13 @@
 		return;
 	if (link->connecting) {
 		/* It stays listed, so that its time is looked at again. */
-		if (loop_now() - link->opened_at > SILENT_US)
+		if (loop_now() - link->opened_at > STALL_TIMEOUT_US)
 			link_close(link, true);
 		else
-			link_pending(link);
+			link_mark_pending(link);
 		return;
 	}
-	if (link->out.len > OUT_MAX)
+	if (link->out.len > UNSENT_MAX_BYTES)
 		link_close(link, true);
 	else
 		link_write(link);
@@ -274,7 +274,7 @@
 	while (link) {
 		struct link *next = link->next_pending;
 
-		link->listed = false;
+		link->is_pending = false;
 		link_flush(link);
 		link = next;
 	}
@@ -286,46 +286,47 @@
 	struct link *link = apr_hash_get(peers->links, &key, sizeof(key));
 
 	/* A young one has not been silent for long; it may carry answers. */
-	if (!link || loop_now() - link->opened_at < SILENT_US)
+	if (!link || loop_now() - link->opened_at < STALL_TIMEOUT_US)
 		return;
 	link_close(link, false);
 	link->retry_at = 0;
 }
 
-static void inlet_free(struct inlet *inlet)
+static void inbound_free(struct inbound *inbound)
 {
-	loop_del(inlet->watch);
-	close(inlet->fd);
-	buf_free(&inlet->in);
-	free(inlet);
+	loop_del(inbound->watch);
+	close(inbound->fd);
+	buf_free(&inbound->in);
+	free(inbound);
 }
 
-static void inlet_close(struct inlet *inlet)
+static void inbound_close(struct inbound *inbound)
 {
-	if (inlet->prev)
-		inlet->prev->next = inlet->next;
+	if (inbound->prev)
+		inbound->prev->next = inbound->next;
 	else
-		inlet->peers->inlets = inlet->next;
-	if (inlet->next)
-		inlet->next->prev = inlet->prev;
-	inlet_free(inlet);
+		inbound->peers->inbounds = inbound->next;
+	if (inbound->next)
+		inbound->next->prev = inbound->prev;
+	inbound_free(inbound);
 }
 
 /* Return: false when the connection was closed. */
-static bool take_frames(struct inlet *inlet)
+static bool process_frames(struct inbound *inbound)
 {
-	struct peers *peers = inlet->peers;
+	struct peers *peers = inbound->peers;
 	size_t at = 0;
 
 	for (;;) {
-		struct str rest = { inlet->in.ptr + at, inlet->in.len - at };
+		struct str rest = { inbound->in.ptr + at,
+				    inbound->in.len - at };
 		struct frame frame = { 0 };
 		struct error err = { 0 };
 		int used = frame_decode(rest, &frame, &err);
 
 		if (used < 0) {
 			peers->handler.bad(peers->handler.ctx, &err);
-			inlet_close(inlet);
+			inbound_close(inbound);
 			return false;
 		}
 		if (!used)
@@ -342,28 +343,28 @@
 		at += (size_t)used;
 	}
 	if (at)
-		buf_drop(&inlet->in, at);
+		buf_drop(&inbound->in, at);
 	return true;
 }
 
-static void on_inlet(void *ctx, int events)
+static void on_inbound(void *ctx, int events)
 {
-	struct inlet *inlet = ctx;
+	struct inbound *inbound = ctx;
 
 	(void)events;
-	buf_reserve(&inlet->in, READ_SIZE);
+	buf_reserve(&inbound->in, READ_SIZE);
 
-	ssize_t got =
-		recv(inlet->fd, inlet->in.ptr + inlet->in.len, READ_SIZE, 0);
+	ssize_t got = recv(inbound->fd, inbound->in.ptr + inbound->in.len,
+			   READ_SIZE, 0);
 
 	if (got < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (got <= 0) {
-		inlet_close(inlet);
+		inbound_close(inbound);
 		return;
 	}
-	inlet->in.len += (size_t)got;
-	take_frames(inlet);
+	inbound->in.len += (size_t)got;
+	process_frames(inbound);
 }
 
 static void on_accept(void *ctx, int events)
@@ -375,15 +376,16 @@
 	if (fd < 0)
 		return;
 
-	struct inlet *inlet = xcalloc(1, sizeof(*inlet));
+	struct inbound *inbound = xcalloc(1, sizeof(*inbound));
 
-	inlet->peers = peers;
-	inlet->fd = fd;
-	inlet->next = peers->inlets;
-	if (inlet->next)
-		inlet->next->prev = inlet;
-	peers->inlets = inlet;
-	inlet->watch = loop_add(peers->loop, fd, APR_POLLIN, on_inlet, inlet);
+	inbound->peers = peers;
+	inbound->fd = fd;
+	inbound->next = peers->inbounds;
+	if (inbound->next)
+		inbound->next->prev = inbound;
+	peers->inbounds = inbound;
+	inbound->watch =
+		loop_add(peers->loop, fd, APR_POLLIN, on_inbound, inbound);
 }
 
 struct peers *peers_create(struct loop *loop, struct str addr,
@@ -394,11 +396,11 @@
 	struct sockaddr_in sin;
 	int one = 1;
 
-	peers->fd = os_socket(addr, SILENT_US / 1000, &sin);
+	peers->fd = os_socket(addr, STALL_TIMEOUT_US / 1000, &sin);
 	setsockopt(peers->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (peers->fd < 0 ||
 	    bind(peers->fd, (struct sockaddr *)&sin, sizeof(sin)) ||
-	    listen(peers->fd, BACKLOG)) {
+	    listen(peers->fd, LISTEN_BACKLOG)) {
 		error_set(err, ERR_IO, "cannot listen on %.*s: %s",
 			  STR_ARG(addr), strerror(errno));
 		if (peers->fd >= 0)
@@ -420,11 +422,12 @@
 {
 	apr_hash_index_t *it;
 
-	struct inlet *next;
+	struct inbound *next;
 
-	for (struct inlet *inlet = peers->inlets; inlet; inlet = next) {
-		next = inlet->next;
-		inlet_free(inlet);
+	for (struct inbound *inbound = peers->inbounds; inbound;
+	     inbound = next) {
+		next = inbound->next;
+		inbound_free(inbound);
 	}
 	for (it = apr_hash_first(NULL, peers->links); it;
 	     it = apr_hash_next(it)) {
--- a/serve.c
+++ b/serve.c
@@ -124,7 +124,7 @@
 		event.type = EV_DOC;
 		event.body = reply->body;
 	} else if (reply->result == FETCH_OK && reply->status == 304) {
-		event.type = EV_DOC_SAME;
+		event.type = EV_DOC_UNCHANGED;
 	} else {
 		s->platform[id]++;
 	}
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -771,7 +771,7 @@
 
 	head_reply(&platform_dialect, &raw, &got, &lines);
 	ck_assert_int_eq(got.not_run, c->not_run);
-	ck_assert_int_eq(got.other, c->other);
+	ck_assert_int_eq(got.wrong_target, c->other);
 	ck_assert_int_eq(got.encoded, c->encoded);
 	ck_assert_int_eq(got.cold_us, c->cold_us);
 	ck_assert_int_eq(got.running, c->running);
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -624,7 +624,7 @@
 				? (n->lists ? n->lists->hash : 0)
 				: (n->fleet ? n->fleet->hash : 0);
 
-	event.type = hash == str_hash(body) ? EV_DOC_SAME : EV_DOC;
+	event.type = hash == str_hash(body) ? EV_DOC_UNCHANGED : EV_DOC;
 	if (mesh->platform_down || node->no_platform)
 		event.type = EV_DOC_FAILED;
 	mesh_feed(mesh, delivery->node, event);
--- a/tests/stage_targets.c
+++ b/tests/stage_targets.c
@@ -297,7 +297,7 @@
 	t = &stage->targets[happen->target];
 	if (!str_eq(happen->expected, str_of(t->id))) {
 		reply.status = 421;
-		reply.other = reply.not_run = true;
+		reply.wrong_target = reply.not_run = true;
 		reply_later(stage, happen, STAGE_FAR_US, reply);
 		return;
 	}
--- a/timer.c
+++ b/timer.c
@@ -13,10 +13,10 @@
 
 static void swap(struct timer *a, struct timer *b)
 {
-	struct timer held = *a;
+	struct timer tmp = *a;
 
 	*a = *b;
-	*b = held;
+	*b = tmp;
 }
 
 static void sift_up(struct timer *heap, size_t i)
@@ -30,15 +30,16 @@
 static void sift_down(struct timer *heap, size_t count, size_t i)
 {
 	for (;;) {
-		size_t least = i;
+		size_t smallest = i;
 
 		for (size_t child = 2 * i + 1; child <= 2 * i + 2; child++)
-			if (child < count && before(&heap[child], &heap[least]))
-				least = child;
-		if (least == i)
+			if (child < count &&
+			    before(&heap[child], &heap[smallest]))
+				smallest = child;
+		if (smallest == i)
 			return;
-		swap(&heap[i], &heap[least]);
-		i = least;
+		swap(&heap[i], &heap[smallest]);
+		i = smallest;
 	}
 }
 
