--- a/batch.c
+++ b/batch.c
@@ -2,8 +2,8 @@
 
 #include <stdlib.h>
 
-#include "note.h"
-#include "parcel.h"
+#include "decision_log.h"
+#include "payload.h"
 #include "xmalloc.h"
 
 enum {
--- a/call.c
+++ b/call.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 #include "call_line.h"
-#include "note.h"
+#include "decision_log.h"
 #include "poison_news.h"
 #include "trial.h"
 #include "xmalloc.h"
--- a/note.c
+++ b/decision_log.c
@@ -1,4 +1,4 @@
-#include "note.h"
+#include "decision_log.h"
 
 enum {
 	SECOND_US = 1000000,
--- a/directory.h
+++ b/directory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "flow.h"
-#include "note.h"
+#include "decision_log.h"
 #include "roster.h"
 
 /**
--- a/gossip.h
+++ b/gossip.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "parcel.h"
+#include "payload.h"
 #include "rng.h"
 
 /**
--- a/parcel.c
+++ b/payload.c
@@ -1,4 +1,4 @@
-#include "parcel.h"
+#include "payload.h"
 
 #include <stdlib.h>
 
--- a/poison_news.c
+++ b/poison_news.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#include "parcel.h"
+#include "payload.h"
 #include "xmalloc.h"
 
 enum {
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -10,7 +10,7 @@
 clang -g -O1 -fsanitize=fuzzer,address,undefined -D_GNU_SOURCE \
 	$(pkg-config --cflags apr-1 apr-util-1 libprotobuf-c jansson libcurl) \
 	tests/fuzz_input.c ask.c config.c doc.c error.c json.c str.c target.c \
-	wire.c wire.pb-c.c xmalloc.c catalog.c parcel.c platform/*.c -o out/fuzz-input \
+	wire.c wire.pb-c.c xmalloc.c catalog.c payload.c platform/*.c -o out/fuzz-input \
 	$(pkg-config --libs apr-1 apr-util-1 libprotobuf-c jansson libxxhash libcurl)
 # A whole frame, a list and a question to begin with.
 printf '\001{"version":1,"domains":[{"name":"a","state":"in"}],"vms":[],"targets":[{"name":"t","address":"127.0.0.1:1","domain":"a","state":"live","slots":2,"connections":25}],"snapshots":[{"version":1,"shards":[{"id":1,"index":"i","from":0,"to":9,"replicas":["t"]}]}]}' >out/corpus/fleet
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -12,7 +12,7 @@
 #include <check.h>
 
 #include "../directory.h"
-#include "../parcel.h"
+#include "../payload.h"
 #include "../platform/platform.h"
 #include "../reader.h"
 #include "../wire.h"
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -13,7 +13,7 @@
 #include "../head.h"
 #include "../line.h"
 #include "../poison_news.h"
-#include "../note.h"
+#include "../decision_log.h"
 #include "../platform/platform.h"
 #include "../records.h"
 #include "../roster.h"
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -9,7 +9,7 @@
 
 #include "suite.h"
 
-#include "../parcel.h"
+#include "../payload.h"
 #include "../poison.h"
 #include "../roster.h"
 
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -7,7 +7,7 @@
 #include "../ask.h"
 #include "../config.h"
 #include "../doc.h"
-#include "../parcel.h"
+#include "../payload.h"
 #include "../platform/platform.h"
 #include "../target.h"
 #include "../wire.h"
--- a/tier.c
+++ b/tier.c
@@ -5,7 +5,7 @@
 #include "batch.h"
 #include "forward.h"
 #include "merge.h"
-#include "note.h"
+#include "decision_log.h"
 #include "poison_news.h"
 #include "reader.h"
 #include "share.h"
--- a/trial.c
+++ b/trial.c
@@ -1,7 +1,7 @@
 #include "trial.h"
 
 #include "gossip.h"
-#include "note.h"
+#include "decision_log.h"
 
 enum {
 	/* The owner's word takes two hops; after this it is down or cut off. */
