--- a/batch.c
+++ b/batch.c
@@ -96,7 +96,7 @@
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id),
 		     batch);
 	metric_add(&calls->dlog->metrics, METRIC_BATCHES);
-	member->open++;
+	member->in_flight++;
 	if (!member->unanswered_since)
 		member->unanswered_since = calls->now;
 	payload_encode_request(&call->request, &body);
@@ -125,8 +125,8 @@
 		at = &(*at)->next;
 	*at = batch->next;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id), NULL);
-	if (member && member->open)
-		member->open--;
+	if (member && member->in_flight)
+		member->in_flight--;
 }
 
 static void batch_cancel(struct calls *calls, struct batch *batch)
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -115,18 +115,19 @@
 
 static void answer_leaf(struct rig *rig, const struct effect *fx)
 {
-	struct fetched got = { .result = FETCH_OK,
-			       .status = 200,
-			       .boot = 1,
-			       .job = fx->job,
-			       .shard = fx->shard,
-			       .version = fx->version,
-			       .load = -1,
-			       .body = STR("[{\"a\":1}]") };
+	struct fetch_response got = { .result = FETCH_OK,
+				      .status = 200,
+				      .boot = 1,
+				      .job = fx->job,
+				      .shard = fx->shard,
+				      .version = fx->version,
+				      .load = -1,
+				      .body = STR("[{\"a\":1}]") };
 
 	rig->leafs++;
-	feed(rig, (struct event){
-			  .type = EV_FETCHED, .id = fx->id, .fetched = &got });
+	feed(rig, (struct event){ .type = EV_FETCHED,
+				  .id = fx->id,
+				  .fetch_response = &got });
 }
 
 static void settle(struct rig *rig)
--- a/dialect.h
+++ b/dialect.h
@@ -19,9 +19,9 @@
  * @name: of the VM, for logs
  * @ip: own address
  * @domain: failure domain
- * @callers: "ip:port" for callers
- * @ready: "ip:port" where readiness is asked for
- * @store: "ip:port" of the platform's store
+ * @caller_addr: "ip:port" for callers
+ * @ready_addr: "ip:port" where readiness is asked for
+ * @store_addr: "ip:port" of the platform's store
  * @store_value_max: bytes of the largest value that the store takes
  * @peer_port: for the connections between nodes, the same on all VMs
  * @seeds: IP numbers of VMs that may know others; may be stale
@@ -40,9 +40,9 @@
 	struct str name;
 	struct str ip;
 	struct str domain;
-	struct str callers;
-	struct str ready;
-	struct str store;
+	struct str caller_addr;
+	struct str ready_addr;
+	struct str store_addr;
 	size_t store_value_max;
 	uint16_t peer_port;
 	struct str seeds[SEEDS_MAX];
--- a/edge.c
+++ b/edge.c
@@ -121,7 +121,8 @@
 			 (reply->status == 200 && store.why);
 	store.lost_history = reply->result == FETCH_OK && reply->status == 410;
 	store.ok = !store.why;
-	feed(edge, (struct flow_event){ .type = FLOW_STORE, .store = &store });
+	feed(edge,
+	     (struct flow_event){ .type = FLOW_STORE_REPLY, .store = &store });
 	apr_pool_destroy(pool);
 }
 
@@ -167,7 +168,7 @@
 	struct buf head = { 0 };
 	struct upstream_request request = {
 		.id = store_bit | ++edge->store_id,
-		.addr = edge->settings.store,
+		.addr = edge->settings.store_addr,
 		.reply_max =
 			PAGE_MAX + VALUE_COST * edge->settings.store_value_max,
 		.connect_us = fx->timeout_us,
@@ -177,14 +178,14 @@
 	};
 
 	buf_str_add(&head, STR("GET "));
-	if (fx->read == STORE_RANGE)
+	if (fx->call == STORE_RANGE)
 		edge->dialect->range_uri(fx->prefix, fx->after, &head);
 	else
 		edge->dialect->watch_uri(fx->revision, fx->time_left_us, &head);
 	buf_printf(&head, " HTTP/1.1\r\nHost: %.*s\r\n\r\n",
-		   STR_ARG(edge->settings.store));
+		   STR_ARG(edge->settings.store_addr));
 	request.head = buf_str(&head);
-	edge->store_call = fx->read;
+	edge->store_call = fx->call;
 	upstream_send(edge->upstream, &request);
 	buf_free(&head);
 }
@@ -225,10 +226,11 @@
 	http_headers(req, head_keep, &lines);
 	request.headers = buf_str(&lines);
 	apr_hash_set(edge->requests, &req->id, sizeof(req->id), req);
-	feed(edge, (struct flow_event){ .type = FLOW_REQUEST,
-					.id = req->id,
-					.request = &request,
-					.held_us = loop_held_us(edge->loop) });
+	feed(edge,
+	     (struct flow_event){ .type = FLOW_REQUEST,
+				  .id = req->id,
+				  .request = &request,
+				  .queued_us = loop_held_us(edge->loop) });
 	buf_free(&lines);
 }
 
@@ -270,7 +272,7 @@
 		.type = FLOW_MSG,
 		.from = frame->from,
 		.incarnation = frame->from_incarnation,
-		.held_us = loop_held_us(edge->loop),
+		.queued_us = loop_held_us(edge->loop),
 		.sent_us = frame->sent_us,
 	};
 
@@ -305,7 +307,7 @@
 	case FLOW_ANSWER:
 		do_answer(edge, fx);
 		break;
-	case FLOW_READ:
+	case FLOW_STORE_CALL:
 		do_read(edge, fx);
 		break;
 	case FLOW_PEER_SEND:
@@ -319,7 +321,7 @@
 			 fx->text);
 		break;
 	case FLOW_READY:
-		edge->ready = fx->on;
+		edge->ready = fx->ready;
 		break;
 	case FLOW_LIMITS:
 		http_max_body(edge->callers, fx->limits.body_bytes);
@@ -450,7 +452,8 @@
 		LOG_WARN("a round took %lld ms: %d requests, %d replies, "
 			 "%d of the store, %d messages",
 			 (long long)took / 1000, edge->events[FLOW_REQUEST],
-			 edge->events[FLOW_REPLY], edge->events[FLOW_STORE],
+			 edge->events[FLOW_REPLY],
+			 edge->events[FLOW_STORE_REPLY],
 			 edge->events[FLOW_MSG]);
 	}
 	memset(edge->events, 0, sizeof(edge->events));
@@ -510,12 +513,12 @@
 		buf_free(&addr);
 		return err->code;
 	}
-	edge->callers = http_listen(edge->loop, edge->settings.callers,
+	edge->callers = http_listen(edge->loop, edge->settings.caller_addr,
 				    BODY_MAX, callers, err);
 	if (!edge->callers)
 		return err->code;
-	edge->health = http_listen(edge->loop, edge->settings.ready, BODY_MAX,
-				   health, err);
+	edge->health = http_listen(edge->loop, edge->settings.ready_addr,
+				   BODY_MAX, health, err);
 	if (!edge->health)
 		return err->code;
 	if (!metrics_port)
@@ -600,7 +603,7 @@
 	code = start(&edge, opt, &err);
 	if (!code) {
 		LOG_INFO("serving callers on %.*s",
-			 STR_ARG(edge.settings.callers));
+			 STR_ARG(edge.settings.caller_addr));
 		loop_run(edge.loop);
 		flush_answers(&edge);
 		LOG_INFO("stopped");
--- a/event.h
+++ b/event.h
@@ -40,7 +40,7 @@
 const char *fetch_result_text(enum fetch_result result);
 
 /**
- * struct fetched - a target's reply, parsed by the shell
+ * struct fetch_response - a target's reply, parsed by the shell
  * @result: how far it came
  * @status: HTTP status
  * @boot: hash of the target's boot id, 0 when it was not given
@@ -52,7 +52,7 @@
  * @resent: requests that the HTTP library sent again by itself
  * @body: rows (a JSON array) or the entry's result
  */
-struct fetched {
+struct fetch_response {
 	enum fetch_result result;
 	int status;
 	uint64_t boot;
@@ -76,7 +76,7 @@
 	struct str from;
 	uint64_t incarnation;
 	const struct msg *msg;
-	const struct fetched *fetched;
+	const struct fetch_response *fetch_response;
 	enum doc_kind doc;
 	struct str body;
 };
--- a/flow.h
+++ b/flow.h
@@ -16,7 +16,7 @@
 	FLOW_REQUEST, /* a caller's request: id, request */
 	FLOW_CALLER_GONE, /* the caller closed: id */
 	FLOW_REPLY, /* of a target: id, reply */
-	FLOW_STORE, /* of the store: store */
+	FLOW_STORE_REPLY, /* of the store: store */
 	FLOW_MSG, /* from another node: from, incarnation, msg */
 	FLOW_PEER_LOST, /* the connection to a node broke: from */
 	FLOW_SETTINGS, /* the settings were read anew: settings */
@@ -93,7 +93,7 @@
 /**
  * struct flow_event - one input
  * @now: monotonic microseconds
- * @held_us: a request or message may have waited this long before it was read
+ * @queued_us: a request or message may have waited this long before it was read
  * @sent_us: a message was sent then, by the sender's clock
  */
 struct flow_event {
@@ -107,7 +107,7 @@
 	struct str from;
 	uint64_t incarnation;
 	const struct msg *msg;
-	int64_t held_us;
+	int64_t queued_us;
 	int64_t sent_us;
 };
 
@@ -115,7 +115,7 @@
 	FLOW_SEND, /* a request to a target */
 	FLOW_CANCEL, /* nobody waits for it any more: id */
 	FLOW_ANSWER, /* final answer to a caller */
-	FLOW_READ, /* a call to the store */
+	FLOW_STORE_CALL, /* a call to the store */
 	FLOW_PEER_SEND, /* msg to the node at addr */
 	FLOW_RESET_PEER, /* the connection to addr is silent: open a new one */
 	FLOW_LOG, /* a line for the log: text */
@@ -130,18 +130,18 @@
  * @addr: target or node
  * @request: FLOW_SEND: lives until tier_reap()
  * @expected: FLOW_SEND: id of the target that is meant
- * @time_left_us: FLOW_SEND: told to the target; FLOW_READ: how long the store
- *                may hold the call
- * @timeout_us: FLOW_SEND: the transfer is ended after this time; FLOW_READ:
- *              until the reply begins
- * @stall_us, @transfer_us: FLOW_READ: a reply that has begun may pause for so
- *                       long at a time, and takes at most this long in all
+ * @time_left_us: FLOW_SEND: told to the target; FLOW_STORE_CALL: how long the
+ * store may hold the call
+ * @timeout_us: FLOW_SEND: the transfer is ended after this time;
+ * FLOW_STORE_CALL: until the reply begins
+ * @stall_us, @transfer_us: FLOW_STORE_CALL: a reply that has begun may pause
+ * for so long at a time, and takes at most this long in all
  * @status, @headers, @body: FLOW_ANSWER; live until tier_reap()
  * @signatures: FLOW_ANSWER: of a merged answer
  * @missing: FLOW_ANSWER: shards left out of a merged answer
  * @merged: FLOW_ANSWER: is a merged answer
  * @retry_after_us: FLOW_ANSWER: 0 when the caller is not told
- * @prefix, @after, @revision: FLOW_READ
+ * @prefix, @after, @revision: FLOW_STORE_CALL
  * @text, @severe: FLOW_LOG: the line; an operator has to look at it
  */
 struct flow_effect {
@@ -161,7 +161,7 @@
 	size_t missing;
 	bool merged;
 	int64_t retry_after_us;
-	enum store_call read;
+	enum store_call call;
 	struct str prefix;
 	struct str after;
 	uint64_t revision;
@@ -169,7 +169,7 @@
 	struct msg msg;
 	struct str text;
 	bool severe;
-	bool on;
+	bool ready;
 	struct caller_limits limits;
 };
 
--- a/gate.c
+++ b/gate.c
@@ -590,7 +590,7 @@
 /* Results. */
 
 static int leaf_status(const struct node *node, const struct job *job,
-		       const struct fetched *got, bool *ran)
+		       const struct fetch_response *got, bool *ran)
 {
 	*ran = true;
 	switch (got->result) {
@@ -623,7 +623,8 @@
 	return 0;
 }
 
-void gate_fetched(struct node *node, uint64_t number, const struct fetched *got)
+void gate_fetched(struct node *node, uint64_t number,
+		  const struct fetch_response *got)
 {
 	struct gate *gate = node->gate;
 	struct job *job = apr_hash_get(gate->numbers, &number, sizeof(number));
--- a/gate.h
+++ b/gate.h
@@ -150,7 +150,7 @@
 		   const struct msg *msg);
 void gate_handover_timer(struct node *node, uint64_t key);
 void gate_fetched(struct node *node, uint64_t number,
-		  const struct fetched *fetched);
+		  const struct fetch_response *fetch_response);
 void gate_job_timer(struct node *node, uint64_t number);
 /** gate_origin_lost() - a front is gone: drop what it waits for. */
 void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation);
--- a/gossip.c
+++ b/gossip.c
@@ -193,7 +193,7 @@
 		if (gossip_is_live(member, now) && member->near)
 			gossip->near_live++;
 		if (now - member->last_beat_at > FORGET_TIMEOUT_US &&
-		    !member->open) {
+		    !member->in_flight) {
 			apr_hash_set(gossip->members, &member->entry.ip,
 				     sizeof(member->entry.ip), NULL);
 			free(member);
--- a/gossip.h
+++ b/gossip.h
@@ -26,7 +26,7 @@
  * @unanswered_since: first question since it was last heard, 0 for none
  * @clock_incarnation, @min_clock_offset: incarnation, and the least difference
  * seen between its clock and this one's: what is more is delay
- * @open: questions that it has not answered
+ * @in_flight: questions that it has not answered
  * @backoff_until: gets no questions until then
  */
 struct member_info {
@@ -37,7 +37,7 @@
 	int64_t unanswered_since;
 	uint64_t clock_incarnation;
 	int64_t min_clock_offset;
-	int open;
+	int in_flight;
 	int64_t backoff_until;
 };
 
--- a/health.c
+++ b/health.c
@@ -188,7 +188,8 @@
 }
 
 void health_note(struct node *node, struct target *target,
-		 const struct job *job, const struct fetched *got, int status)
+		 const struct job *job, const struct fetch_response *got,
+		 int status)
 {
 	note_boot(node, target, got->boot);
 	note_load(target, got->load);
@@ -236,7 +237,7 @@
 }
 
 void health_probed(struct node *node, struct target *target,
-		   const struct fetched *got)
+		   const struct fetch_response *got)
 {
 	target->probing = false;
 	if (!target->owned || (!target->down && !target->draining))
--- a/health.h
+++ b/health.h
@@ -21,9 +21,10 @@
 int health_limit(const struct target *target);
 /** health_note() - learn from the reply to @job. */
 void health_note(struct node *node, struct target *target,
-		 const struct job *job, const struct fetched *got, int status);
+		 const struct job *job, const struct fetch_response *got,
+		 int status);
 /** health_probed() - learn from the reply to a probe. */
 void health_probed(struct node *node, struct target *target,
-		   const struct fetched *got);
+		   const struct fetch_response *got);
 /** health_timer() - a probe of the target with @key is due. */
 void health_timer(struct node *node, uint64_t key);
--- a/node.c
+++ b/node.c
@@ -329,7 +329,7 @@
 		member_lost(node, event->from);
 		break;
 	case EV_FETCHED:
-		gate_fetched(node, event->id, event->fetched);
+		gate_fetched(node, event->id, event->fetch_response);
 		break;
 	case EV_DOC:
 		conf_platform_doc(node, event->doc, event->body);
--- a/reader.c
+++ b/reader.c
@@ -43,12 +43,12 @@
 }
 
 static struct flow_effect *start_call(struct reader *reader,
-				      enum store_call read)
+				      enum store_call call)
 {
-	struct flow_effect *fx = flow_add(reader->fx, FLOW_READ);
+	struct flow_effect *fx = flow_add(reader->fx, FLOW_STORE_CALL);
 
 	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_CALLS);
-	fx->read = read;
+	fx->call = call;
 	fx->stall_us = REPLY_STALL_US;
 	fx->transfer_us = REPLY_TIMEOUT_US;
 	return fx;
--- a/serve.c
+++ b/serve.c
@@ -71,10 +71,10 @@
 static void on_fetched(void *ctx, uint64_t id, const struct fetch_reply *reply)
 {
 	struct call *call = ctx;
-	struct fetched got = { .result = reply->result,
-			       .status = reply->status,
-			       .resent = reply->resent,
-			       .load = -1 };
+	struct fetch_response got = { .result = reply->result,
+				      .status = reply->status,
+				      .resent = reply->resent,
+				      .load = -1 };
 	struct buf rows = { 0 };
 
 	if (reply->result == FETCH_OK)
@@ -82,7 +82,7 @@
 	if (call->kind != FETCH_CANCEL)
 		feed(call->server, (struct event){ .type = EV_FETCHED,
 						   .id = id,
-						   .fetched = &got });
+						   .fetch_response = &got });
 	buf_free(&rows);
 	free(call);
 }
--- a/spread.c
+++ b/spread.c
@@ -335,7 +335,7 @@
 
 static double load(const struct member_info *member)
 {
-	return (member->open + 1.0) / (member->entry.core + 1.0);
+	return (member->in_flight + 1.0) / (member->entry.core + 1.0);
 }
 
 bool spread_here(struct spread *spread, const struct catalog *catalog,
--- a/target.c
+++ b/target.c
@@ -48,7 +48,7 @@
 	return (uint64_t)json_integer_value(json_object_get(doc, key));
 }
 
-static void take_fields(json_t *doc, struct fetched *got)
+static void take_fields(json_t *doc, struct fetch_response *got)
 {
 	json_t *boot = json_object_get(doc, "boot");
 	json_t *load = json_object_get(doc, "load");
@@ -63,7 +63,7 @@
 	got->version = number(doc, "version");
 }
 
-void target_reply(struct str body, int status, struct fetched *got,
+void target_reply(struct str body, int status, struct fetch_response *got,
 		  struct buf *rows)
 {
 	json_t *doc = json_loadb(body.ptr ? body.ptr : "", body.len,
--- a/target.h
+++ b/target.h
@@ -15,5 +15,5 @@
  * target_reply() - judge a reply
  * @body: bytes as received; @rows gets the rows or the entry's result
  */
-void target_reply(struct str body, int status, struct fetched *got,
+void target_reply(struct str body, int status, struct fetch_response *got,
 		  struct buf *rows);
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -207,7 +207,7 @@
 	*now += 1000000;
 	reader_tick(reader, *now);
 	for (size_t i = 0; i < reader->fx->count; i++)
-		if (reader->fx->list[i].type == FLOW_READ)
+		if (reader->fx->list[i].type == FLOW_STORE_CALL)
 			return reader->fx->list[i];
 	ck_abort_msg("no call to the store");
 }
@@ -232,7 +232,7 @@
 {
 	struct flow_effect call = next_call(reader, now);
 
-	ck_assert_int_eq(call.read, STORE_RANGE);
+	ck_assert_int_eq(call.call, STORE_RANGE);
 	page(reader, config_text(version, 1, ""), (uint64_t)version, *now);
 	page(reader, (struct str){ 0 }, (uint64_t)version, *now);
 }
@@ -255,11 +255,11 @@
 	reader_init(&reader, &reading->dir, &reading->fx, now);
 	reader_set_active(&reader, true, now);
 	read_all(&reader, 1, &now);
-	ck_assert_int_eq(next_call(&reader, &now).read, STORE_WATCH);
+	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_reply(&reader, &refused, now);
 	read_all(&reader, 2, &now);
 	ck_assert_uint_eq(reading->dir.catalog->version, 2);
-	ck_assert_int_eq(next_call(&reader, &now).read, STORE_WATCH);
+	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_destroy(&reader);
 	reading_destroy(reading);
 }
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -59,7 +59,7 @@
 
 static void take_reply(struct str in)
 {
-	struct fetched got = { .result = FETCH_OK };
+	struct fetch_response got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
 	target_reply(in, 200, &got, &rows);
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -49,7 +49,7 @@
 	uint64_t boot; /* of the target when it was sent */
 	int64_t timeout_at; /* when the shell gives up */
 	bool running;
-	struct fetched got;
+	struct fetch_response got;
 	struct buf rows;
 };
 
@@ -394,13 +394,13 @@
 
 static void replied(struct mesh *mesh, struct work *work)
 {
-	struct fetched got = work->got;
+	struct fetch_response got = work->got;
 
 	got.body = buf_str(&work->rows);
 	mesh_feed(mesh, work->node,
 		  (struct event){ .type = EV_FETCHED,
 				  .id = work->fetch,
-				  .fetched = &got });
+				  .fetch_response = &got });
 	work_free(mesh, work);
 }
 
--- a/tests/stage.c
+++ b/tests/stage.c
@@ -53,7 +53,7 @@
 
 	event.now = stage->now;
 	if (stage->now == n->frozen_until)
-		event.held_us = stage->now - n->last_at;
+		event.queued_us = stage->now - n->last_at;
 	else
 		n->last_at = stage->now;
 	tier_reduce(n->tier, &event, &n->fx);
@@ -152,11 +152,11 @@
 		stage_later(stage, STAGE_STORE_US, HAPPEN_STORE, node);
 
 	stage->store_calls++;
-	happen->call = fx->read;
+	happen->call = fx->call;
 	happen->revision = fx->revision;
 	happen->store_ok = ok;
 	happen->incarnation = stage->nodes[node].incarnation;
-	if (ok && fx->read == STORE_WATCH && fx->revision >= stage->revision)
+	if (ok && fx->call == STORE_WATCH && fx->revision >= stage->revision)
 		happen->when = stage->now + fx->time_left_us;
 }
 
@@ -236,12 +236,12 @@
 			do_send(stage, node, &fx);
 		else if (fx.type == FLOW_CANCEL)
 			do_cancel(stage, &fx, node);
-		else if (fx.type == FLOW_READ)
+		else if (fx.type == FLOW_STORE_CALL)
 			do_read(stage, node, &fx);
 		else if (fx.type == FLOW_ANSWER)
 			do_answer(stage, &fx);
 		else if (fx.type == FLOW_READY)
-			n->ready = fx.on;
+			n->ready = fx.ready;
 		else if (fx.type == FLOW_LOG)
 			do_log(stage, node, &fx);
 		else if (fx.type == FLOW_EXIT)
--- a/tests/stage_targets.c
+++ b/tests/stage_targets.c
@@ -361,5 +361,6 @@
 					     key->deleted };
 	}
 	stage_feed(stage, happen->node,
-		   (struct flow_event){ .type = FLOW_STORE, .store = &store });
+		   (struct flow_event){ .type = FLOW_STORE_REPLY,
+					.store = &store });
 }
--- a/tier.c
+++ b/tier.c
@@ -222,8 +222,8 @@
 {
 	const struct flow_request *request = event->request;
 
-	return event->held_us && request->time_left_us >= 0 &&
-	       request->time_left_us <= event->held_us;
+	return event->queued_us && request->time_left_us >= 0 &&
+	       request->time_left_us <= event->queued_us;
 }
 
 /* Return: true when it is one that crashes targets, and the call has ended. */
@@ -258,7 +258,7 @@
 		return;
 	}
 	if (copy.time_left_us >= 0)
-		copy.time_left_us -= event->held_us;
+		copy.time_left_us -= event->queued_us;
 	route = catalog_find_route(tier->dir.catalog, request->host,
 				   request->uri);
 	if (!route) {
@@ -294,7 +294,7 @@
 		return;
 	tier->ready = ready;
 	fx = flow_add(tier->fx, FLOW_READY);
-	fx->on = ready;
+	fx->ready = ready;
 	if (ready)
 		tier->gossip.self.state |= MEMBER_SERVING;
 	else
@@ -366,8 +366,8 @@
 					      event->incarnation,
 					      event->sent_us, event->now);
 
-	if (late_us < event->held_us)
-		late_us = event->held_us;
+	if (late_us < event->queued_us)
+		late_us = event->queued_us;
 	gossip_mark_answered(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
@@ -475,7 +475,7 @@
 	case FLOW_REPLY:
 		call_replied(&tier->calls, event->id, event->reply);
 		break;
-	case FLOW_STORE:
+	case FLOW_STORE_REPLY:
 		reader_reply(&tier->reader, event->store, event->now);
 		if (event->store->ok && tier->reader.state == READER_IDLE)
 			share_read(&tier->share, event->now);
