--- a/catalog.c
+++ b/catalog.c
@@ -31,7 +31,7 @@
 	return s.len >= prefix.len && !memcmp(s.ptr, prefix.ptr, prefix.len);
 }
 
-/* Host names are case-insensitive, and a port is no part of the name. */
+/* Host names are case-insensitive; a port in @host is ignored. */
 static bool host_matches(struct str host, struct str name)
 {
 	const char *colon;
--- a/catalog.h
+++ b/catalog.h
@@ -6,20 +6,22 @@
 #include "str.h"
 
 /**
- * DOC: the operators' configuration
+ * DOC: decoded configuration of routes and services
  *
- * One version of it, decoded once and never changed. A request keeps the
- * version it began with by a reference, so all parts of its answer come from
- * one version however many arrive meanwhile.
+ * A catalog is one version of the operators' configuration, decoded once and
+ * immutable. Each request holds a reference to the version that it started
+ * with, so that all parts of its answer use the same version even when newer
+ * ones arrive meanwhile.
  */
 
 /**
- * struct service - targets that serve the same thing
+ * struct service - group of interchangeable targets
  * @key: hash of the name
- * @health_path: what a health check asks for
- * @max_conns: connections that one target takes from all callers together
- * @warmup_us: how long a target stays cold after its start
- * @cold_per_s: requests a second that a cold target bears, 0 when not stated
+ * @health_path: path of health check requests
+ * @max_conns: connection limit of one target, over all its clients
+ * @warmup_us: time after its start during which a target is cold
+ * @cold_per_s: requests per second that a cold target can handle, 0 if not
+ *              configured
  */
 struct service {
 	struct str name;
@@ -30,24 +32,25 @@
 	double cold_per_s;
 };
 
-/** struct weighted_service - a service and its part of a route's requests */
+/** struct weighted_service - a service and its share of a route's requests */
 struct weighted_service {
 	uint64_t service;
 	double weight;
 };
 
 /**
- * struct route - which requests go where
- * @host, @prefix: what a request must name; the longest prefix wins
+ * struct route - rule that assigns requests to services
+ * @host, @prefix: host and path prefix to match; the longest prefix wins
  * @idempotent: a request may run more than once
- * @timeout_us: longest time that a caller is kept waiting
- * @goal_us: answers within this time are worth most
- * @max_attempts: targets that one request may be sent to, for each shard
+ * @timeout_us: longest time until the caller gets an answer
+ * @goal_us: target latency
+ * @max_attempts: targets that one request may be sent to, per shard
  * @priority: 0 is the highest
- * @shares: services, one unless the requests are split by weight
- * @shards: services that each hold a part of the index, or none
- * @top_k: records in a merged answer
- * @min_coverage: share of the shards below which a merged answer is none
+ * @shares: services; more than one if requests are split by weight
+ * @shards: services that each hold a part of the index; empty for routes
+ *          without merging
+ * @top_k: number of records in a merged answer
+ * @min_coverage: fraction of the shards below which a merge fails
  */
 struct route {
 	struct str name;
@@ -66,7 +69,7 @@
 	double min_coverage;
 };
 
-/** struct caller_limits - what callers may send, and how long they may take */
+/** struct caller_limits - size limits and timeouts of callers' requests */
 struct caller_limits {
 	size_t header_bytes;
 	size_t body_bytes;
@@ -74,6 +77,7 @@
 	int64_t idle_timeout_us;
 };
 
+/** struct catalog - one version of the configuration, reference-counted */
 struct catalog {
 	apr_pool_t *pool;
 	int refs;
@@ -85,14 +89,18 @@
 	struct caller_limits limits;
 };
 
-/** catalog_create() - empty, with one reference; fill it before use. */
+/** catalog_create() - empty catalog with one reference. */
 struct catalog *catalog_create(void);
 struct catalog *catalog_ref(struct catalog *catalog);
-/** catalog_unref() - frees it with the last reference; NULL is fine. */
+/** catalog_unref() - free @catalog with its last reference; NULL is ignored. */
 void catalog_unref(struct catalog *catalog);
-/** catalog_find_route() - route with the longest prefix of @path, or NULL. */
+/**
+ * catalog_find_route() - route of @host with the longest prefix of @path
+ *
+ * Return: the route, or NULL.
+ */
 const struct route *catalog_find_route(const struct catalog *catalog,
 				       struct str host, struct str path);
-/** catalog_find_service() - by the hash of its name, or NULL. */
+/** catalog_find_service() - service by the hash of its name, or NULL. */
 const struct service *catalog_find_service(const struct catalog *catalog,
 					   uint64_t key);
--- a/directory.c
+++ b/directory.c
@@ -7,27 +7,26 @@
 
 enum {
 	/*
-	 * Connections of this node to a target, even where more nodes than that
-	 * would share them: not all nodes use all targets at a time.
+	 * Minimum connections from this node to a target, even if the sum over
+	 * all nodes exceeds the limit: not all nodes use all targets at once.
 	 */
 	NEAR_CONNS_MIN = 2,
 	FAR_CONNS_MIN = 1,
 	/*
-	 * A deleted key is remembered so that older news of another node does
-	 * not bring it back; nodes that are that far behind read all keys anew.
+	 * Tombstones keep a lagging node's older items from restoring a deleted
+	 * key. Nodes that lag by more than this read all keys again.
 	 */
 	TOMBSTONE_TTL_US = 60000000,
 };
 
 /*
- * Of a target's connections, all nodes together. When all VMs lose power their
- * targets hold the old connections until these have been idle for long, and
- * reset new ones beyond their cap. So half of them are used at most, that old
- * and new ones fit together.
+ * Fraction of a target's connection limit that all nodes use together. When
+ * all VMs lose power, targets keep the old connections until an idle timeout
+ * and reset new ones above the limit. Using at most half of it leaves room for
+ * old and new connections at the same time.
  */
 static const double CONNS_FRACTION = 0.5;
-/* What nodes of other failure domains may have of it; the rest is near ones'.
- */
+/* Fraction of that for nodes in other failure domains than the target's. */
 static const double FAR_CONNS_FRACTION = 0.64;
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
@@ -162,8 +161,8 @@
 }
 
 /*
- * The node goes on with the version before, which callers notice only by what
- * they are served: an operator must see it.
+ * The node keeps the previous version. Callers see no error, so this is logged
+ * as one for operators.
  */
 static void reject_catalog(struct directory *dir,
 			   const struct cached_key *cached, const char *why,
@@ -194,7 +193,7 @@
 	} else if (code) {
 		decision_log_state(dir->dlog, now, "unusable", cached->key,
 				   err.text, cached->revision);
-		/* An entry that cannot be read names no target to use. */
+		/* A target with an invalid entry must not be used. */
 		if (record.kind == RECORD_TARGET && record.target.id.len)
 			roster_drop(dir->roster, record.target.id, now);
 	} else if (record.kind == RECORD_CATALOG) {
@@ -218,7 +217,7 @@
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, dir->pool);
-	/* Only the key matters; the value was the last one. */
+	/* Only the key matters; the value is the last one before deletion. */
 	dir->dialect->decode(cached->key, cached->value, &record, pool, &err);
 	if (record.kind == RECORD_TARGET && record.target.id.len) {
 		roster_drop(dir->roster, record.target.id, now);
@@ -268,9 +267,9 @@
 }
 
 /*
- * A node that has just read the store knows no keys that went before. A peer
- * that was cut off from the store sends them as they were; taken, their targets
- * would be asked until the whole store is read once more.
+ * A node that has just scanned the store has no tombstones for earlier
+ * deletions. A peer that was cut off from the store still sends such keys; if
+ * they were applied, requests would go to their targets until the next scan.
  */
 static bool is_deleted(const struct directory *dir,
 		       const struct store_item *item)
--- a/directory.h
+++ b/directory.h
@@ -5,26 +5,29 @@
 #include "roster.h"
 
 /**
- * DOC: what is published, as this node knows it
+ * DOC: local replica of the store's keys
  *
- * A copy of the store's keys that matter here, each with the revision of its
- * last change, so it does not matter whether a change comes from the store or
- * from another node, nor in which order. Nothing goes back to an older
- * revision.
+ * Holds the keys that this program uses, each with the revision of its last
+ * change. Changes may therefore arrive from the store or from other nodes and
+ * in any order. A key never goes back to an older revision.
  */
 
 /**
- * struct directory - the copy, and what it says
- * @catalog: newest configuration, NULL before the first
+ * struct directory - replica of the store's keys and the state derived from it
+ * @dialect: format of keys and values
+ * @roster: updated with the published targets
+ * @catalog: configuration in force, NULL before the first
  * @catalog_revision: revision of the store at which @catalog was published
- * @seen_revision, @seen_bytes: revision and size of the newest configuration
- * that was read, whether it could be taken or not
- * @revision: of the store when it was last read whole or in order
- * @read_at: when the store, or a node that had just read it, was last heard
+ * @seen_revision, @seen_bytes: revision and size of the last configuration
+ *                              read, whether or not it was accepted
+ * @revision: store revision up to which this replica is complete
+ * @read_at: time of the newest reading of the store, by this node or another
  * @synced: other nodes have sent all keys up to @revision
- * @dialect: how keys and values are spelled
- * @nodes, @near: nodes that share bounds, and those in this failure domain; 0
- *                while others may not have been heard of yet
+ * @scan: number of the current scan of all keys
+ * @cold_factor, @cold_extra: see struct vm_settings
+ * @nodes: nodes that share the targets' limits
+ * @near: those of them in this failure domain; 0 while the membership may
+ *        still be incomplete
  */
 struct directory {
 	apr_pool_t *pool;
@@ -46,46 +49,47 @@
 	int near;
 };
 
-/** struct cached_key - a key as it is known */
+/** struct cached_key - replica of one key; deleted keys stay as tombstones */
 struct cached_key {
 	struct str key;
 	struct str value;
 	uint64_t revision;
 	bool deleted;
 	int64_t deleted_at;
-	uint64_t scan; /* read of the whole store that saw it last */
+	uint64_t scan; /* last scan of all keys that returned it */
 };
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct roster *roster,
 		    struct decision_log *dlog);
 void directory_destroy(struct directory *dir);
-/** directory_apply() - take items that are newer than what is held. */
+/** directory_apply() - apply the items that are newer than the replica's. */
 void directory_apply(struct directory *dir, const struct store_item *items,
 		     size_t count, int64_t now);
 /**
- * directory_merge() - the same of items that another node holds
+ * directory_merge() - apply items from another node's replica
  *
- * That one may be behind: what this node would know, and does not, is gone.
+ * The other node may lag behind. An item that this replica would hold at its
+ * revision, but does not, was deleted in the meantime and is skipped.
  */
 void directory_merge(struct directory *dir, const struct store_item *items,
 		     size_t count, int64_t now);
-/** directory_begin_scan() - a read of the whole store begins. */
+/** directory_begin_scan() - start a scan of all keys. */
 void directory_begin_scan(struct directory *dir);
-/** directory_end_scan() - it is complete: keys that it did not show are gone.
- */
+/** directory_end_scan() - delete the keys that the scan did not return. */
 void directory_end_scan(struct directory *dir, uint64_t revision, int64_t now);
-/** directory_set_nodes() - this node's parts of targets' bounds. */
+/** directory_set_nodes() - recompute this node's shares of targets' limits. */
 void directory_set_nodes(struct directory *dir, int nodes, int near);
 /**
- * directory_conn_limits() - this node's part of a target's connections
- * @max_conns: that the target takes of all nodes together
- * @near, @far: nodes that use it from its failure domain and from elsewhere;
- *              @near of 0: not known yet, the least is used
+ * directory_conn_limits() - this node's share of a target's connections
+ * @max_conns: connection limit of the target, over all nodes
+ * @near: nodes in the target's failure domain that use it; 0 if not known
+ *        yet, which gives the minimum
+ * @far: nodes in other failure domains that use it
  */
 struct conn_bound directory_conn_limits(int max_conns, int near, int far);
-/** directory_sweep() - forget keys that were deleted long ago. */
+/** directory_sweep() - remove expired tombstones. */
 void directory_sweep(struct directory *dir, int64_t now);
-/** directory_encode() - all that changed after revision @since. */
+/** directory_encode() - append all changes after revision @since. */
 void directory_encode(const struct directory *dir, uint64_t since,
 		      struct buf *out);
--- a/reader.c
+++ b/reader.c
@@ -2,30 +2,32 @@
 
 enum {
 	/*
-	 * A call waits this long at the store. One whose connection has gone
-	 * silent ends after this and the slack, and a new one brings the
-	 * change: well within the three seconds of a drain.
+	 * Long-poll time at the store. A call on a silent connection ends after
+	 * this plus the slack, and the next one gets the change well within the
+	 * 3 s of a drain.
 	 */
 	WATCH_WAIT_US = 1200000,
 	WATCH_SLACK_US = 400000,
 	RANGE_TIMEOUT_US = 600000,
 	/*
-	 * A large configuration takes a small VM's link for a second and more,
-	 * beside its other work. Ended by the time that a call may wait, each
-	 * call failed, and a node that started got no configuration at all. A
-	 * call that brings bytes goes on; a silent connection is found as soon.
+	 * Transferring a large configuration takes more than a second on a
+	 * small VM's link. When the call's timeout also covered the transfer,
+	 * every call failed and a starting node never got a configuration. So a
+	 * transfer is ended by a stall, which detects a silent connection as
+	 * early, or by the timeout of the whole reply.
 	 */
 	REPLY_STALL_US = 600000,
 	REPLY_TIMEOUT_US = 5000000,
 	/*
-	 * A call returns with the first change. When many targets come or go,
-	 * this pause lets a call bring several, at four calls a second at most.
+	 * A call returns on the first change. While many targets come or go,
+	 * this delay collects several changes per call and limits the rate to
+	 * four calls per second.
 	 */
 	WATCH_COALESCE_US = 250000,
-	/* After a failure, doubled with each in a row up to the most. */
+	/* Exponential backoff after consecutive failures. */
 	BACKOFF_US = 100000,
 	BACKOFF_MAX_US = 400000,
-	/* After this long without reading the store is worth a try again. */
+	/* A node that has not read for this long starts without backoff. */
 	FAILURES_RESET_US = 5000000,
 };
 
@@ -91,7 +93,7 @@
 		reader->failures = 0;
 	if (!active && reader->active)
 		reader->idle_since = now;
-	/* Other nodes have sent all that a read of all keys would. */
+	/* Other nodes have already sent all keys. */
 	if (reader->dir->revision)
 		reader->need_scan = reader->need_scan && !reader->dir->synced;
 	if (active != reader->active)
@@ -155,8 +157,9 @@
 		buf_str_add(&reader->after, page->items[page->count - 1].key);
 	} else if (++reader->prefix == dialect->nprefixes) {
 		/*
-		 * Pages are no snapshot: what changed after the first is taken
-		 * again from the changes since.
+		 * The pages are not one snapshot. Watching starts at the
+		 * revision of the first page, so that changes during the scan
+		 * are read again.
 		 */
 		directory_end_scan(reader->dir, reader->scan_revision, now);
 		reader->need_scan = false;
@@ -187,13 +190,17 @@
 		return;
 	}
 	if (!reply->ok) {
-		/* A page of a read that broke off may be of another time. */
+		/*
+		 * Restart the scan: pages read before the failure may be of
+		 * another revision.
+		 */
 		if (reply->call == STORE_RANGE)
 			reader->need_scan = true;
 		/*
-		 * Several versions of a large configuration may not fit in one
-		 * reply. Asked for again they never would, and the node would
-		 * stay at the old one; the keys hold only the newest.
+		 * Several versions of a large configuration may exceed the size
+		 * limit of a reply. Repeating the call would fail forever and
+		 * leave the node at the old version; a scan returns only the
+		 * newest one.
 		 */
 		if (reply->unusable)
 			restart_scan(reader);
--- a/reader.h
+++ b/reader.h
@@ -3,14 +3,14 @@
 #include "directory.h"
 
 /**
- * DOC: reading the store
+ * DOC: client of the platform's store
  *
- * All keys once, a page a call, then calls that wait for changes. Each such
- * call waits for a bounded time, so that a connection which has gone silent is
- * noticed while drains and configurations are still in time.
+ * Scans all keys once, one page per call, then long-polls for changes. The
+ * wait of each call is bounded, so that a silent connection is detected early
+ * enough for drains and new configurations to take effect in time.
  */
 
-/** enum reader_state - what the call under way is */
+/** enum reader_state - kind of the call in flight */
 enum reader_state {
 	READER_IDLE,
 	READER_RANGE,
@@ -18,15 +18,16 @@
 };
 
 /**
- * struct reader - where reading has come to
- * @prefix: index of the prefix at hand
- * @after: last key of the page before
- * @scan_revision: of the store when this read of all keys began
- * @next_at: when the next call is due, if none is under way
- * @failures: in a row
- * @idle_since: when it last stopped reading
- * @active: this node reads; else other nodes send it what they read
- * @complete: all keys have been read once
+ * struct reader - progress of reading the store
+ * @prefix: index of the key prefix that is being scanned
+ * @after: last key of the previous page
+ * @scan_revision: store revision at the start of the current scan
+ * @next_at: when the next call is due, if none is in flight
+ * @failures: number of consecutive failures
+ * @idle_since: when this node last stopped reading
+ * @active: this node reads the store; if false, other nodes send the changes
+ * @complete: a scan of all keys has completed
+ * @need_scan: the next call starts a scan of all keys
  */
 struct reader {
 	struct directory *dir;
@@ -46,14 +47,16 @@
 void reader_init(struct reader *reader, struct directory *dir,
 		 struct flow_effects *fx, int64_t now);
 void reader_destroy(struct reader *reader);
-/** reader_set_active() - read from now on, or let the call under way be the
- * last.
+/**
+ * reader_set_active() - start or stop reading
+ *
+ * A call that is in flight when reading stops is not cancelled.
  */
 void reader_set_active(struct reader *reader, bool active, int64_t now);
 /** reader_tick() - start the next call if it is due. */
 void reader_tick(struct reader *reader, int64_t now);
-/** reader_reply() - what came of the call under way. */
+/** reader_reply() - process the result of the call in flight. */
 void reader_reply(struct reader *reader, const struct flow_store *reply,
 		  int64_t now);
-/** reader_wake_at() - when reader_tick() is due. */
+/** reader_wake_at() - time at which reader_tick() is due. */
 int64_t reader_wake_at(const struct reader *reader);
