--- a/gossip.c
+++ b/gossip.c
@@ -9,37 +9,42 @@
 enum {
 	GOSSIP_PERIOD_US = 1000000,
 	/*
-	 * Word of a new node goes on this soon. When all VMs start anew a
-	 * period took three times as long to bring it round as they took to be
-	 * ready: until then each counts few others, so its part of shared
-	 * bounds is too large, and small VMs merge.
+	 * Delay of the early round after a new node was seen. When all VMs
+	 * restarted, regular rounds spread the membership three times slower
+	 * than nodes became ready. Until then each node counts too few others,
+	 * so its share of the shared limits is too large, and small VMs merge.
 	 */
 	EARLY_ROUND_US = 150000,
 	/*
-	 * A round brings all nodes that are known: with more than this each
-	 * round is work for a small VM, while a start is under way.
+	 * Above this number of nodes there are no early rounds: a message lists
+	 * all members, which costs a small VM much time during a start.
 	 */
 	EARLY_ROUND_NODES_MAX = 100,
-	/* Seeds that do not answer are tried again as soon, for this long. */
+	/*
+	 * After the start, seeds that have not answered are retried every
+	 * EARLY_ROUND_US for this long.
+	 */
 	SEEDS_RETRY_WINDOW_US = 3000000,
 	/*
-	 * Nodes of the own failure domain that are sent all, each period: a
-	 * change has reached 25 of them after three periods.
+	 * Nodes of this failure domain that get the full list each period. A
+	 * change reaches 25 nodes within three periods.
 	 */
 	NEAR_FANOUT = 3,
 	/*
-	 * Bytes between domains are paid for: all nodes of a domain together
-	 * gossip to this many nodes elsewhere each period, and only of their
-	 * own domain.
+	 * Traffic between failure domains is billed. So all nodes of a domain
+	 * together send to this many nodes of other domains per period, and
+	 * list only members of their own domain.
 	 */
 	FAR_FANOUT_PER_DOMAIN = 4,
 	FAR_FANOUT = 1,
-	/* A beat that stands still this long: three lost rounds. */
+	/* Three lost rounds. */
 	DOWN_TIMEOUT_US = 3500000,
-	/* The same of another domain, of which word comes less often. */
+	/* Other failure domains send gossip less often. */
 	FAR_DOWN_TIMEOUT_US = 8000000,
-	/* Down nodes may be only out of reach: they keep their part of shared
-	 * bounds for as long as such cuts last, mostly. */
+	/*
+	 * A node that is down may only be partitioned. It keeps its share of
+	 * the shared limits for as long as most partitions last.
+	 */
 	COUNTED_TIMEOUT_US = 15000000,
 	FORGET_TIMEOUT_US = 60000000,
 	ADDR_TEXT_MAX = 32,
@@ -174,7 +179,10 @@
 	return gossip->counted;
 }
 
-/* Nodes that went down lately still count; see COUNTED_TIMEOUT_US. */
+/*
+ * Counts nodes that went down recently as well, see COUNTED_TIMEOUT_US, and
+ * removes those that have been down for FORGET_TIMEOUT_US.
+ */
 static void count_live(struct gossip *gossip, int64_t now)
 {
 	apr_hash_index_t *it;
@@ -204,7 +212,7 @@
 
 /* Sending. */
 
-/* @all: of all domains, or of the own one only. */
+/* @all: list members of all failure domains, or only of this node's. */
 static void encode_members(struct gossip *gossip, bool all, int64_t now,
 			   struct buf *out)
 {
@@ -218,7 +226,8 @@
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
 
-		/* What is down must not be heard of again from old news. */
+		/* Nodes that are down must not reappear through stale gossip.
+		 */
 		if (is_up(member, now) && (all || member->near))
 			list[count++] = member->entry;
 	}
@@ -236,7 +245,7 @@
 	fx->msg.body = str_dup(gossip->fx->pool, body);
 }
 
-/** enum scope - which nodes are meant */
+/** enum scope - set of nodes to sample from */
 enum scope {
 	SCOPE_NEAR,
 	SCOPE_FAR,
@@ -252,7 +261,7 @@
 	       gossip_is_counted(member, now);
 }
 
-/* Picks up to @max of those of one side, each with the same chance. */
+/* Reservoir sampling: up to @max members of @scope with equal probability. */
 static size_t sample_members(struct gossip *gossip, enum scope scope,
 			     size_t max, int64_t now, struct member_info **out)
 {
@@ -334,7 +343,7 @@
 	return owner;
 }
 
-/* Return: whether some seeds have not answered yet. */
+/* Return: true if some seeds are not live members yet. */
 static bool contact_seeds(struct gossip *gossip, struct str body, int64_t now)
 {
 	bool any = false;
@@ -355,7 +364,10 @@
 	return any;
 }
 
-/* Each node's part of its domain's gossip elsewhere, by a draw. */
+/*
+ * Decides at random whether this node sends to another failure domain in this
+ * round, so that FAR_FANOUT_PER_DOMAIN nodes of its domain do on average.
+ */
 static bool draw_far_gossip(struct gossip *gossip)
 {
 	return rng_below(gossip->rng, (uint64_t)gossip->near_live) <
@@ -412,7 +424,7 @@
 
 /* Receiving. */
 
-/* Not sooner after the last round, however many nodes are new. */
+/* Rounds are at least EARLY_ROUND_US apart, however many nodes are new. */
 static void schedule_early_round(struct gossip *gossip, int64_t now)
 {
 	int64_t sooner = gossip->sent_at + EARLY_ROUND_US;
@@ -446,8 +458,9 @@
 		return;
 	}
 	/*
-	 * Another incarnation is a new process, but old news of the one before
-	 * may still go round: it is believed once the known one stands still.
+	 * Another incarnation is a new process, but stale gossip about the
+	 * previous one, with a higher beat, may still arrive. That is ignored
+	 * until the known incarnation's beat has stopped increasing.
 	 */
 	if (member->entry.incarnation != entry->incarnation) {
 		if (now - member->last_beat_at < GOSSIP_PERIOD_US / 2 &&
@@ -462,7 +475,7 @@
 	member->last_beat_at = now;
 }
 
-/* A newcomer is sent all that are known at once. */
+/* A new node gets the list of all members at once. */
 static void send_full_list(struct gossip *gossip, struct str from, int64_t now)
 {
 	struct buf body = { 0 };
--- a/gossip.h
+++ b/gossip.h
@@ -4,30 +4,33 @@
 #include "rng.h"
 
 /**
- * DOC: which other nodes there are
+ * DOC: gossip membership
  *
- * Each node counts a beat of its own and passes on the highest that it has
- * seen of every other, to a few nodes a second. A node whose beat stands still
- * is taken to be down. Seeds are asked until somebody is known.
+ * Each node increments a heartbeat counter (beat) and sends the highest values
+ * that it has seen, its own and those of all other nodes, to a few nodes per
+ * second. A node whose beat stops increasing is considered down. Seeds are
+ * contacted until they are members.
  */
 
-/** enum member_state - state of a node, as it states it */
+/** enum member_state - bits of the state that a node reports of itself */
 enum member_state {
 	MEMBER_SERVING = 1, /* has a configuration and takes requests */
 	MEMBER_LEAVING = 2, /* planned stop */
-	MEMBER_READS_STORE = 4, /* the store answers it */
+	MEMBER_READS_STORE = 4, /* its calls to the store succeed */
 };
 
 /**
- * struct member_info - a node as it is known here
- * @addr: "ip:port" between nodes
+ * struct member_info - another node, as seen by this one
+ * @addr: "ip:port" for connections between nodes
  * @near: in this node's failure domain
- * @last_beat_at: when its beat last went up here
- * @unanswered_since: first question since it was last heard, 0 for none
- * @clock_incarnation, @min_clock_offset: incarnation, and the least difference
- * seen between its clock and this one's: what is more is delay
- * @in_flight: questions that it has not answered
- * @backoff_until: gets no questions until then
+ * @last_beat_at: when a higher beat was last received
+ * @unanswered_since: when the first question since the last message from the
+ *                    node was sent, 0 for none
+ * @clock_incarnation: incarnation that @min_clock_offset belongs to
+ * @min_clock_offset: smallest difference seen between this node's clock and
+ *                    the sender's timestamp; anything above it is delay
+ * @in_flight: unanswered questions
+ * @backoff_until: the node is sent no questions until then
  */
 struct member_info {
 	struct member_entry entry;
@@ -42,14 +45,14 @@
 };
 
 /**
- * struct gossip - all that is known of nodes
- * @self: what this one states of itself
- * @started_at: of the process
- * @sent_at, @next_at: of the last round, and of the next
- * @near_live: live nodes of the failure domain, this one included
- * @counted, @near_counted: nodes that may hold a part of shared bounds, and
- *                          those of them in the failure domain
- * @digest: of other things that nodes compare, sent along with each round
+ * struct gossip - membership table and gossip rounds
+ * @self: entry of this node
+ * @started_at: start of the process
+ * @sent_at, @next_at: time of the last round and of the next one
+ * @near_live: live nodes of this failure domain, including this one
+ * @counted: nodes that may hold a share of the shared limits
+ * @near_counted: those of them in this failure domain
+ * @digest: digest of other replicated state, sent with each round
  */
 struct gossip {
 	apr_pool_t *pool;
@@ -69,7 +72,7 @@
 	uint64_t digest;
 };
 
-/** gossip_init() - @domain: failure domain; @core: share of a core. */
+/** gossip_init() - start with no members but this node and the seeds. */
 void gossip_init(struct gossip *gossip, apr_pool_t *pool,
 		 struct flow_effects *fx, struct rng *rng,
 		 const struct vm_settings *settings, uint64_t incarnation,
@@ -77,54 +80,62 @@
 void gossip_destroy(struct gossip *gossip);
 void gossip_set_seeds(struct gossip *gossip,
 		      const struct vm_settings *settings);
-/** gossip_tick() - a round to a few nodes, if it is time. */
+/** gossip_tick() - run a gossip round if it is due. */
 void gossip_tick(struct gossip *gossip, int64_t now);
-/** gossip_announce() - send all live nodes the changed state at once. */
+/** gossip_announce() - send this node's state to all live nodes at once. */
 void gossip_announce(struct gossip *gossip, int64_t now);
-/** gossip_receive() - members that another node knows. */
+/** gossip_receive() - merge the members in the gossip message @body. */
 void gossip_receive(struct gossip *gossip, struct str from, struct str body,
 		    int64_t now);
-/** gossip_mark_answered() - any message came from the node at @addr. */
+/** gossip_mark_answered() - record that the node at @addr sent a message. */
 void gossip_mark_answered(struct gossip *gossip, struct str addr);
 /**
- * gossip_excess_delay() - how much longer than the quickest one a message took
- * that the node at @addr sent at @sent_us of its own clock
+ * gossip_excess_delay() - delay of a message beyond the fastest one seen
+ * @addr: sender
+ * @sent_us: time of sending by the sender's clock
  */
 int64_t gossip_excess_delay(struct gossip *gossip, struct str addr,
 			    uint64_t incarnation, int64_t sent_us, int64_t now);
-/** gossip_is_counted() - heard of so lately that it has a part of shared
- * bounds. */
+/** gossip_is_counted() - whether a node may hold a share of shared limits. */
 bool gossip_is_counted(const struct member_info *member, int64_t now);
-/** gossip_counted_nodes() - nodes that may hold a part of shared bounds. */
+/** gossip_counted_nodes() - number of such nodes, including this one. */
 int gossip_counted_nodes(const struct gossip *gossip);
 /**
- * gossip_pick_near() - up to @max nodes of this failure domain that are up,
- * each with the same chance
+ * gossip_pick_near() - uniform sample of the nodes of this failure domain that
+ * are up
+ * @max: size of the sample
  *
- * Return: how many.
+ * Return: number of nodes in @out.
  */
 size_t gossip_pick_near(struct gossip *gossip, size_t max, int64_t now,
 			struct member_info **out);
 /**
- * gossip_pick_far() - a node that is up of each other failure domain, @max at
- * most
+ * gossip_pick_far() - pick one node that is up in each other failure domain
+ * @max: maximum number of nodes
  *
- * Return: how many.
+ * Return: number of nodes in @out.
  */
 size_t gossip_pick_far(struct gossip *gossip, size_t max, int64_t now,
 		       struct member_info **out);
 /**
- * gossip_owner() - the live node that decides about @key: the same one on all
- * nodes that know the same others; NULL when it is this one
+ * gossip_owner() - live node that owns @key, by rendezvous hashing
+ *
+ * Nodes with the same membership get the same owner.
+ *
+ * Return: the owner, NULL if it is this node.
  */
 struct member_info *gossip_owner(const struct gossip *gossip, uint64_t key,
 				 int64_t now);
+/** gossip_is_live() - whether a node is up and not leaving. */
 bool gossip_is_live(const struct member_info *member, int64_t now);
 struct member_info *gossip_find(struct gossip *gossip, struct str addr);
-/** gossip_is_seed() - this node is one of the seeds. */
+/** gossip_is_seed() - whether this node is a seed, or no seeds are set. */
 bool gossip_is_seed(const struct gossip *gossip);
 /**
- * gossip_is_store_reader() - this node reads the store for its failure domain:
- * it has the lowest address of those there that the store answers
+ * gossip_is_store_reader() - whether this node reads the store for its failure
+ * domain
+ *
+ * It does if no live node of the domain whose calls to the store succeed has a
+ * lower address.
  */
 bool gossip_is_store_reader(const struct gossip *gossip, int64_t now);
