--- a/decision_log.c
+++ b/decision_log.c
@@ -2,8 +2,7 @@
 
 enum {
 	SECOND_US = 1000000,
-	/* A line costs some 30 us of a small core: 40 are a thousandth of it.
-	 */
+	/* A line takes about 30 us of a small core; 40 take about 0.1 %. */
 	LINES_PER_SECOND_MAX = 40,
 	PENDING_MAX = 3,
 };
@@ -14,7 +13,7 @@
 	[DECISION_STATE] = "belief",
 };
 
-/** struct state_change - @what is so of @who now, on the grounds @why */
+/** struct state_change - @what changed for @who, because of @why */
 struct state_change {
 	const char *what;
 	struct str who;
@@ -96,7 +95,7 @@
 			   call->ndone);
 }
 
-/* Whose replies it did not wait for; the first few say enough. */
+/* The first few attempts whose replies the call no longer waits for. */
 static void add_pending_attempts(struct buf *line, int64_t now,
 				 const struct call *call)
 {
@@ -115,9 +114,9 @@
 }
 
 /*
- * Of each missing shard, what it waits for: its target's reply, another node,
- * or leave to ask a target. Tells apart a slow target from a bound that is used
- * up, which look alike to the caller.
+ * Counts the missing shards by what they wait for: a target's reply, another
+ * node, or permission to send. This distinguishes a slow target from an
+ * exhausted limit, which look the same to the caller.
  */
 static void add_missing_shards(struct buf *line, const struct call *call)
 {
@@ -197,7 +196,7 @@
 {
 	struct buf line = { 0 };
 
-	/* Shards that another node no longer wants are no caller's. */
+	/* If another node cancelled its shards, no caller has gone. */
 	if (!call->asker.len)
 		metric_add(&dlog->metrics, METRIC_CALLERS_GONE);
 	if (!admit(dlog, now, DECISION_FINAL))
--- a/decision_log.h
+++ b/decision_log.h
@@ -4,24 +4,27 @@
 #include "metric.h"
 
 /**
- * DOC: what a node decided, for the log
+ * DOC: log of decisions
  *
- * A JSON object for each decision, with the request's id, what it was decided
- * on and how old that was, and the outcome. Bounded for each kind a second;
- * what was left out is counted in a line of its own.
+ * Logs each decision as a JSON object with the request id, the state that the
+ * decision was based on, the age of that state, and the outcome. The rate is
+ * limited per kind; a separate line reports the number of omitted lines.
  */
 
 enum decision_kind {
-	DECISION_FINAL, /* the last word to a caller */
-	DECISION_ATTEMPT, /* a reply that was not good, and what was done */
-	DECISION_STATE, /* what this node takes to be so has changed */
+	DECISION_FINAL, /* end of a request */
+	DECISION_ATTEMPT, /* a failed or rejected attempt */
+	DECISION_STATE, /* this node's view of the system has changed */
 	DECISION_KINDS,
 };
 
 /**
- * struct decision_log - bounds, what the lines tell of, and what is counted
- * @version: of the configuration in force
- * @revision, @read_at: of the store, and when it was last heard of
+ * struct decision_log - rate limits, common fields of the lines, and metrics
+ * @second: start of the current second of the rate limits
+ * @lines, @omitted: lines written and omitted in it
+ * @version: version of the configuration in force
+ * @revision: store revision of this node's replica
+ * @read_at: time of the newest reading of the store, 0 for none
  */
 struct decision_log {
 	struct flow_effects *fx;
@@ -34,37 +37,40 @@
 	struct metrics metrics;
 };
 
-/** decision_log_final() - the last word; good answers in time are counted only.
+/**
+ * decision_log_final() - log and count the answer to a caller
+ *
+ * Complete answers within the route's goal are counted only.
  */
 void decision_log_final(struct decision_log *dlog, int64_t now,
 			const struct call *call, const struct final *final);
+/** decision_log_caller_gone() - log a request whose asker has gone. */
 void decision_log_caller_gone(struct decision_log *dlog, int64_t now,
 			      const struct call *call);
-/** decision_log_attempt() - a target did not serve; @left_us: time that is
- * left. */
+/** decision_log_attempt() - log and count a failed or rejected attempt. */
 void decision_log_attempt(struct decision_log *dlog, int64_t now,
 			  const struct call *call,
 			  const struct attempt *attempt,
 			  const struct flow_reply *reply);
-/** decision_log_suspect() - there is more evidence against a request. */
+/** decision_log_suspect() - log new evidence against a request. */
 void decision_log_suspect(struct decision_log *dlog, int64_t now,
 			  const struct poison *poison,
 			  const struct poison_entry *entry, struct str target);
-/** decision_log_cleared() - there was evidence, and a target has answered it.
- */
+/** decision_log_cleared() - log that a target answered a suspect request. */
 void decision_log_cleared(struct decision_log *dlog, int64_t now,
 			  const struct fingerprint *print);
-/** decision_log_batch() - shards handed to the node at @addr are asked for
- * here. */
+/**
+ * decision_log_batch() - log that this node takes back shards which it had
+ * delegated to the node at @addr
+ */
 void decision_log_batch(struct decision_log *dlog, int64_t now,
 			const struct call *call, struct str addr, size_t shards,
 			const char *why);
-/** decision_log_state() - @what changed for @who, and on what grounds. */
+/** decision_log_state() - log that @what changed for @who, because of @why. */
 void decision_log_state(struct decision_log *dlog, int64_t now,
 			const char *what, struct str who, const char *why,
 			uint64_t version);
-/** decision_log_error() - the same of what an operator has to mend, as an
- * error. */
+/** decision_log_error() - log a change that needs an operator, as an error. */
 void decision_log_error(struct decision_log *dlog, int64_t now,
 			const char *what, struct str who, const char *why,
 			uint64_t version);
