--- a/payload.c
+++ b/payload.c
@@ -9,14 +9,14 @@
 
 enum {
 	/*
-	 * A configuration of a MiB, told to four nodes, took a small VM's link
-	 * for two seconds, in which beats and shards waited behind it. It packs
-	 * to a tenth in some ms. Short lists go as they are.
+	 * Sending a configuration of 1 MiB to four nodes occupied a small VM's
+	 * link for 2 s and delayed gossip and shard requests. It compresses to
+	 * a tenth within a few ms. Shorter lists are sent uncompressed.
 	 */
 	COMPRESS_MIN_BYTES = 16 * 1024,
-	/* What a packed list may unpack to; a damaged size is not believed. */
+	/* Limit for the stated size of a list, which may be corrupt. */
 	DECOMPRESSED_MAX_BYTES = 64 * 1024 * 1024,
-	/* No request is tried so often; a damaged number is not believed. */
+	/* Higher than any real number of rounds; larger values are corrupt. */
 	ROUNDS_MAX = 1000000,
 };
 
@@ -39,7 +39,7 @@
 	out->len += len;
 }
 
-/* Return: false when it does not get shorter, or there is no memory. */
+/* Return: false if compression does not make it smaller, or fails. */
 static bool append_compressed(struct str uncompressed, struct buf *out)
 {
 	Wire__Items wire = WIRE__ITEMS__INIT;
@@ -84,7 +84,7 @@
 	free(list);
 }
 
-/* Return: the list in @packed, or NULL. */
+/* Return: the list compressed in @packed, or NULL if that is corrupt. */
 static Wire__Items *decompress_items(ProtobufCBinaryData packed, uint64_t size)
 {
 	uLongf len = size;
@@ -206,7 +206,7 @@
 	}
 }
 
-/** struct encoded_suspect - an entry with the crashes that it points to */
+/** struct encoded_suspect - a protobuf message and the arrays it points to */
 struct encoded_suspect {
 	Wire__Suspect wire;
 	Wire__Crash crashes[POISON_TARGETS_MAX];
--- a/payload.h
+++ b/payload.h
@@ -4,21 +4,23 @@
 #include "poison.h"
 
 /**
- * DOC: bodies of messages between nodes
+ * DOC: codec of message bodies
  *
- * Lists and requests that travel in the body of a struct msg, as protobuf
- * messages of wire.proto. What cannot be decoded is refused whole.
+ * Encodes lists and requests for the body of a struct msg, as the protobuf
+ * messages in wire.proto. A body with any part that cannot be decoded is
+ * rejected; the decoders then return ERR_FRAME. Decoded strings live in the
+ * given pool.
  */
 
 /**
- * struct member_entry - what a node tells of itself, or of another one
- * @ip: host byte order
- * @beat: counts up in one life of a process
+ * struct member_entry - gossiped state of a node
+ * @ip: IPv4 address in host byte order
+ * @beat: heartbeat counter of the incarnation
  * @domain: hash of the failure domain
- * @core: thousandths of a processor core
- * @state: bits, enum member_state
- * @revision: of the store, as far as it knows
- * @version: of the configuration in force there
+ * @core: share of a processor core, in thousandths
+ * @state: bits of enum member_state
+ * @revision: store revision of the node's replica
+ * @version: version of the configuration in force on the node
  */
 struct member_entry {
 	uint32_t ip;
@@ -31,18 +33,19 @@
 	uint64_t version;
 };
 
-/** payload_encode_items() - append @items; a long list is packed. */
+/** payload_encode_items() - append @items; long lists are compressed. */
 void payload_encode_items(const struct store_item *items, size_t count,
 			  struct buf *out);
-/** payload_decode_items() - strings live in @pool; ERR_FRAME when it is none.
- */
 int payload_decode_items(struct str body, apr_pool_t *pool,
 			 struct store_item **items, size_t *count);
 void payload_encode_members(const struct member_entry *members, size_t count,
 			    struct buf *out);
 int payload_decode_members(struct str body, apr_pool_t *pool,
 			   struct member_entry **members, size_t *count);
-/** payload_encode_suspects() - evidence against requests, as it is at @now. */
+/**
+ * payload_encode_suspects() - append evidence against requests
+ * @now: crash times are encoded as ages at this time
+ */
 void payload_encode_suspects(struct poison_entry *const *list, size_t count,
 			     int64_t now, struct buf *out);
 int payload_decode_suspects(struct str body, int64_t now, apr_pool_t *pool,
--- a/peer.c
+++ b/peer.c
@@ -13,31 +13,33 @@
 enum {
 	LISTEN_BACKLOG = 256,
 	READ_SIZE = 64 * 1024,
-	/* Beyond this much unsent a node is too slow, and is told no more. */
+	/* With more unsent data than this, a peer is too slow: disconnect. */
 	UNSENT_MAX_BYTES = 2 * WIRE_MAX,
 	/*
-	 * Messages share a frame up to this size; a larger one goes by itself.
-	 * A frame over WIRE_MAX would have its reader close the connection.
+	 * Messages share a frame up to this size; a larger message gets its own
+	 * frame. The receiver closes the connection on frames over WIRE_MAX.
 	 */
 	FRAME_TARGET_BYTES = 1024 * 1024,
 	RECONNECT_DELAY_US = 100000,
 	/*
-	 * A VM without power answers nothing. A connection that takes no more
-	 * bytes is given up after this long.
+	 * A VM that lost power does not reset its connections. One that accepts
+	 * no more data is closed after this time.
 	 */
 	STALL_TIMEOUT_US = 1000000,
 	/*
-	 * One that is still opening is opened anew after this long, at the next
-	 * message: its first packet was lost, or came before the VM had power,
-	 * and is sent again only after a second. Nodes are some ms apart.
+	 * If connecting takes longer, the next message opens another
+	 * connection. The SYN was lost, or was sent before the VM was up, and
+	 * TCP retransmits it only after a second; nodes are a few ms apart.
 	 */
 	CONNECT_TIMEOUT_US = 200000,
 };
 
 /**
- * struct link - connection to a node, opened by this one
- * @queued_bytes: of the bodies of @queue
- * @is_pending: among peers.pending
+ * struct link - outbound connection to a node
+ * @retry_at: no new connection before this time
+ * @queued_bytes: size of the strings in @queue
+ * @to: incarnation that the messages in @queue are for
+ * @is_pending: in the list peers.pending
  */
 struct link {
 	struct peers *peers;
@@ -58,7 +60,7 @@
 	struct link *next_pending;
 };
 
-/** struct inbound - connection that another node opened */
+/** struct inbound - connection opened by another node */
 struct inbound {
 	struct peers *peers;
 	int fd;
@@ -69,9 +71,9 @@
 };
 
 /**
- * struct peers - connections from and to this node
- * @pending: links with messages or bytes that are to be sent, or still opening;
- *           a flush after each event need not look at hundreds of others
+ * struct peers - connections between this node and the others
+ * @pending: links with queued messages or unsent data, or still connecting, so
+ *           that a flush after each event does not visit hundreds of idle links
  */
 struct peers {
 	struct loop *loop;
@@ -149,7 +151,7 @@
 			return;
 		link->connecting = false;
 	}
-	/* Nothing is ever sent back here: readable means closed. */
+	/* Peers never send on this connection: readable means closed. */
 	if (events & (APR_POLLIN | APR_POLLERR | APR_POLLHUP)) {
 		ssize_t got = recv(link->fd, &byte, 1, MSG_DONTWAIT);
 
@@ -202,7 +204,7 @@
 	return link;
 }
 
-/* Messages for one incarnation share a frame; their order is kept. */
+/* Encodes the queue, which is for one incarnation, as one frame. */
 static void link_encode(struct link *link)
 {
 	struct frame frame = {
@@ -252,7 +254,7 @@
 	if (link->fd < 0 || !link->out.len)
 		return;
 	if (link->connecting) {
-		/* It stays listed, so that its time is looked at again. */
+		/* Stays pending, so that the timeout is checked again. */
 		if (loop_now() - link->opened_at > STALL_TIMEOUT_US)
 			link_close(link, true);
 		else
@@ -269,7 +271,7 @@
 {
 	struct link *link = peers->pending;
 
-	/* Links that are lost add messages, for a list of their own. */
+	/* Callbacks of lost links may queue messages, onto a new list. */
 	peers->pending = NULL;
 	while (link) {
 		struct link *next = link->next_pending;
@@ -285,7 +287,7 @@
 	uint64_t key = str_hash(addr);
 	struct link *link = apr_hash_get(peers->links, &key, sizeof(key));
 
-	/* A young one has not been silent for long; it may carry answers. */
+	/* A new connection was not silent for long and may carry replies. */
 	if (!link || loop_now() - link->opened_at < STALL_TIMEOUT_US)
 		return;
 	link_close(link, false);
@@ -311,7 +313,7 @@
 	inbound_free(inbound);
 }
 
-/* Return: false when the connection was closed. */
+/* Return: false if the connection was closed. */
 static bool process_frames(struct inbound *inbound)
 {
 	struct peers *peers = inbound->peers;
@@ -332,9 +334,8 @@
 		if (!used)
 			break;
 		/*
-		 * A frame for a process that is gone is not for its successor
-		 * on the same address, which would answer for work that it
-		 * knows nothing of.
+		 * A frame for another incarnation is dropped: its process is
+		 * gone, and this one would reply about work that it never got.
 		 */
 		if (!frame.to_incarnation ||
 		    frame.to_incarnation == peers->incarnation)
--- a/peer.h
+++ b/peer.h
@@ -6,18 +6,18 @@
 /**
  * DOC: connections between nodes
  *
- * Frames go out over a connection that this node opened, and come in over
- * those that others opened. What is queued in one round for one node goes out
- * in one frame.
+ * Frames are sent over connections that this node opened and received over
+ * connections that other nodes opened. Messages that are queued for a node
+ * between two flushes are sent in one frame, up to a size limit.
  */
 
 struct peers;
 
 /**
- * struct peer_handler - what the owner is told
- * @frame: a frame came in; its strings live until the call returns
- * @lost: the connection to @addr could not be opened, or broke
- * @bad: a connection sent what is no frame and was closed
+ * struct peer_handler - callbacks
+ * @frame: a frame was received; its strings live until the call returns
+ * @lost: the connection to @addr could not be opened, or failed
+ * @bad: a connection was closed because of an invalid frame
  */
 struct peer_handler {
 	void (*frame)(void *ctx, const struct frame *frame);
@@ -32,8 +32,12 @@
 /** peers_send() - queue a message; its strings must live until the flush. */
 void peers_send(struct peers *peers, struct str addr, uint64_t incarnation,
 		const struct msg *msg);
-/** peers_reset() - drop the connection to @addr; the next message opens one. */
+/**
+ * peers_reset() - close the connection to @addr unless it is new
+ *
+ * The next message opens another one.
+ */
 void peers_reset(struct peers *peers, struct str addr);
-/** peers_flush() - encode what is queued and write what the sockets take. */
+/** peers_flush() - encode queued messages and write without blocking. */
 void peers_flush(struct peers *peers);
 void peers_destroy(struct peers *peers);
