--- a/flow.h
+++ b/flow.h
@@ -5,31 +5,32 @@
 #include "fingerprint.h"
 
 /**
- * DOC: what goes into the tier's reducer and what comes out
+ * DOC: events and effects of the tier's reducer
  *
- * tier_reduce() takes one struct flow_event and appends struct flow_effect.
- * The shell in edge.c carries effects out and reports what came of them.
+ * tier_reduce() processes one struct flow_event and appends the resulting
+ * struct flow_effect. The I/O layer in edge.c executes effects and reports
+ * their results as events.
  */
 
 enum flow_event_type {
 	FLOW_TICK, /* time has passed */
 	FLOW_REQUEST, /* a caller's request: id, request */
 	FLOW_CALLER_GONE, /* the caller closed: id */
-	FLOW_REPLY, /* of a target: id, reply */
-	FLOW_STORE_REPLY, /* of the store: store */
-	FLOW_MSG, /* from another node: from, incarnation, msg */
-	FLOW_PEER_LOST, /* the connection to a node broke: from */
-	FLOW_SETTINGS, /* the settings were read anew: settings */
+	FLOW_REPLY, /* a target's reply: id, reply */
+	FLOW_STORE_REPLY, /* the store's reply: store */
+	FLOW_MSG, /* a message from another node: from, incarnation, msg */
+	FLOW_PEER_LOST, /* the connection to a node failed: from */
+	FLOW_SETTINGS, /* the settings were reloaded: settings */
 	FLOW_STOP, /* planned stop */
 	FLOW_EVENTS,
 };
 
 /**
- * struct flow_request - a caller's request, as it came
+ * struct flow_request - a caller's request
  * @uri: path and query
- * @headers: lines that a target gets unchanged, each with its line end
- * @caller: address that it came from, without a port
- * @time_left_us: how long the caller waits, -1 when it does not say
+ * @headers: header lines to forward unchanged, each with its line end
+ * @caller: caller's address without the port
+ * @time_left_us: time until the caller's deadline, -1 if not stated
  */
 struct flow_request {
 	struct str method;
@@ -43,15 +44,15 @@
 };
 
 /**
- * struct flow_reply - a target's reply, decoded
- * @result: how far it came
- * @signature: of the target; a success without one is none
- * @encoded: the body is not in the form that was asked for
- * @not_run: the target says that it did not run the request
- * @wrong_target: another target has this address, and did not run it either
- * @cold_us: the target says how long it stays cold, -1 when it does not
- * @running, @waiting: load that the target tells of, -1 when it does not
- * @headers: lines for the caller, each with its line end
+ * struct flow_reply - a target's decoded reply
+ * @result: outcome of the transfer
+ * @signature: target's signature; without one a success status is not valid
+ * @encoded: the body has an encoding that was not requested
+ * @not_run: the target states that it did not run the request
+ * @wrong_target: another target has this address; it did not run the request
+ * @cold_us: time until the target is warm, -1 if not stated
+ * @running, @waiting: load of the target, -1 if not stated
+ * @headers: header lines for the caller, each with its line end
  */
 struct flow_reply {
 	enum fetch_result result;
@@ -67,19 +68,19 @@
 	struct str body;
 };
 
-/** enum store_call - a call to the store */
+/** enum store_call - kind of a call to the store */
 enum store_call {
 	STORE_RANGE, /* a page of the keys under a prefix */
 	STORE_WATCH, /* changes since a revision */
 };
 
 /**
- * struct flow_store - what came of a call to the store
- * @ok: @reply holds what the store said
- * @why: what it failed of, for the log; unused when @ok
- * @unusable: the whole reply came and cannot be taken, being too large or no
- *            such reply; the same call would bring it again
- * @lost_history: the store no longer has the changes that were asked for
+ * struct flow_store - result of a call to the store
+ * @ok: the call succeeded; @reply is set
+ * @why: cause of a failure, for the log
+ * @unusable: the store did reply, but the reply is too large or malformed; the
+ *            same call would return it again
+ * @lost_history: the store no longer has the requested changes
  */
 struct flow_store {
 	enum store_call call;
@@ -91,10 +92,10 @@
 };
 
 /**
- * struct flow_event - one input
+ * struct flow_event - one input of the reducer
  * @now: monotonic microseconds
- * @queued_us: a request or message may have waited this long before it was read
- * @sent_us: a message was sent then, by the sender's clock
+ * @queued_us: longest time that a request or message may have waited
+ * @sent_us: time at which a message was sent, by the sender's clock
  */
 struct flow_event {
 	enum flow_event_type type;
@@ -113,36 +114,38 @@
 
 enum flow_effect_type {
 	FLOW_SEND, /* a request to a target */
-	FLOW_CANCEL, /* nobody waits for it any more: id */
+	FLOW_CANCEL, /* cancel the request to a target: id */
 	FLOW_ANSWER, /* final answer to a caller */
 	FLOW_STORE_CALL, /* a call to the store */
 	FLOW_PEER_SEND, /* msg to the node at addr */
-	FLOW_RESET_PEER, /* the connection to addr is silent: open a new one */
+	FLOW_RESET_PEER, /* replace the silent connection to addr */
 	FLOW_LOG, /* a line for the log: text */
-	FLOW_READY, /* on: whether callers may be sent here */
-	FLOW_LIMITS, /* what callers may send has changed: limits */
+	FLOW_READY, /* whether callers may be sent here: ready */
+	FLOW_LIMITS, /* the limits of callers' requests changed: limits */
 	FLOW_EXIT, /* the planned stop is complete */
 };
 
 /**
- * struct flow_effect - one output
+ * struct flow_effect - one output of the reducer
  * @id: request to a target (FLOW_SEND, FLOW_CANCEL), caller (FLOW_ANSWER)
  * @addr: target or node
  * @request: FLOW_SEND: lives until tier_reap()
- * @expected: FLOW_SEND: id of the target that is meant
- * @time_left_us: FLOW_SEND: told to the target; FLOW_STORE_CALL: how long the
- * store may hold the call
- * @timeout_us: FLOW_SEND: the transfer is ended after this time;
- * FLOW_STORE_CALL: until the reply begins
- * @stall_us, @transfer_us: FLOW_STORE_CALL: a reply that has begun may pause
- * for so long at a time, and takes at most this long in all
+ * @expected: FLOW_SEND: id of the intended target
+ * @time_left_us: FLOW_SEND: remaining time to state to the target;
+ *                FLOW_STORE_CALL: how long the store may hold the call
+ * @timeout_us: FLOW_SEND: timeout of the transfer; FLOW_STORE_CALL: timeout
+ *              until the reply begins
+ * @stall_us: FLOW_STORE_CALL: longest pause in a reply that has begun
+ * @transfer_us: FLOW_STORE_CALL: timeout of the whole reply
  * @status, @headers, @body: FLOW_ANSWER; live until tier_reap()
- * @signatures: FLOW_ANSWER: of a merged answer
- * @missing: FLOW_ANSWER: shards left out of a merged answer
- * @merged: FLOW_ANSWER: is a merged answer
- * @retry_after_us: FLOW_ANSWER: 0 when the caller is not told
- * @prefix, @after, @revision: FLOW_STORE_CALL
- * @text, @severe: FLOW_LOG: the line; an operator has to look at it
+ * @signatures: FLOW_ANSWER: signatures of the parts of a merged answer
+ * @missing: FLOW_ANSWER: number of shards left out of a merged answer
+ * @merged: FLOW_ANSWER: this is a merged answer
+ * @retry_after_us: FLOW_ANSWER: when the caller may retry, 0 if not stated
+ * @call, @prefix, @after, @revision: FLOW_STORE_CALL
+ * @text: FLOW_LOG: the line
+ * @severe: FLOW_LOG: log it as an error, because it needs an operator
+ * @ready: FLOW_READY
  */
 struct flow_effect {
 	enum flow_effect_type type;
@@ -173,7 +176,7 @@
 	struct caller_limits limits;
 };
 
-/** struct flow_effects - a growing list; strings live in @pool */
+/** struct flow_effects - growing list of effects; strings live in @pool */
 struct flow_effects {
 	apr_pool_t *pool;
 	struct flow_effect *list;
@@ -181,11 +184,11 @@
 	size_t cap;
 };
 
-/** flow_fingerprint() - of method, host, path, query and body. */
+/** flow_fingerprint() - of method, host, path, query, body and caller. */
 struct fingerprint flow_fingerprint(const struct flow_request *request);
 void flow_effects_init(struct flow_effects *fx, apr_pool_t *parent);
 struct flow_effect *flow_add(struct flow_effects *fx,
 			     enum flow_effect_type type);
-/** flow_clear() - empties the list and frees the strings. */
+/** flow_clear() - empty the list and free the strings. */
 void flow_clear(struct flow_effects *fx);
 void flow_effects_free(struct flow_effects *fx);
