--- a/dialect.h
+++ b/dialect.h
@@ -4,10 +4,10 @@
 #include "error.h"
 
 /**
- * DOC: how the outside speaks
+ * DOC: interface to the platform
  *
- * Names, formats and calls of the platform that a node runs on, as one table
- * of functions and names. The rest of the program knows only the types below.
+ * The names, formats and calls of the platform that a node runs on, as one
+ * table of functions and names. All other code uses only the types below.
  */
 
 enum {
@@ -15,26 +15,28 @@
 };
 
 /**
- * struct vm_settings - what a VM is told at its start, and at a reload
- * @name: of the VM, for logs
- * @ip: own address
+ * struct vm_settings - settings of a VM, read at its start and on reload
+ * @name: name of the VM, for logs
+ * @ip: address of this VM
  * @domain: failure domain
- * @caller_addr: "ip:port" for callers
- * @ready_addr: "ip:port" where readiness is asked for
+ * @caller_addr: "ip:port" to listen on for callers
+ * @ready_addr: "ip:port" to listen on for readiness checks
  * @store_addr: "ip:port" of the platform's store
- * @store_value_max: bytes of the largest value that the store takes
- * @peer_port: for the connections between nodes, the same on all VMs
- * @seeds: IP numbers of VMs that may know others; may be stale
+ * @store_value_max: size limit of a value in the store, bytes
+ * @peer_port: port for connections between nodes, the same on all VMs
+ * @seeds: IP addresses of VMs to join through; may be stale
  * @core: share of a processor core
- * @memory_mb: memory that ends the process when it is exceeded
- * @drain_us: how long a leaving target goes on serving
- * @grace_us: from the signal to stop until the process is killed
- * @retry_ratio: requests beyond the first a shard, per first request
- * @retry_window_us: time over which they are counted
- * @retry_extra: such requests that are free in each window
- * @cold_factor, @cold_extra: a cold target takes its rate x factor + extra
- * @heartbeat_us: how often targets refresh their entries
- * @first_start: all VMs start for the first time, and no callers wait yet
+ * @memory_mb: memory limit, above which the process is killed
+ * @drain_us: how long a leaving target continues to serve
+ * @grace_us: time from the stop signal until the process is killed
+ * @retry_ratio: retry budget: requests beyond the first one per shard, as a
+ *               ratio to first requests
+ * @retry_window_us: time window of the retry budget
+ * @retry_extra: additional retries allowed in each window
+ * @cold_factor, @cold_extra: a cold target may get its configured rate times
+ *                            factor plus extra
+ * @heartbeat_us: period at which targets refresh their entries
+ * @first_start: all VMs start for the first time and there are no callers yet
  */
 struct vm_settings {
 	struct str name;
@@ -61,9 +63,9 @@
 };
 
 /**
- * struct store_item - one key of the store as it was written last
- * @value: decoded bytes; absent when @deleted
- * @revision: of its last change
+ * struct store_item - current state of a key in the store
+ * @value: decoded bytes; absent if @deleted
+ * @revision: store revision of the last change
  */
 struct store_item {
 	struct str key;
@@ -73,9 +75,9 @@
 };
 
 /**
- * struct store_reply - a page of keys, or changes since a revision
- * @revision: of the store when it answered
- * @more: keys are left after the last of @items
+ * struct store_reply - a page of keys, or the changes since a revision
+ * @revision: store revision of the reply
+ * @more: there are further keys after the last of @items
  */
 struct store_reply {
 	struct store_item *items;
@@ -85,14 +87,15 @@
 };
 
 /**
- * struct target_entry - a target as it is published
- * @id: of this start of it
- * @slots: requests that it works on at a time
- * @leaving: takes its last requests
- * @cold_us: how long it stays cold from the time of writing
- * @born_ms: start of the process, Unix milliseconds; 0 when not stated. An id
- *           with another @born_ms is another process, which knows nothing of
- *           what the one before was sent
+ * struct target_entry - a target as published in the store
+ * @id: id of the target's process
+ * @service: hash of the service's name
+ * @slots: number of requests that it processes concurrently
+ * @leaving: it is draining
+ * @cold_us: time until it is warm, from the time of writing
+ * @born_ms: start of the process, Unix milliseconds; 0 if not stated. The same
+ *           id with another @born_ms is another process, which has no record of
+ *           the requests that the previous one got
  */
 struct target_entry {
 	struct str id;
@@ -105,15 +108,15 @@
 	int64_t born_ms;
 };
 
-/** enum store_record_kind - what a key of the store says */
+/** enum store_record_kind - type of a key in the store */
 enum store_record_kind {
-	RECORD_NONE, /* a key of others */
+	RECORD_NONE, /* not used by this program */
 	RECORD_CATALOG,
 	RECORD_TARGET,
-	RECORD_DOMAIN_OUT, /* nothing more may be sent to a failure domain */
+	RECORD_DOMAIN_OUT, /* no requests may be sent to a failure domain */
 };
 
-/** struct store_record - a store item, decoded */
+/** struct store_record - a decoded store item */
 struct store_record {
 	enum store_record_kind kind;
 	struct catalog *catalog;
@@ -124,26 +127,28 @@
 /** struct header_names - names of the headers that a node reads and writes */
 struct header_names {
 	struct str request_id;
-	struct str time_left; /* milliseconds that the caller still waits */
+	struct str time_left; /* milliseconds until the caller's deadline */
 	struct str expected; /* id of the target that a request is meant for */
-	struct str signature; /* of a target's answer */
+	struct str signature; /* signature of a target's reply */
 	struct str load; /* running, waiting and slots of a target */
-	struct str not_run; /* the target says that it did not run it */
+	struct str not_run; /* the target did not run the request */
 	struct str cold_left; /* milliseconds until the target is warm */
-	struct str signatures; /* of the parts of a merged answer */
+	struct str signatures; /* signatures of the parts of a merged answer */
 	struct str missing; /* shards left out of a merged answer */
 };
 
 /**
- * struct dialect - one way to speak with the outside
+ * struct dialect - interface to one kind of platform
  * @settings_variable: environment variable with the path of the settings
- * @prefixes: keys of the store that a node wants, each read as one range
+ * @names: names of the headers
+ * @prefixes: prefixes of the store's keys to read
  * @settings: decode the settings of a VM
- * @range_uri: path and query of a read of the keys under @prefix after @after
- * @watch_uri: the same of a call that waits for changes after @revision
- * @range_reply, @watch_reply: decode what came back; strings live in @pool
- * @store_record_kind: what a key is about, whatever its value
- * @decode: decode the value of a key; ERR_LIST when it cannot be used
+ * @range_uri: path and query to read a page of the keys under a prefix, after
+ *             the key @after
+ * @watch_uri: path and query to wait for changes after a revision
+ * @range_reply, @watch_reply: decode the reply; strings live in @pool
+ * @kind: type of a key, whatever its value
+ * @decode: decode the value of a key; ERR_LIST if it is invalid
  */
 struct dialect {
 	const char *settings_variable;
--- a/event.h
+++ b/event.h
@@ -4,52 +4,52 @@
 #include "msg.h"
 
 /**
- * DOC: what goes into the reducer and what comes out
+ * DOC: events and effects of the node's reducer
  *
- * node_reduce() takes one struct event and appends struct effect. All that a
- * decision depends on is in the event or in the node's state; the shell in
- * serve.c only carries effects out and reports what came of them.
+ * node_reduce() processes one struct event and appends the resulting struct
+ * effect. Decisions depend only on the event and on the node's state. The I/O
+ * layer in serve.c executes effects and reports their results as events.
  */
 
 enum event_type {
 	EV_TICK, /* time has passed */
 	EV_ASK, /* a caller's question: id, body */
-	EV_TICKET, /* a caller asks for a ticket: id, body */
+	EV_TICKET, /* a caller requests a ticket: id, body */
 	EV_ENTRY, /* a caller's entry: id, body */
-	EV_LOOKUP, /* a caller asks what became of an entry: id, body */
+	EV_LOOKUP, /* a caller requests the outcome of an entry: id, body */
 	EV_CALLER_GONE, /* the caller closed: id */
-	EV_MSG, /* from another node: from, incarnation, msg */
-	EV_PEER_LOST, /* the connection to a node broke: from */
-	EV_FETCHED, /* a target's reply: id, fetched */
-	EV_DOC, /* a platform's reading: doc, body */
+	EV_MSG, /* a message from another node: from, incarnation, msg */
+	EV_PEER_LOST, /* the connection to a node failed: from */
+	EV_FETCHED, /* a target's reply: id, fetch_response */
+	EV_DOC, /* a document from the platform: doc, body */
 	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
 	EV_DOC_FAILED, /* the platform did not answer: doc */
 	EV_LEAVE, /* planned stop */
 };
 
-/** enum fetch_result - how far a request to a target came */
+/** enum fetch_result - outcome of a request to a target */
 enum fetch_result {
-	FETCH_OK, /* whole reply, parsed */
+	FETCH_OK, /* complete, valid reply */
 	FETCH_REFUSED, /* no byte was sent */
-	FETCH_BROKEN, /* sent, then closed without a whole reply */
+	FETCH_BROKEN, /* sent, then closed before the reply was complete */
 	FETCH_TIMEOUT, /* sent, no reply in time */
-	FETCH_MALFORMED, /* whole reply that is not what was asked for */
+	FETCH_MALFORMED, /* the reply is invalid */
 };
 
-/** fetch_result_text() - in words, for the log. */
+/** fetch_result_text() - description for the log. */
 const char *fetch_result_text(enum fetch_result result);
 
 /**
- * struct fetch_response - a target's reply, parsed by the shell
- * @result: how far it came
+ * struct fetch_response - a target's reply, parsed by the I/O layer
+ * @result: outcome of the transfer
  * @status: HTTP status
- * @boot: hash of the target's boot id, 0 when it was not given
- * @job: job number that the target echoed
- * @shard: shard that it answered for
- * @version: snapshot that it answered from
- * @load: requests that it says are in progress, -1 when not given
- * @draining: the target says that it is leaving
- * @resent: requests that the HTTP library sent again by itself
+ * @boot: hash of the target's boot id, 0 if not given
+ * @job: job number echoed by the target
+ * @shard: shard that the reply is for
+ * @version: version of the snapshot that the reply is from
+ * @load: number of requests in progress at the target, -1 if not given
+ * @draining: the target states that it is leaving
+ * @resent: number of times that the HTTP library resent the request itself
  * @body: rows (a JSON array) or the entry's result
  */
 struct fetch_response {
@@ -67,7 +67,7 @@
 
 /**
  * struct event - one input of the reducer
- * @now: monotonic microseconds; never goes back
+ * @now: monotonic microseconds
  */
 struct event {
 	enum event_type type;
@@ -90,7 +90,7 @@
 	FX_STOP, /* the planned stop is complete */
 };
 
-/** enum fetch_kind - what is asked of a target */
+/** enum fetch_kind - kind of a request to a target */
 enum fetch_kind {
 	FETCH_LEAF,
 	FETCH_ENTRY,
@@ -103,8 +103,7 @@
  * @id: caller (FX_ANSWER) or fetch (FX_FETCH)
  * @addr: node or target, "ip:port"
  * @wait_us: FX_READ_DOC: how long the platform may hold the call;
- *           FX_FETCH: time until the shell gives up
-
+ *           FX_FETCH: timeout
  * @status: FX_ANSWER: HTTP status
  * @text: FX_FETCH: terms
  */
@@ -121,14 +120,13 @@
 	uint64_t job;
 	uint32_t shard;
 	int64_t wait_us;
-
 	int status;
 	struct str name;
 	struct str text;
 	struct str body;
 };
 
-/** struct effects - a growing list; effects_clear() frees all at once */
+/** struct effects - growing list of effects; strings live in @pool */
 struct effects {
 	apr_pool_t *pool;
 	struct effect *list;
@@ -140,5 +138,5 @@
 struct effect *effects_add(struct effects *fx, enum effect_type type);
 void effects_clear(struct effects *fx);
 void effects_free(struct effects *fx);
-/** effects_dump() - one line an effect, for comparing replays. */
+/** effects_dump() - append one line per effect, for comparing replays. */
 void effects_dump(const struct effects *fx, struct buf *out);
--- a/msg.h
+++ b/msg.h
@@ -6,33 +6,39 @@
 #include "str.h"
 
 /**
- * enum msg_kind - what one node tells another
+ * enum msg_kind - kind of a message between nodes
  *
- * HEARTBEAT carries state and document versions; PROBE asks for one at once.
- * DOC_GET and DOC spread documents. LEAF, LEAF_REPLY and CANCEL are the path
- * of a question between front and gate. RESERVE, GRANT, GO and GO_REPLY are
- * the two steps of an entry; RELEASE gives a reservation back. FORWARD brings
- * an entry to the issuer of its ticket. LEASE asks for a customer's tokens.
- * HANDOVER tells the next gate of a target what this one knew of it: @amount
- * is the limit, @service_us the baseline, @wait_us the hold, @hash the boot id.
+ * HEARTBEAT carries state and document versions; PROBE requests one at once.
+ * DOC_GET and DOC replicate documents. LEAF, LEAF_REPLY and CANCEL carry the
+ * requests of a question between front and gate. RESERVE, GRANT, GO and
+ * GO_REPLY are the two phases of an entry; RELEASE returns a reservation.
+ * FORWARD sends an entry to the issuer of its ticket. LEASE requests tokens
+ * of a customer's quota. HANDOVER sends a target's state to its next gate:
+ * @amount is the limit, @service_us the baseline latency, @wait_us the hold,
+ * @hash the boot id.
  *
- * GOSSIP brings members in @body. RELINK asks the receiver to open a new
- * connection to the sender. ITEMS brings published keys in @body: all that
- * changed after revision @key up to @version, read @fresh_us ago, to be passed
- * on where @state says so; @wait_us is since the store was lost; ITEMS_GET
- * asks for those after @version. ASK has another node merge a question, @body
- * is the request, @name the indexes of shards in the configuration @version,
- * @state whether far ones may be handed on, @attempt targets of each that were
- * tried, @hash, @hash2 and @key its fingerprint; ASK_REPLY brings records in
- * @body, signatures in @text of the shards in @name, @state when it is the
- * last, and then @attempt the tries used of each other shard, 0 for all. After
- * the first word of a node the asking one says GO: further targets may be
- * asked.
+ * GOSSIP carries members in @body and the digest of the evidence against
+ * requests in @hash. RELINK asks the receiver to open a new connection to the
+ * sender.
  *
- * SUSPECTS brings evidence against requests in @body; GOSSIP the digest of it
- * in @hash, and so does SUSPECTS, which asks for an answer where @state says
- * so. TRY asks for leave to try the suspect request of fingerprint @hash,
- * @hash2, @key; TRY_REPLY gives it where @state says so.
+ * ITEMS carries store keys in @body: all changes after revision @key up to
+ * @version, read @fresh_us ago, to be relayed if @state is set; @wait_us is the
+ * time since the store was lost. ITEMS_GET requests the changes after revision
+ * @version.
+ *
+ * ASK delegates shards of a request: @body is the request, @name the indexes
+ * of the shards in the configuration @version, @state whether shards of other
+ * failure domains may be delegated further, @attempt the number of targets
+ * already tried per shard, and @hash, @hash2 and @key the fingerprint.
+ * ASK_REPLY carries records in @body and signatures in @text for the shards in
+ * @name. The last reply has @state set and in @attempt the number of attempts
+ * used for each other shard, 0 for all. After the first reply of a node, the
+ * delegating node sends ASK_GO to permit requests to further targets.
+ *
+ * SUSPECTS carries evidence against requests in @body and its digest in @hash;
+ * @state requests a reply. TRY requests permission to try the suspect request
+ * with the fingerprint @hash, @hash2, @key; TRY_REPLY grants it if @state is
+ * set.
  */
 enum msg_kind {
 	MSG_NONE,
@@ -70,12 +76,12 @@
 /**
  * struct msg - one message, decoded; mirrors Msg in wire.proto
  * @kind: enum msg_kind
- * @id: question, entry or forward id, unique to the sender's incarnation
+ * @id: question, entry or forward id, unique per incarnation of the sender
  * @attempt: number of the attempt within @id
  * @target: hash of the target's name
  * @shard: shard id in the snapshot @version
  * @version: snapshot version, or lists version in HEARTBEAT
- * @remaining_us: time left to the receiver, microseconds
+ * @remaining_us: time until the receiver's deadline, microseconds
  * @status: enum error_code
  * @ran: whether the request may have reached the target
  * @wait_us: time in the gate's queue, microseconds
@@ -84,8 +90,8 @@
  * @hash: hash of a document (of the lists in HEARTBEAT); in LEAF_REPLY the
  *        boot id of the target
  * @state: enum vm_state of the sender; in LEAF, 1 for a hedge or retry
- * @fresh_us: age of the newest platform reading known, microseconds
- * @amount: tokens asked for or lent
+ * @fresh_us: age of the newest known platform reading, microseconds
+ * @amount: tokens requested or lent
  * @key: ticket sequence or customer hash; in HEARTBEAT the digest of evidence
  *       against requests
  * @name: customer, index or failure domain
@@ -119,4 +125,5 @@
 	uint64_t hash2;
 };
 
+/** msg_name() - name of an enum msg_kind, "unknown" for other numbers. */
 const char *msg_name(uint32_t kind);
