--- a/explain.c
+++ b/explain.c
@@ -7,7 +7,7 @@
 #include "event.h"
 #include "xmalloc.h"
 
-/** struct log_line - a line about the request */
+/** struct log_line - a log line of interest */
 struct log_line {
 	struct str when;
 	struct str node;
@@ -15,7 +15,7 @@
 	size_t order;
 };
 
-/** struct log_lines - lines, in the order of the logs */
+/** struct log_lines - growing list of lines, in the order of reading */
 struct log_lines {
 	struct log_line *lines;
 	size_t count;
@@ -23,10 +23,12 @@
 };
 
 /**
- * struct explain - what the logs say
+ * struct explain - lines collected from the logs
  * @request_lines: lines of the request
- * @crash_lines: of any request under which connections broke, as what is known
- * of the one that is asked for may be known from others like it
+ * @crash_lines: lines of all requests during which a connection to a target
+ *               broke, because the evidence against the request may come from
+ *               other requests with the same content
+ * @omitted: lines that the nodes omitted from their logs
  */
 struct explain {
 	struct str id;
@@ -35,57 +37,59 @@
 	int omitted;
 };
 
-/** struct cause - what the "why" of a last line means, and what to look at */
+/** struct cause - explanation for a value of the final line's "why" */
 struct cause {
 	const char *why;
 	const char *text;
 };
 
 static const struct cause causes[] = {
-	{ "complete", "It was answered whole, but after the route's goal: the "
-		      "tried lines above name the targets that were late." },
+	{ "complete",
+	  "The answer was complete but later than the route's goal. The tried "
+	  "lines above name the targets that were late." },
 	{ "soft deadline",
-	  "The soft deadline came while shards were missing: the answer left "
-	  "them out. The tried lines name targets that failed; waits_for names "
-	  "targets that were late (paused, slow or overloaded)." },
+	  "The soft deadline passed while shards were missing, so the answer "
+	  "left them out. The tried lines name targets that failed; waits_for "
+	  "names targets that were late (paused, slow or overloaded)." },
 	{ "nothing more",
 	  "All targets of the missing shards had been tried, so the answer left "
-	  "them out and did not wait." },
-	{ "out of time", "The caller's time, or the route's, was over before "
-			 "enough shards were in." },
+	  "them out without waiting." },
+	{ "out of time", "The caller's or the route's timeout expired before "
+			 "enough shards had replied." },
 	{ "too few shards can be reached",
-	  "Too many shards had no target left to try: it was given up at once." },
+	  "Too many shards had no target left to try, so the request failed at "
+	  "once." },
 	{ "too few shards have a target",
-	  "When it came too few shards had a target that may be asked: it was "
-	  "refused at once, nothing ran. Look for targets that are gone or "
+	  "On arrival, too few shards had a usable target. The request was "
+	  "refused at once; nothing ran. Look for targets that are gone or "
 	  "down, or a failure domain that is out (belief lines)." },
 	{ "no target of the service",
-	  "The table holds no target of the service: nothing ran. Compare the "
-	  "store's entries; revision and store_age_ms say what was known." },
+	  "This node's table has no target of the service; nothing ran. Compare "
+	  "it with the store's entries; revision and store_age_ms show the "
+	  "state that the node had." },
 	{ "no target may be asked",
 	  "All targets of the service are down, leaving, or have as many "
 	  "requests as they bear: nothing ran." },
 	{ "the target did not reply",
-	  "A target took the request and its connection ended, or no reply "
-	  "came: it may have run. A request that may run once only is not sent "
-	  "again; look it up at that target." },
+	  "A target received the request, but its connection was closed or it "
+	  "sent no reply: it may have run. A request that is not idempotent is "
+	  "not sent again; check its outcome at that target." },
 	{ "the target is full",
-	  "Every target that was asked rejected it as not run." },
-	{ "the target failed", "A target ran it and failed." },
+	  "Every target that got the request rejected it as not run." },
+	{ "the target failed", "A target ran the request and failed." },
 	{ "the merging node did not answer",
-	  "The node that was to ask targets did not answer in time." },
+	  "The node that merges the answer did not reply in time." },
 	{ "it crashes the targets that run it",
-	  "It was refused at once, nothing ran: it is the same (content and "
-	  "caller) as requests that crashed each target that ran them. The "
-	  "lines above name these. It stays so until all nodes have been "
-	  "stopped." },
+	  "It was refused at once; nothing ran. Its content and caller are those "
+	  "of requests that crashed each target that ran them; the lines above "
+	  "name these. It stays blocked until all nodes have been stopped." },
 	{ "it may crash targets and is being tried",
-	  "The same request broke off at several targets and was answered by "
-	  "none, so it is sent to one target at a time; another trial was "
-	  "under way. Its caller may come back." },
+	  "Connections broke under the same request at several targets and none "
+	  "answered it, so it is sent to one target at a time. Another trial was "
+	  "in progress. The caller may retry later." },
 	{ "the caller closed",
 	  "The caller closed before an answer was ready." },
-	{ "reply", "It was answered by its target, after the route's goal." },
+	{ "reply", "The target replied, but later than the route's goal." },
 };
 
 struct explain *explain_create(struct str id)
@@ -166,7 +170,7 @@
 	return order ? order : x->order < y->order ? -1 : 1;
 }
 
-/* @id: of the request that is explained, which goes without saying. */
+/* The field "request" is omitted where it holds @id. */
 static void print_line(const struct log_line *line, struct str id,
 		       struct buf *out)
 {
@@ -189,7 +193,7 @@
 	buf_str_add(out, STR("\n"));
 }
 
-/* The last word to the caller; words between nodes are no answers. */
+/* The line about the answer to the caller, not those about other nodes. */
 static json_t *final_event(const struct explain *explain)
 {
 	json_t *gone = NULL;
@@ -221,8 +225,9 @@
 	}
 	buf_printf(out, "%s\n",
 		   why ? why
-		       : "no last word; the node that took the request ended "
-			 "first, or its log is not among these.");
+		       : "no line about the final answer; the node that got "
+			 "the request stopped before it, or its log is not "
+			 "among these.");
 }
 
 static bool has_same_value(json_t *event, json_t *other, const char *key)
@@ -232,7 +237,7 @@
 	return value && json_equal(value, json_object_get(other, key));
 }
 
-/* What the same content did to targets under other ids, whoever sent it. */
+/* Crashes of targets by requests with the same content, from any caller. */
 static void print_crashes(const struct explain *explain, struct buf *out)
 {
 	json_t *event = final_event(explain);
--- a/explain.h
+++ b/explain.h
@@ -3,21 +3,27 @@
 #include "str.h"
 
 /**
- * DOC: from a request's id to its cause
+ * DOC: explanation of a request's outcome from the logs
  *
- * Gathers the lines of one request from the logs of several nodes, in order of
- * time, and says in a sentence what its last line means.
+ * Collects the log lines of one request from several nodes, sorts them by
+ * time, and explains the outcome in the last line.
  */
 
 struct explain;
 
-/** explain_create() - @id: of the request */
+/** explain_create() - start with no lines; @id: id of the request. */
 struct explain *explain_create(struct str id);
 /**
- * explain_line() - take a line of a log; what is no JSON object, or of another
- * request, is passed over. Text before the object is fine.
+ * explain_line() - add a log line
+ *
+ * Text before the JSON object is ignored, and so are lines without one and
+ * lines that concern no request of interest.
  */
 void explain_line(struct explain *explain, struct str line);
-/** explain_text() - append the story; returns the number of lines it has. */
+/**
+ * explain_text() - append the lines and the explanation
+ *
+ * Return: number of log lines of the request.
+ */
 int explain_text(struct explain *explain, struct buf *out);
 void explain_destroy(struct explain *explain);
--- a/timer.h
+++ b/timer.h
@@ -4,7 +4,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** enum timer_kind - which module a due timer belongs to */
+/** enum timer_kind - handler of a timer */
 enum timer_kind {
 	TIMER_HEARTBEAT,
 	TIMER_VIEW,
@@ -24,9 +24,10 @@
 /**
  * struct timer - one pending timer
  * @when: monotonic microseconds
- * @kind: owner
- * @id: question, target, job or record; the owner checks that it still lives,
- *      so timers are never cancelled
+ * @order: sequence number, which orders timers with equal times
+ * @kind: handler
+ * @id: question, target, job or record; timers are never cancelled, instead
+ *      the handler checks that the object still exists
  */
 struct timer {
 	int64_t when;
@@ -35,7 +36,7 @@
 	uint64_t id;
 };
 
-/** struct timers - binary heap; equal times fire in the order of adding */
+/** struct timers - binary heap; equal times fire in insertion order */
 struct timers {
 	struct timer *heap;
 	size_t count;
@@ -45,8 +46,8 @@
 
 void timer_add(struct timers *timers, int64_t when, enum timer_kind kind,
 	       uint64_t id);
-/** timer_pop() - take the first timer that is due at @now. */
+/** timer_pop() - remove the first timer that is due at @now, if any. */
 bool timer_pop(struct timers *timers, int64_t now, struct timer *out);
-/** timer_next() - time of the first timer, INT64_MAX when there is none. */
+/** timer_next() - time of the first timer, INT64_MAX if there is none. */
 int64_t timer_next(const struct timers *timers);
 void timers_free(struct timers *timers);
--- a/wire.c
+++ b/wire.c
@@ -118,7 +118,8 @@
 static int frame_check(const Wire__Frame *wire, struct error *err)
 {
 	if (!wire->from.len || wire->from.len > 64)
-		return error_set(err, ERR_FRAME, "frame: sender's address");
+		return error_set(err, ERR_FRAME,
+				 "frame: sender address empty or too long");
 	if (wire->n_msgs > WIRE_MAX_MSGS)
 		return error_set(err, ERR_FRAME, "frame: over %d messages",
 				 WIRE_MAX_MSGS);
@@ -127,7 +128,8 @@
 
 		if (kind == MSG_NONE || kind >= MSG_KINDS)
 			return error_set(err, ERR_FRAME,
-					 "frame: message kind %u", kind);
+					 "frame: invalid message kind %u",
+					 kind);
 	}
 	return 0;
 }
@@ -150,7 +152,8 @@
 	Wire__Frame *wire = wire__frame__unpack(NULL, len, bytes + WIRE_HEADER);
 
 	if (!wire)
-		return error_set(err, ERR_FRAME, "frame: not a Frame");
+		return error_set(err, ERR_FRAME,
+				 "frame: invalid protobuf message");
 	if (frame_check(wire, err)) {
 		wire__frame__free_unpacked(wire, NULL);
 		return ERR_FRAME;
--- a/wire.h
+++ b/wire.h
@@ -4,18 +4,19 @@
 #include "msg.h"
 
 /**
- * DOC: frames between nodes
+ * DOC: codec of frames between nodes
  *
- * A frame is a 4 byte big-endian length and a protobuf Frame. It names the
- * sender's address and incarnation and the incarnation it is meant for, so a
- * frame for a process that is gone is never taken by its successor.
+ * A frame is a 4-byte big-endian length followed by a protobuf Frame. It
+ * contains the address and incarnation of the sender and the incarnation of
+ * the receiver, so that a new process at the same address ignores frames for
+ * its predecessor.
  */
 
 enum {
 	WIRE_HEADER = 4,
 	/*
-	 * Of a frame. What a node is told in one message is bounded elsewhere,
-	 * by the platform and by operators: by far less than this.
+	 * Size of a frame. Single messages are bounded to far less elsewhere,
+	 * by the platform and by operators.
 	 */
 	WIRE_MAX = 16 * 1024 * 1024,
 	WIRE_MAX_MSGS = 65536,
@@ -25,10 +26,10 @@
  * struct frame - a decoded frame
  * @from: sender's address; points into memory that frame_free() releases
  * @from_incarnation: sender's incarnation
- * @to_incarnation: receiver it is meant for, 0 for any
- * @sent_us: when it was sent, by the sender's monotonic clock
- * @msgs: the messages
- * @count: how many
+ * @to_incarnation: incarnation of the intended receiver, 0 for any
+ * @sent_us: time of sending, by the sender's monotonic clock
+ * @msgs, @count: the messages
+ * @owner: decoded protobuf message that holds the strings
  */
 struct frame {
 	struct str from;
@@ -40,14 +41,14 @@
 	void *owner;
 };
 
-/** frame_encode() - append header and bytes of @frame to @out. */
+/** frame_encode() - append @frame with its header to @out. */
 void frame_encode(const struct frame *frame, struct buf *out);
 
 /**
- * frame_decode() - take one frame off the front of @in
+ * frame_decode() - decode the first frame in @in
  *
- * Return: bytes used, 0 when more are needed, or ERR_FRAME, after which the
- * connection has to be closed, because the stream has lost its framing.
+ * Return: number of bytes consumed, 0 if the frame is incomplete, or ERR_FRAME,
+ * after which the connection must be closed, because framing is lost.
  */
 int frame_decode(struct str in, struct frame *frame, struct error *err);
 void frame_free(struct frame *frame);
