--- a/edge.c
+++ b/edge.c
@@ -105,8 +105,8 @@
 			   const struct upstream_reply *reply)
 {
 	struct store_reply decoded;
-	struct flow_store store = { .call = edge->store_call,
-				    .reply = &decoded };
+	struct flow_store_reply store = { .call = edge->store_call,
+					  .reply = &decoded };
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, edge->pool);
--- a/flow.h
+++ b/flow.h
@@ -75,14 +75,14 @@
 };
 
 /**
- * struct flow_store - result of a call to the store
+ * struct flow_store_reply - result of a call to the store
  * @ok: the call succeeded; @reply is set
  * @why: cause of a failure, for the log
  * @unusable: the store did reply, but the reply is too large or malformed; the
  *            same call would return it again
  * @lost_history: the store no longer has the requested changes
  */
-struct flow_store {
+struct flow_store_reply {
 	enum store_call call;
 	bool ok;
 	const char *why;
@@ -103,7 +103,7 @@
 	uint64_t id;
 	const struct flow_request *request;
 	const struct flow_reply *reply;
-	const struct flow_store *store;
+	const struct flow_store_reply *store;
 	const struct vm_settings *settings;
 	struct str from;
 	uint64_t incarnation;
--- a/gossip.c
+++ b/gossip.c
@@ -512,7 +512,7 @@
 
 		if (member->entry.domain == gossip->self.domain &&
 		    member->entry.ip < gossip->self.ip &&
-		    (member->entry.state & MEMBER_READS_STORE) &&
+		    (member->entry.state & MEMBER_STORE_REACHABLE) &&
 		    gossip_is_live(member, now))
 			return false;
 	}
--- a/gossip.h
+++ b/gossip.h
@@ -16,7 +16,7 @@
 enum member_state {
 	MEMBER_SERVING = 1, /* has a configuration and takes requests */
 	MEMBER_LEAVING = 2, /* planned stop */
-	MEMBER_READS_STORE = 4, /* its calls to the store succeed */
+	MEMBER_STORE_REACHABLE = 4, /* its calls to the store succeed */
 };
 
 /**
--- a/reader.c
+++ b/reader.c
@@ -62,7 +62,7 @@
 	struct flow_effect *fx = start_call(reader, STORE_RANGE);
 
 	reader->state = READER_RANGE;
-	fx->prefix = dialect->prefixes[reader->prefix];
+	fx->prefix = dialect->prefixes[reader->prefix_index];
 	fx->after = str_dup(reader->fx->pool, buf_str(&reader->after));
 	fx->timeout_us = RANGE_TIMEOUT_US;
 }
@@ -79,7 +79,7 @@
 
 static void begin_scan(struct reader *reader)
 {
-	reader->prefix = 0;
+	reader->prefix_index = 0;
 	reader->after.len = 0;
 	reader->scan_revision = 0;
 	directory_begin_scan(reader->dir);
@@ -155,7 +155,7 @@
 	reader->after.len = 0;
 	if (page->more && page->count) {
 		buf_str_add(&reader->after, page->items[page->count - 1].key);
-	} else if (++reader->prefix == dialect->nprefixes) {
+	} else if (++reader->prefix_index == dialect->nprefixes) {
 		/*
 		 * The pages are not one snapshot. Watching starts at the
 		 * revision of the first page, so that changes during the scan
@@ -177,7 +177,7 @@
 	reader->dir->synced = false;
 }
 
-void reader_reply(struct reader *reader, const struct flow_store *reply,
+void reader_reply(struct reader *reader, const struct flow_store_reply *reply,
 		  int64_t now)
 {
 	if (reply->lost_history) {
--- a/reader.h
+++ b/reader.h
@@ -19,7 +19,7 @@
 
 /**
  * struct reader - progress of reading the store
- * @prefix: index of the key prefix that is being scanned
+ * @prefix_index: index of the key prefix that is being scanned
  * @after: last key of the previous page
  * @scan_revision: store revision at the start of the current scan
  * @next_at: when the next call is due, if none is in flight
@@ -33,7 +33,7 @@
 	struct directory *dir;
 	struct flow_effects *fx;
 	enum reader_state state;
-	size_t prefix;
+	size_t prefix_index;
 	struct buf after;
 	uint64_t scan_revision;
 	int64_t next_at;
@@ -56,7 +56,7 @@
 /** reader_tick() - start the next call if it is due. */
 void reader_tick(struct reader *reader, int64_t now);
 /** reader_reply() - process the result of the call in flight. */
-void reader_reply(struct reader *reader, const struct flow_store *reply,
+void reader_reply(struct reader *reader, const struct flow_store_reply *reply,
 		  int64_t now);
 /** reader_wake_at() - time at which reader_tick() is due. */
 int64_t reader_wake_at(const struct reader *reader);
--- a/share.c
+++ b/share.c
@@ -161,9 +161,9 @@
 	self->revision = share->dir->revision;
 	self->version = share->dir->catalog ? share->dir->catalog->version : 0;
 	if (share->reader->failures)
-		self->state &= ~(uint32_t)MEMBER_READS_STORE;
+		self->state &= ~(uint32_t)MEMBER_STORE_REACHABLE;
 	else
-		self->state |= MEMBER_READS_STORE;
+		self->state |= MEMBER_STORE_REACHABLE;
 	if (!share->dir->revision || now - share->dir->read_at >= STALE_US)
 		ask_for_more(share, now);
 }
@@ -194,7 +194,7 @@
 	struct place first;
 
 	places[count++] =
-		(struct place){ self->ip, self->state & MEMBER_READS_STORE,
+		(struct place){ self->ip, self->state & MEMBER_STORE_REACHABLE,
 				NULL };
 	for (it = apr_hash_first(NULL, share->gossip->members); it;
 	     it = apr_hash_next(it)) {
@@ -202,10 +202,11 @@
 
 		if (member->near && gossip_is_live(member, now) &&
 		    count < PLACES_MAX)
-			places[count++] = (struct place){
-				member->entry.ip,
-				member->entry.state & MEMBER_READS_STORE, member
-			};
+			places[count++] =
+				(struct place){ member->entry.ip,
+						member->entry.state &
+							MEMBER_STORE_REACHABLE,
+						member };
 	}
 	qsort(places, count, sizeof(*places), by_ip);
 	while (reader + 1 < count && !places[reader].reads)
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -221,9 +221,9 @@
 	struct store_reply reply = { .items = &item,
 				     .count = text.len > 0,
 				     .revision = revision };
-	struct flow_store store = { .call = STORE_RANGE,
-				    .ok = true,
-				    .reply = &reply };
+	struct flow_store_reply store = { .call = STORE_RANGE,
+					  .ok = true,
+					  .reply = &reply };
 
 	reader_reply(reader, &store, now);
 }
@@ -246,9 +246,11 @@
 START_TEST(test_changes_too_large)
 {
 	struct reading *reading = reading_create();
-	struct flow_store refused = { .call = STORE_WATCH,
-				      .unusable = true,
-				      .why = "reply is no HTTP, or too large" };
+	struct flow_store_reply refused = {
+		.call = STORE_WATCH,
+		.unusable = true,
+		.why = "reply is no HTTP, or too large"
+	};
 	struct reader reader;
 	int64_t now = 1000000;
 
--- a/tests/stage_targets.c
+++ b/tests/stage_targets.c
@@ -342,11 +342,11 @@
 	struct store_item items[STAGE_STORE_KEYS];
 	struct store_reply reply = { .items = items,
 				     .revision = stage->revision };
-	struct flow_store store = { .call = happen->call,
-				    .ok = happen->store_ok &&
-					  !stage->store_down,
-				    .why = "no reply in time",
-				    .reply = &reply };
+	struct flow_store_reply store = { .call = happen->call,
+					  .ok = happen->store_ok &&
+						!stage->store_down,
+					  .why = "no reply in time",
+					  .reply = &reply };
 
 	for (int i = 0; i < stage->store->nkeys; i++) {
 		const struct store_key *key = &stage->store->keys[i];
