--- a/batch.c
+++ b/batch.c
@@ -173,8 +173,8 @@
 {
 	struct call *call = batch->call;
 
-	decision_log_batch(calls->dlog, calls->now, call, batch->addr,
-			   batch->nparts, why);
+	decision_log_batch_returned(calls->dlog, calls->now, call, batch->addr,
+				    batch->nparts, why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
 			       batch->tried + (batch->go ? 2 : 1));
--- a/decision_log.c
+++ b/decision_log.c
@@ -288,9 +288,9 @@
 	write_line(dlog, &line, false);
 }
 
-void decision_log_batch(struct decision_log *dlog, int64_t now,
-			const struct call *call, struct str addr, size_t shards,
-			const char *why)
+void decision_log_batch_returned(struct decision_log *dlog, int64_t now,
+				 const struct call *call, struct str addr,
+				 size_t shards, const char *why)
 {
 	struct buf line = { 0 };
 
