--- a/decision_log.h
+++ b/decision_log.h
@@ -44,7 +44,10 @@
  */
 void decision_log_final(struct decision_log *dlog, int64_t now,
 			const struct call *call, const struct final *final);
-/** decision_log_caller_gone() - log a request whose asker has gone. */
+/**
+ * decision_log_caller_gone() - log a request that its caller closed, or that
+ * the node which had delegated it cancelled
+ */
 void decision_log_caller_gone(struct decision_log *dlog, int64_t now,
 			      const struct call *call);
 /** decision_log_attempt() - log and count a failed or rejected attempt. */
