--- a/batch.c
+++ b/batch.c
@@ -2,8 +2,8 @@
 
 #include <stdlib.h>
 
-#include "note.h"
-#include "parcel.h"
+#include "decision_log.h"
+#include "payload.h"
 #include "xmalloc.h"
 
 enum {
@@ -96,11 +96,11 @@
 	call->batches = batch;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id),
 		     batch);
-	metric_add(&calls->notes->metrics, METRIC_BATCHES);
-	member->open++;
-	if (!member->unheard_since)
-		member->unheard_since = calls->now;
-	parcel_request(&call->request, &body);
+	metric_add(&calls->dlog->metrics, METRIC_BATCHES);
+	member->in_flight++;
+	if (!member->unanswered_since)
+		member->unanswered_since = calls->now;
+	payload_encode_request(&call->request, &body);
 	fx->msg.id = batch->id;
 	fx->msg.version = call->catalog->version;
 	fx->msg.state = may_delegate;
@@ -126,8 +126,8 @@
 		at = &(*at)->next;
 	*at = batch->next;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id), NULL);
-	if (member && member->open)
-		member->open--;
+	if (member && member->in_flight)
+		member->in_flight--;
 }
 
 static void batch_cancel(struct calls *calls, struct batch *batch)
@@ -153,14 +153,14 @@
 	struct member_info *member = gossip_find(calls->batches->gossip, addr);
 	struct flow_effect *fx;
 
-	if (!member || calls->now < member->rest_until)
+	if (!member || calls->now < member->backoff_until)
 		return;
-	member->rest_until = calls->now + BACKOFF_US;
-	if (!member->unheard_since ||
-	    calls->now - member->unheard_since < CONN_DEAD_US)
+	member->backoff_until = calls->now + BACKOFF_US;
+	if (!member->unanswered_since ||
+	    calls->now - member->unanswered_since < CONN_DEAD_US)
 		return;
-	note_belief(calls->notes, calls->now, "node is late", addr,
-		    "no reply to its batches", 0);
+	decision_log_state(calls->dlog, calls->now, "node is late", addr,
+			   "no reply to its batches", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
 	queue_msg(calls, addr, 0, MSG_RELINK);
@@ -175,8 +175,8 @@
 {
 	struct call *call = batch->call;
 
-	note_batch(calls->notes, calls->now, call, batch->addr, batch->nparts,
-		   why);
+	decision_log_batch_returned(calls->dlog, calls->now, call, batch->addr,
+				    batch->nparts, why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
 			       batch->tried + (batch->granted ? 2 : 1));
@@ -193,8 +193,8 @@
 
 	if (batch->replied || calls->now - batch->sent_at < SILENT_MIN_US)
 		return false;
-	return !member || (member->unheard_since &&
-			   member->unheard_since <= batch->sent_at);
+	return !member || (member->unanswered_since &&
+			   member->unanswered_since <= batch->sent_at);
 }
 
 static struct batch *find_silent(struct calls *calls, const struct call *call)
@@ -290,9 +290,10 @@
 	for (size_t i = 0; i < nparts; i++)
 		parts[i] = find_part(call, parts[i]);
 	if (!is_awaited(batch, parts, nparts)) {
-		note_belief(calls->notes, calls->now, "unusable", from,
-			    "its reply is for shards that were not requested",
-			    msg->version);
+		decision_log_state(
+			calls->dlog, calls->now, "unusable", from,
+			"its reply is for shards that were not requested",
+			msg->version);
 		batch_fail(calls, batch, "its reply is unusable");
 		return;
 	}
@@ -336,7 +337,7 @@
 	struct batch *batch = find_batch_to(calls, addr);
 
 	if (member)
-		member->rest_until = calls->now + BACKOFF_US;
+		member->backoff_until = calls->now + BACKOFF_US;
 	for (; batch; batch = find_batch_to(calls, addr))
 		batch_fail(calls, batch, "its connection broke");
 }
@@ -363,9 +364,9 @@
 
 	/* Indexes of shards are only valid within one version. */
 	if (!catalog || catalog->version != msg->version ||
-	    parcel_open_request(msg->body, pool, request))
+	    payload_decode_request(msg->body, pool, request))
 		return NULL;
-	route = catalog_route(catalog, request->host, request->uri);
+	route = catalog_find_route(catalog, request->host, request->uri);
 	if (!route)
 		return NULL;
 	for (size_t i = 0; i < nparts; i++) {
--- a/call.c
+++ b/call.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 #include "call_queue.h"
-#include "note.h"
+#include "decision_log.h"
 #include "poison_sync.h"
 #include "trial.h"
 #include "xmalloc.h"
@@ -177,7 +177,7 @@
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_CANCEL);
 
 	fx->id = attempt->id;
-	metric_add(&calls->notes->metrics, METRIC_CUT);
+	metric_add(&calls->dlog->metrics, METRIC_CUT);
 	balancer_on_reply(calls->balancer, attempt->target, REPLY_CANCELLED,
 			  attempt->baseline_us, attempt->sent_at, calls->now);
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id), NULL);
@@ -242,7 +242,7 @@
 static bool has_untried_targets(const struct call *call,
 				const struct part *part)
 {
-	return (int)part->ntried < call->route->attempts &&
+	return (int)part->ntried < call->route->max_attempts &&
 	       part->ntried < CALL_TARGETS_MAX;
 }
 
@@ -317,12 +317,12 @@
 		return SEND_NO_TARGET;
 	if (!p->ntried && !p->sent_elsewhere) {
 		budget_count_first(calls->budget, p->service, calls->now);
-		metric_add(&calls->notes->metrics, METRIC_SENT);
+		metric_add(&calls->dlog->metrics, METRIC_SENT);
 	} else if (budget_take(calls->budget, p->service, call->retry_share,
 			       calls->now)) {
-		metric_add(&calls->notes->metrics, METRIC_SENT_AGAIN);
+		metric_add(&calls->dlog->metrics, METRIC_SENT_AGAIN);
 	} else {
-		metric_add(&calls->notes->metrics, METRIC_NO_BUDGET);
+		metric_add(&calls->dlog->metrics, METRIC_NO_BUDGET);
 		return SEND_NO_BUDGET;
 	}
 	attempt_start(calls, call, part, target);
@@ -361,7 +361,7 @@
 	case FETCH_OK:
 		break;
 	}
-	if (reply->other)
+	if (reply->wrong_target)
 		return REPLY_WRONG_TARGET;
 	if (reply->not_run)
 		return REPLY_REJECTED;
@@ -372,7 +372,7 @@
 {
 	call->served = true;
 	if (poison_answered(calls->poison, &call->print, calls->now))
-		note_cleared(calls->notes, calls->now, &call->print);
+		decision_log_cleared(calls->dlog, calls->now, &call->print);
 	poison_sync_send(calls->news, calls->now);
 }
 
@@ -399,8 +399,8 @@
 			       &crash);
 	if (!entry)
 		return;
-	note_suspect(calls->notes, calls->now, calls->poison, entry,
-		     attempt->target->id);
+	decision_log_suspect(calls->dlog, calls->now, calls->poison, entry,
+			     attempt->target->id);
 	poison_sync_send(calls->news, calls->now);
 }
 
@@ -421,9 +421,10 @@
 	apr_hash_set(calls->attempts, &copy.id, sizeof(copy.id), NULL);
 	free(attempt);
 	if (call && classify_reply(reply) != REPLY_GOOD)
-		note_tried(calls->notes, calls->now, call, &copy, reply);
+		decision_log_attempt(calls->dlog, calls->now, call, &copy,
+				     reply);
 	if (classify_reply(reply) == REPLY_GOOD) {
-		metric_latency(&calls->notes->metrics, LATENCY_TARGET,
+		metric_latency(&calls->dlog->metrics, LATENCY_TARGET,
 			       calls->now - copy.sent_at);
 		baseline_add(copy.baseline, calls->now - copy.sent_at);
 	}
@@ -434,9 +435,10 @@
 			  copy.baseline_us, copy.sent_at, calls->now);
 	if (!call)
 		return;
-	if (reply->result != FETCH_REFUSED && !reply->not_run && !reply->other)
+	if (reply->result != FETCH_REFUSED && !reply->not_run &&
+	    !reply->wrong_target)
 		call->parts[copy.part].ran = true;
-	else if (reply->not_run && !reply->other)
+	else if (reply->not_run && !reply->wrong_target)
 		mark_rejected(&call->parts[copy.part], copy.target->key);
 	call->kind->replied(calls, call, &copy, reply);
 	/* The call may have ended, but its parts live until calls_reap(). */
@@ -508,7 +510,7 @@
 		 * cancelling it would leave open whether it ran, also in the
 		 * target's own records.
 		 */
-		if (call->route->repeatable)
+		if (call->route->idempotent)
 			attempt_orphan(calls, attempt);
 		else
 			attempt->call = NULL;
@@ -527,7 +529,7 @@
 {
 	struct flow_effect *fx;
 
-	note_final(calls->notes, calls->now, call, final);
+	decision_log_final(calls->dlog, calls->now, call, final);
 	report_unserved(calls, call);
 	fx = flow_add(calls->fx, FLOW_ANSWER);
 	fx->id = call->id;
@@ -585,7 +587,7 @@
 
 void call_abandon(struct calls *calls, struct call *call)
 {
-	note_gone(calls->notes, calls->now, call);
+	decision_log_caller_gone(calls->dlog, calls->now, call);
 	call->abandoned = true;
 	call_end(calls, call);
 }
--- a/forward.c
+++ b/forward.c
@@ -108,7 +108,7 @@
 	send_or_give_up(calls, call, "no target may be asked");
 	if (call->attempts)
 		call_schedule_review(calls, call,
-				     call->route->repeatable ? hedge_at(call)
+				     call->route->idempotent ? hedge_at(call)
 							     : call->deadline);
 }
 
@@ -118,7 +118,7 @@
 		give_up(calls, call, "out of time");
 		return;
 	}
-	if (call->route->repeatable && trial_exhausted(calls, call)) {
+	if (call->route->idempotent && trial_exhausted(calls, call)) {
 		give_up(calls, call, "the request may be sent to no target");
 		return;
 	}
@@ -126,7 +126,7 @@
 		send_or_give_up(calls, call, held_reason(call));
 		if (!call->attempts)
 			return;
-	} else if (call->route->repeatable && call->parts[0].open == 1 &&
+	} else if (call->route->idempotent && call->parts[0].open == 1 &&
 		   call_mechanism_on(calls, MECHANISM_HEDGES)) {
 		call_send(calls, call, 0);
 	}
@@ -157,14 +157,14 @@
 
 static bool is_final(const struct call *call, const struct flow_reply *reply)
 {
-	if (reply->result != FETCH_OK || reply->not_run || reply->other ||
-	    reply->encoded)
+	if (reply->result != FETCH_OK || reply->not_run ||
+	    reply->wrong_target || reply->encoded)
 		return false;
 	if (reply->status / 100 == 2)
 		return reply->signature.len > 0;
 	if (implies_not_run(reply->status))
 		return false;
-	return reply->status < 500 || !call->route->repeatable;
+	return reply->status < 500 || !call->route->idempotent;
 }
 
 static void replied(struct calls *calls, struct call *call,
@@ -184,7 +184,7 @@
 	if (reply->result == FETCH_OK)
 		why = reply->not_run ? "the target is full"
 				     : "the target failed";
-	if (part->ran && !call->route->repeatable) {
+	if (part->ran && !call->route->idempotent) {
 		give_up(calls, call, why);
 		return;
 	}
--- a/gate.c
+++ b/gate.c
@@ -597,10 +597,10 @@
 /* Results. */
 
 static int fetch_status(const struct node *node, const struct job *job,
-			const struct fetched *fetched, bool *ran)
+			const struct fetch_response *fetch_response, bool *ran)
 {
 	*ran = true;
-	switch (fetched->result) {
+	switch (fetch_response->result) {
 	case FETCH_REFUSED:
 		*ran = false;
 		return ERR_TARGET_DOWN;
@@ -613,38 +613,40 @@
 	case FETCH_OK:
 		break;
 	}
-	if (fetched->status == 503) {
+	if (fetch_response->status == 503) {
 		*ran = false;
-		return fetched->draining ? ERR_TARGET_LEAVING : ERR_TARGET_SHED;
+		return fetch_response->draining ? ERR_TARGET_LEAVING
+						: ERR_TARGET_SHED;
 	}
-	if (fetched->status == 409)
+	if (fetch_response->status == 409)
 		return ERR_WRONG_VERSION;
-	if (fetched->status != 200 || fetched->job != job->number)
+	if (fetch_response->status != 200 || fetch_response->job != job->number)
 		return ERR_MALFORMED;
 	if (job->is_entry)
 		return 0;
-	if (fetched->shard != job->shard)
+	if (fetch_response->shard != job->shard)
 		return ERR_MALFORMED;
-	if (fetched->version != job->version && !node->opt.off.no_version_check)
+	if (fetch_response->version != job->version &&
+	    !node->opt.off.no_version_check)
 		return ERR_WRONG_VERSION;
 	return 0;
 }
 
 void gate_fetch_done(struct node *node, uint64_t number,
-		     const struct fetched *fetched)
+		     const struct fetch_response *fetch_response)
 {
 	struct gate *gate = node->gate;
 	struct job *job =
 		apr_hash_get(gate->jobs_by_number, &number, sizeof(number));
 
-	node->counters[CNT_TARGET_RESENT] += (uint64_t)fetched->resent;
+	node->counters[CNT_TARGET_RESENT] += (uint64_t)fetch_response->resent;
 	if (!job) {
 		/* The number of a probe is the key of its target. */
 		struct target *target =
 			apr_hash_get(gate->targets, &number, sizeof(number));
 
 		if (target && target->probing)
-			health_record_probe(node, target, fetched);
+			health_record_probe(node, target, fetch_response);
 		return;
 	}
 	if (job->state != JOB_RUNNING)
@@ -652,10 +654,10 @@
 
 	struct target *target = job->target;
 	bool ran;
-	int status = fetch_status(node, job, fetched, &ran);
+	int status = fetch_status(node, job, fetch_response, &ran);
 
-	health_record_reply(node, target, job, fetched, status);
-	reply(node, job, status, ran, fetched->body);
+	health_record_reply(node, target, job, fetch_response, status);
+	reply(node, job, status, ran, fetch_response->body);
 	if (job->is_entry)
 		keep_tombstone(node, job);
 	else
--- a/health.c
+++ b/health.c
@@ -203,12 +203,13 @@
 }
 
 void health_record_reply(struct node *node, struct target *target,
-			 const struct job *job, const struct fetched *fetched,
+			 const struct job *job,
+			 const struct fetch_response *fetch_response,
 			 int status)
 {
-	update_boot(node, target, fetched->boot);
-	update_foreign_load(target, fetched->load);
-	switch (fetched->result) {
+	update_boot(node, target, fetch_response->boot);
+	update_foreign_load(target, fetch_response->load);
+	switch (fetch_response->result) {
 	case FETCH_REFUSED:
 		health_set_cold(node, target, "it refused a connection");
 		set_down(node, target, "it refused a connection");
@@ -231,7 +232,7 @@
 	case FETCH_OK:
 		break;
 	}
-	if (fetched->draining)
+	if (fetch_response->draining)
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
 		if (++target->shed_streak >= SHED_STREAK)
@@ -255,24 +256,25 @@
 }
 
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetched *fetched)
+			 const struct fetch_response *fetch_response)
 {
 	target->probing = false;
 	if (!target->owned || (!target->down && !target->draining))
 		return;
 
-	bool answers = fetched->result == FETCH_OK && fetched->status == 200;
+	bool answers = fetch_response->result == FETCH_OK &&
+		       fetch_response->status == 200;
 
 	if (!answers && target->draining && !target->down) {
 		target->draining = false;
 		set_down(node, target, "it stopped answering while draining");
 		return;
 	}
-	if (!answers || fetched->draining) {
+	if (!answers || fetch_response->draining) {
 		schedule_probe(node, target);
 		return;
 	}
-	update_boot(node, target, fetched->boot);
+	update_boot(node, target, fetch_response->boot);
 	target->down = false;
 	target->draining = false;
 	target->failure_streak = 0;
--- a/health.h
+++ b/health.h
@@ -22,10 +22,11 @@
 int health_limit(const struct target *target);
 /** health_record_reply() - update the state with the result of @job. */
 void health_record_reply(struct node *node, struct target *target,
-			 const struct job *job, const struct fetched *fetched,
+			 const struct job *job,
+			 const struct fetch_response *fetch_response,
 			 int status);
 /** health_record_probe() - update the state with the result of a probe. */
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetched *fetched);
+			 const struct fetch_response *fetch_response);
 /** health_timer() - send the probe that is due to the target with @key. */
 void health_timer(struct node *node, uint64_t key);
--- a/merge.c
+++ b/merge.c
@@ -71,7 +71,7 @@
 
 bool merge_has_coverage(const struct route *route, size_t done)
 {
-	double required = route->least * (double)route->nshards;
+	double required = route->min_coverage * (double)route->nshards;
 
 	return done > 0 && (double)done + 1e-9 >= required;
 }
@@ -504,7 +504,7 @@
 	call->state = state;
 	apr_pool_cleanup_register(call->pool, state, free_state,
 				  apr_pool_cleanup_null);
-	records_init(&state->records, route->top, call->pool);
+	records_init(&state->records, route->top_k, call->pool);
 	state->unreported = apr_palloc(
 		call->pool, (route->nshards + 1) * sizeof(*state->unreported));
 	call->soft_deadline = call_mechanism_on(calls, MECHANISM_SOFT_DEADLINE)
@@ -623,7 +623,8 @@
 
 	if (call->origin.len || nparts < BATCH_SHARDS_MIN ||
 	    call->handovers >= HANDOVERS_MAX ||
-	    (int)tried >= call->route->attempts || is_suspect(calls, call) ||
+	    (int)tried >= call->route->max_attempts ||
+	    is_suspect(calls, call) ||
 	    placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
 		return false;
--- a/node.c
+++ b/node.c
@@ -330,12 +330,12 @@
 		member_lost(node, event->from);
 		break;
 	case EV_FETCHED:
-		gate_fetch_done(node, event->id, event->fetched);
+		gate_fetch_done(node, event->id, event->fetch_response);
 		break;
 	case EV_DOC:
 		doc_sync_on_platform_doc(node, event->doc, event->body);
 		break;
-	case EV_DOC_SAME:
+	case EV_DOC_UNCHANGED:
 		doc_sync_on_unchanged(node, event->doc);
 		break;
 	case EV_DOC_FAILED:
--- a/placement.c
+++ b/placement.c
@@ -156,8 +156,8 @@
 			 bool include_inactive, int64_t now)
 {
 	if (include_inactive)
-		return gossip_counts(member, now);
-	return (member->entry.state & MEMBER_SERVES) &&
+		return gossip_is_counted(member, now);
+	return (member->entry.state & MEMBER_SERVING) &&
 	       gossip_is_live(member, now);
 }
 
@@ -171,7 +171,7 @@
 	size_t count = 0;
 
 	if (gossip->self.domain == domain &&
-	    !(gossip->self.state & MEMBER_LEAVES))
+	    !(gossip->self.state & MEMBER_LEAVING))
 		candidates[count++] =
 			(struct candidate){ NULL, domain, gossip->self.core,
 					    gossip->self.ip };
@@ -235,7 +235,7 @@
 				 const struct route *route, size_t domains)
 {
 	const struct service *service =
-		catalog_service(catalog, route->shards[0]);
+		catalog_find_service(catalog, route->shards[0]);
 	double conns = service ? service->max_conns : 0;
 	size_t all = (size_t)(conns * CONNS_FRACTION / CONNS_PER_MERGER);
 	size_t each = all / domains;
@@ -284,7 +284,7 @@
 			 const struct route *route, size_t domains)
 {
 	const struct service *service =
-		catalog_service(catalog, route->shards[0]);
+		catalog_find_service(catalog, route->shards[0]);
 	int merging = (int)plan->count + plan->self;
 	int near = plan->self;
 	struct conn_limit bound;
@@ -294,8 +294,8 @@
 		return;
 	for (size_t i = 0; i < plan->count; i++)
 		near += plan->members[i]->near;
-	bound = directory_conns(service->max_conns, near,
-				merging - merging / (int)domains);
+	bound = directory_conn_limits(service->max_conns, near,
+				      merging - merging / (int)domains);
 	for (size_t i = 0; i < route->nshards; i++)
 		balancer_set_conn_limit(placement->balancer, route->shards[i],
 					bound);
@@ -350,14 +350,14 @@
 
 static bool is_available(const struct member_info *member, int64_t now)
 {
-	return now >= member->rest_until && gossip_is_live(member, now) &&
-	       (!member->unheard_since ||
-		now - member->unheard_since < OVERDUE_US);
+	return now >= member->backoff_until && gossip_is_live(member, now) &&
+	       (!member->unanswered_since ||
+		now - member->unanswered_since < OVERDUE_US);
 }
 
 static double load(const struct member_info *member)
 {
-	return (member->open + 1.0) / (member->entry.core + 1.0);
+	return (member->in_flight + 1.0) / (member->entry.core + 1.0);
 }
 
 bool placement_is_local(struct placement *placement,
@@ -375,7 +375,7 @@
 {
 	const struct placement_plan *plan =
 		get_plan(placement, catalog, route, now);
-	size_t nodes = (size_t)gossip_count(placement->gossip);
+	size_t nodes = (size_t)gossip_counted_nodes(placement->gossip);
 
 	if (!plan->mergers || plan->mergers >= nodes ||
 	    !mechanism_enabled(placement->without, MECHANISM_MERGER_BUDGET))
--- a/poison_sync.c
+++ b/poison_sync.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#include "parcel.h"
+#include "payload.h"
 #include "xmalloc.h"
 
 enum {
@@ -37,7 +37,7 @@
 			   .state = to->wants_reply && last,
 			   .hash = poison_digest(sync->poison, now) };
 
-	parcel_suspects(list, count, now, &body);
+	payload_encode_suspects(list, count, now, &body);
 	for (size_t i = 0; i < count; i++)
 		list[i]->announced = true;
 	msg.body = buf_str(&body);
@@ -140,7 +140,7 @@
 	size_t count;
 
 	apr_pool_create(&pool, sync->pool);
-	if (!parcel_open_suspects(msg->body, now, pool, &list, &count))
+	if (!payload_decode_suspects(msg->body, now, pool, &list, &count))
 		for (size_t i = 0; i < count; i++)
 			poison_merge(sync->poison, &list[i], msg->ran,
 				     store_fresh, now);
--- a/reader.c
+++ b/reader.c
@@ -2,38 +2,40 @@
 
 enum {
 	/*
-	 * A call waits this long at the store. One whose connection has gone
-	 * silent ends after this and the slack, and a new one brings the
-	 * change: well within the three seconds of a drain.
+	 * Long-poll time at the store. A call on a silent connection ends after
+	 * this plus the slack, and the next one gets the change well within the
+	 * 3 s of a drain.
 	 */
-	WATCH_US = 1200000,
+	WATCH_WAIT_US = 1200000,
 	WATCH_SLACK_US = 400000,
-	RANGE_US = 600000,
+	RANGE_TIMEOUT_US = 600000,
 	/*
-	 * A large configuration takes a small VM's link for a second and more,
-	 * beside its other work. Ended by the time that a call may wait, each
-	 * call failed, and a node that started got no configuration at all. A
-	 * call that brings bytes goes on; a silent connection is found as soon.
+	 * Transferring a large configuration takes more than a second on a
+	 * small VM's link. When the call's timeout also covered the transfer,
+	 * every call failed and a starting node never got a configuration. So a
+	 * transfer is ended by a stall, which detects a silent connection as
+	 * early, or by the timeout of the whole reply.
 	 */
-	REPLY_PAUSE_US = 600000,
-	REPLY_WHOLE_US = 5000000,
+	REPLY_STALL_US = 600000,
+	REPLY_TIMEOUT_US = 5000000,
 	/*
-	 * A call returns with the first change. When many targets come or go,
-	 * this pause lets a call bring several, at four calls a second at most.
+	 * A call returns on the first change. While many targets come or go,
+	 * this delay collects several changes per call and limits the rate to
+	 * four calls per second.
 	 */
-	WATCH_GAP_US = 250000,
-	/* After a failure, doubled with each in a row up to the most. */
-	PAUSE_US = 100000,
-	PAUSE_MOST_US = 400000,
-	/* After this long without reading the store is worth a try again. */
-	REST_US = 5000000,
+	WATCH_COALESCE_US = 250000,
+	/* Exponential backoff after consecutive failures. */
+	BACKOFF_US = 100000,
+	BACKOFF_MAX_US = 400000,
+	/* A node that has not read for this long starts without backoff. */
+	FAILURES_RESET_US = 5000000,
 };
 
 void reader_init(struct reader *reader, struct directory *dir,
 		 struct flow_effects *fx, int64_t now)
 {
 	*reader = (struct reader){
-		.dir = dir, .fx = fx, .next_at = now, .need_range = true
+		.dir = dir, .fx = fx, .next_at = now, .need_scan = true
 	};
 }
 
@@ -42,59 +44,61 @@
 	buf_free(&reader->after);
 }
 
-static struct flow_effect *call(struct reader *reader, enum store_call read)
+static struct flow_effect *start_call(struct reader *reader,
+				      enum store_call call)
 {
-	struct flow_effect *fx = flow_add(reader->fx, FLOW_READ);
+	struct flow_effect *fx = flow_add(reader->fx, FLOW_STORE_CALL);
 
-	metric_add(&reader->dir->notes->metrics, METRIC_STORE_CALLS);
-	fx->read = read;
-	fx->pause_us = REPLY_PAUSE_US;
-	fx->whole_us = REPLY_WHOLE_US;
+	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_CALLS);
+	fx->call = call;
+	fx->stall_us = REPLY_STALL_US;
+	fx->transfer_us = REPLY_TIMEOUT_US;
 	return fx;
 }
 
-static void call_range(struct reader *reader)
+static void start_range(struct reader *reader)
 {
 	const struct dialect *dialect = reader->dir->dialect;
-	struct flow_effect *fx = call(reader, STORE_RANGE);
+	struct flow_effect *fx = start_call(reader, STORE_RANGE);
 
 	reader->state = READER_RANGE;
-	fx->prefix = dialect->prefixes[reader->prefix];
+	fx->prefix = dialect->prefixes[reader->prefix_index];
 	fx->after = str_dup(reader->fx->pool, buf_str(&reader->after));
-	fx->timeout_us = RANGE_US;
+	fx->timeout_us = RANGE_TIMEOUT_US;
 }
 
-static void call_watch(struct reader *reader)
+static void start_watch(struct reader *reader)
 {
-	struct flow_effect *fx = call(reader, STORE_WATCH);
+	struct flow_effect *fx = start_call(reader, STORE_WATCH);
 
 	reader->state = READER_WATCH;
 	fx->revision = reader->dir->revision;
-	fx->time_left_us = WATCH_US;
-	fx->timeout_us = WATCH_US + WATCH_SLACK_US;
+	fx->time_left_us = WATCH_WAIT_US;
+	fx->timeout_us = WATCH_WAIT_US + WATCH_SLACK_US;
 }
 
-static void begin_range(struct reader *reader)
+static void begin_scan(struct reader *reader)
 {
-	reader->prefix = 0;
+	reader->prefix_index = 0;
 	reader->after.len = 0;
-	reader->first_revision = 0;
-	directory_round(reader->dir);
-	call_range(reader);
+	reader->scan_revision = 0;
+	directory_begin_scan(reader->dir);
+	start_range(reader);
 }
 
-void reader_active(struct reader *reader, bool active, int64_t now)
+void reader_set_active(struct reader *reader, bool active, int64_t now)
 {
-	if (active && !reader->active && now > reader->idle_since + REST_US)
+	if (active && !reader->active &&
+	    now > reader->idle_since + FAILURES_RESET_US)
 		reader->failures = 0;
 	if (!active && reader->active)
 		reader->idle_since = now;
-	/* Other nodes have sent all that a read of all keys would. */
+	/* Other nodes have already sent all keys. */
 	if (reader->dir->revision)
-		reader->need_range = reader->need_range && !reader->dir->synced;
+		reader->need_scan = reader->need_scan && !reader->dir->synced;
 	if (active != reader->active)
-		note_belief(
-			reader->dir->notes, now,
+		decision_log_state(
+			reader->dir->dlog, now,
 			active ? "reads the store" : "follows a reader",
 			STR("store"),
 			active ? "it is this node's part, or nothing was heard"
@@ -108,107 +112,113 @@
 	if (!reader->active || reader->state != READER_IDLE ||
 	    now < reader->next_at)
 		return;
-	if (reader->need_range)
-		begin_range(reader);
+	if (reader->need_scan)
+		begin_scan(reader);
 	else
-		call_watch(reader);
+		start_watch(reader);
 }
 
-static void failed(struct reader *reader, const char *why, int64_t now)
+static void on_failure(struct reader *reader, const char *why, int64_t now)
 {
-	int64_t pause = PAUSE_US;
+	int64_t backoff = BACKOFF_US;
 
-	metric_add(&reader->dir->notes->metrics, METRIC_STORE_FAILED);
+	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_FAILED);
 	if (!reader->failures++)
-		note_belief(reader->dir->notes, now, "store lost", STR("store"),
-			    why, reader->dir->revision);
-	for (int i = 1; i < reader->failures && pause < PAUSE_MOST_US; i++)
-		pause *= 2;
+		decision_log_state(reader->dir->dlog, now, "store lost",
+				   STR("store"), why, reader->dir->revision);
+	for (int i = 1; i < reader->failures && backoff < BACKOFF_MAX_US; i++)
+		backoff *= 2;
 	balancer_on_store_lost(reader->dir->balancer, now);
 	reader->state = READER_IDLE;
-	reader->next_at = now + pause;
+	reader->next_at = now + backoff;
 }
 
-static void heard(struct reader *reader, int64_t now)
+static void on_success(struct reader *reader, int64_t now)
 {
 	if (reader->failures)
-		note_belief(reader->dir->notes, now, "store back", STR("store"),
-			    "it answers again", reader->dir->revision);
+		decision_log_state(reader->dir->dlog, now, "store back",
+				   STR("store"), "it answers again",
+				   reader->dir->revision);
 	reader->failures = 0;
 	reader->dir->read_at = now;
-	reader->dir->notes->read_at = now;
+	reader->dir->dlog->read_at = now;
 }
 
-static void took_page(struct reader *reader, const struct store_reply *page,
-		      int64_t now)
+static void apply_page(struct reader *reader, const struct store_reply *page,
+		       int64_t now)
 {
 	const struct dialect *dialect = reader->dir->dialect;
 
-	if (!reader->first_revision)
-		reader->first_revision = page->revision;
+	if (!reader->scan_revision)
+		reader->scan_revision = page->revision;
 	directory_apply(reader->dir, page->items, page->count, now);
 	reader->after.len = 0;
 	if (page->more && page->count) {
 		buf_str_add(&reader->after, page->items[page->count - 1].key);
-	} else if (++reader->prefix == dialect->nprefixes) {
+	} else if (++reader->prefix_index == dialect->nprefixes) {
 		/*
-		 * Pages are no snapshot: what changed after the first is taken
-		 * again from the changes since.
+		 * The pages are not one snapshot. Watching starts at the
+		 * revision of the first page, so that changes during the scan
+		 * are read again.
 		 */
-		directory_whole(reader->dir, reader->first_revision, now);
-		reader->need_range = false;
-		reader->whole = true;
+		directory_end_scan(reader->dir, reader->scan_revision, now);
+		reader->need_scan = false;
+		reader->complete = true;
 		reader->state = READER_IDLE;
 		reader->next_at = now;
 		return;
 	}
-	call_range(reader);
+	start_range(reader);
 }
 
-static void read_anew(struct reader *reader)
+static void restart_scan(struct reader *reader)
 {
-	reader->need_range = true;
+	reader->need_scan = true;
 	reader->dir->synced = false;
 }
 
-void reader_reply(struct reader *reader, const struct flow_store *reply,
+void reader_reply(struct reader *reader, const struct flow_store_reply *reply,
 		  int64_t now)
 {
 	if (reply->lost_history) {
-		read_anew(reader);
+		restart_scan(reader);
 		reader->state = READER_IDLE;
 		reader->next_at = now;
-		note_belief(reader->dir->notes, now, "store history lost",
-			    STR("store"), "all keys are read again",
-			    reader->dir->revision);
+		decision_log_state(reader->dir->dlog, now, "store history lost",
+				   STR("store"), "all keys are read again",
+				   reader->dir->revision);
 		return;
 	}
 	if (!reply->ok) {
-		/* A page of a read that broke off may be of another time. */
+		/*
+		 * Restart the scan: pages read before the failure may be of
+		 * another revision.
+		 */
 		if (reply->call == STORE_RANGE)
-			reader->need_range = true;
+			reader->need_scan = true;
 		/*
-		 * Several versions of a large configuration may not fit in one
-		 * reply. Asked for again they never would, and the node would
-		 * stay at the old one; the keys hold only the newest.
+		 * Several versions of a large configuration may exceed the size
+		 * limit of a reply. Repeating the call would fail forever and
+		 * leave the node at the old version; a scan returns only the
+		 * newest one.
 		 */
 		if (reply->unusable)
-			read_anew(reader);
-		failed(reader, reply->why, now);
+			restart_scan(reader);
+		on_failure(reader, reply->why, now);
 		return;
 	}
-	heard(reader, now);
+	on_success(reader, now);
 	if (reply->call == STORE_RANGE) {
-		took_page(reader, reply->reply, now);
+		apply_page(reader, reply->reply, now);
 		return;
 	}
 	directory_apply(reader->dir, reply->reply->items, reply->reply->count,
 			now);
 	if (reply->reply->revision > reader->dir->revision)
 		reader->dir->revision = reply->reply->revision;
-	reader->dir->notes->revision = reader->dir->revision;
+	reader->dir->dlog->revision = reader->dir->revision;
 	reader->state = READER_IDLE;
-	reader->next_at = now + (reply->reply->count ? WATCH_GAP_US : 0);
+	reader->next_at = now + (reply->reply->count ? WATCH_COALESCE_US : 0);
 }
 
 int64_t reader_wake_at(const struct reader *reader)
--- a/relay.c
+++ b/relay.c
@@ -61,7 +61,7 @@
 static bool delays_first_read(const struct relay *relay)
 {
 	return relay->first_start ||
-	       gossip_count(relay->gossip) > QUICK_NODES_MAX;
+	       gossip_counted_nodes(relay->gossip) > QUICK_NODES_MAX;
 }
 
 /* From then on the domain's reader reads the store if it has no items. */
@@ -85,8 +85,8 @@
 		return gossip_is_seed(relay->gossip) ||
 		       now >= fallback_start_at(relay) ||
 		       (now >= reader_start_at(relay) &&
-			gossip_reads(relay->gossip, now));
-	return gossip_reads(relay->gossip, now) ||
+			gossip_is_store_reader(relay->gossip, now));
+	return gossip_is_store_reader(relay->gossip, now) ||
 	       now - relay->dir->read_at >= STALE_US;
 }
 
@@ -112,7 +112,7 @@
 	struct buf items = { 0 };
 	struct str body;
 
-	directory_pack(relay->dir, since, &items);
+	directory_encode(relay->dir, since, &items);
 	body = str_dup(relay->fx->pool, buf_str(&items));
 	buf_free(&items);
 	return body;
@@ -170,13 +170,13 @@
 	bool read = should_read(relay, now);
 	struct member_entry *self = &relay->gossip->self;
 
-	reader_active(relay->reader, read, now);
+	reader_set_active(relay->reader, read, now);
 	self->revision = relay->dir->revision;
 	self->version = relay->dir->catalog ? relay->dir->catalog->version : 0;
 	if (relay->reader->failures)
-		self->state &= ~(uint32_t)MEMBER_READS;
+		self->state &= ~(uint32_t)MEMBER_STORE_REACHABLE;
 	else
-		self->state |= MEMBER_READS;
+		self->state |= MEMBER_STORE_REACHABLE;
 	if (!relay->dir->revision || now - relay->dir->read_at >= STALE_US)
 		request_items(relay, now);
 }
@@ -206,8 +206,9 @@
 	size_t reader = 0;
 	struct tree_node first;
 
-	tree[count++] = (struct tree_node){ self->ip,
-					    self->state & MEMBER_READS, NULL };
+	tree[count++] = (struct tree_node){
+		self->ip, self->state & MEMBER_STORE_REACHABLE, NULL
+	};
 	for (it = apr_hash_first(NULL, relay->gossip->members); it;
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
@@ -216,7 +217,8 @@
 		    count < TREE_NODES_MAX)
 			tree[count++] = (struct tree_node){
 				member->entry.ip,
-				member->entry.state & MEMBER_READS, member
+				member->entry.state & MEMBER_STORE_REACHABLE,
+				member
 			};
 	}
 	qsort(tree, count, sizeof(*tree), by_ip);
@@ -253,7 +255,8 @@
 
 void relay_on_read(struct relay *relay, int64_t now)
 {
-	if (!relay->dir->revision || !gossip_reads(relay->gossip, now))
+	if (!relay->dir->revision ||
+	    !gossip_is_store_reader(relay->gossip, now))
 		return;
 	relay_items(relay, relay->relayed_revision,
 		    pack_items(relay, relay->relayed_revision), now);
@@ -270,9 +273,10 @@
 	bool newer;
 
 	apr_pool_create(&pool, dir->pool);
-	if (parcel_open_items(msg->body, pool, &items, &count)) {
-		note_belief(dir->notes, now, "unusable", from,
-			    "its message cannot be decoded", msg->version);
+	if (payload_decode_items(msg->body, pool, &items, &count)) {
+		decision_log_state(dir->dlog, now, "unusable", from,
+				   "its message cannot be decoded",
+				   msg->version);
 		apr_pool_destroy(pool);
 		return;
 	}
@@ -294,8 +298,8 @@
 	dir->synced = true;
 	if (now - msg->fresh_us > dir->read_at)
 		dir->read_at = now - msg->fresh_us;
-	dir->notes->revision = dir->revision;
-	dir->notes->read_at = dir->read_at;
+	dir->dlog->revision = dir->revision;
+	dir->dlog->read_at = dir->read_at;
 	/* A reply to this node's own request is not relayed. */
 	if (newer && msg->state)
 		relay_items(relay, msg->key,
--- a/serve.c
+++ b/serve.c
@@ -71,18 +71,20 @@
 static void on_fetched(void *ctx, uint64_t id, const struct fetch_reply *reply)
 {
 	struct call *call = ctx;
-	struct fetched fetched = { .result = reply->result,
-				   .status = reply->status,
-				   .resent = reply->resent,
-				   .load = -1 };
+	struct fetch_response fetch_response = { .result = reply->result,
+						 .status = reply->status,
+						 .resent = reply->resent,
+						 .load = -1 };
 	struct buf rows = { 0 };
 
 	if (reply->result == FETCH_OK)
-		target_parse_reply(reply->body, reply->status, &fetched, &rows);
+		target_parse_reply(reply->body, reply->status, &fetch_response,
+				   &rows);
 	if (call->kind != FETCH_CANCEL)
-		dispatch(call->server, (struct event){ .type = EV_FETCHED,
-						       .id = id,
-						       .fetched = &fetched });
+		dispatch(call->server,
+			 (struct event){ .type = EV_FETCHED,
+					 .id = id,
+					 .fetch_response = &fetch_response });
 	buf_free(&rows);
 	free(call);
 }
@@ -124,7 +126,7 @@
 		event.type = EV_DOC;
 		event.body = reply->body;
 	} else if (reply->result == FETCH_OK && reply->status == 304) {
-		event.type = EV_DOC_SAME;
+		event.type = EV_DOC_UNCHANGED;
 	} else {
 		s->platform_index[id]++;
 	}
--- a/target.c
+++ b/target.c
@@ -48,35 +48,37 @@
 	return (uint64_t)json_integer_value(json_object_get(doc, key));
 }
 
-static void parse_fields(json_t *doc, struct fetched *fetched)
+static void parse_fields(json_t *doc, struct fetch_response *fetch_response)
 {
 	json_t *boot = json_object_get(doc, "boot");
 	json_t *load = json_object_get(doc, "load");
 
 	if (json_is_string(boot))
-		fetched->boot = str_hash(str_of(json_string_value(boot)));
+		fetch_response->boot =
+			str_hash(str_of(json_string_value(boot)));
 	if (json_is_integer(load))
-		fetched->load = (int)json_integer_value(load);
-	fetched->draining = json_is_true(json_object_get(doc, "draining"));
-	fetched->job = get_integer(doc, "job");
-	fetched->shard = (uint32_t)get_integer(doc, "shard");
-	fetched->version = get_integer(doc, "version");
+		fetch_response->load = (int)json_integer_value(load);
+	fetch_response->draining =
+		json_is_true(json_object_get(doc, "draining"));
+	fetch_response->job = get_integer(doc, "job");
+	fetch_response->shard = (uint32_t)get_integer(doc, "shard");
+	fetch_response->version = get_integer(doc, "version");
 }
 
-void target_parse_reply(struct str body, int status, struct fetched *fetched,
-			struct buf *rows)
+void target_parse_reply(struct str body, int status,
+			struct fetch_response *fetch_response, struct buf *rows)
 {
 	json_t *doc = json_loadb(body.ptr ? body.ptr : "", body.len,
 				 JSON_REJECT_DUPLICATES, NULL);
 
-	fetched->status = status;
-	fetched->load = -1;
+	fetch_response->status = status;
+	fetch_response->load = -1;
 	if (!json_is_object(doc)) {
-		fetched->result = FETCH_MALFORMED;
+		fetch_response->result = FETCH_MALFORMED;
 		json_decref(doc);
 		return;
 	}
-	parse_fields(doc, fetched);
+	parse_fields(doc, fetch_response);
 
 	json_t *list = json_object_get(doc, "rows");
 	json_t *entry = json_object_get(doc, "entry");
@@ -86,7 +88,7 @@
 	else if (json_is_object(entry))
 		append_json(entry, rows);
 	else if (status == 200 && !json_object_get(doc, "health"))
-		fetched->result = FETCH_MALFORMED;
-	fetched->body = buf_str(rows);
+		fetch_response->result = FETCH_MALFORMED;
+	fetch_response->body = buf_str(rows);
 	json_decref(doc);
 }
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -12,7 +12,7 @@
 #include <check.h>
 
 #include "../directory.h"
-#include "../parcel.h"
+#include "../payload.h"
 #include "../platform/platform.h"
 #include "../reader.h"
 #include "../wire.h"
@@ -43,7 +43,7 @@
 /** struct reading - a node's copy of what is published */
 struct reading {
 	struct flow_effects fx;
-	struct note_book notes;
+	struct decision_log dlog;
 	struct directory dir;
 };
 
@@ -52,9 +52,9 @@
 	struct reading *reading = apr_pcalloc(pool, sizeof(*reading));
 
 	flow_effects_init(&reading->fx, pool);
-	reading->notes.fx = &reading->fx;
+	reading->dlog.fx = &reading->fx;
 	directory_init(&reading->dir, pool, &platform_dialect,
-		       balancer_create(pool, STR("z"), 0), &reading->notes);
+		       balancer_create(pool, STR("z"), 0), &reading->dlog);
 	return reading;
 }
 
@@ -109,14 +109,15 @@
 	struct store_item *items;
 	size_t count;
 
-	directory_pack(&from->dir, 0, &body);
+	directory_encode(&from->dir, 0, &body);
 	msg.body = buf_str(&body);
 	frame_encode(&frame, &bytes);
 	ck_assert_uint_le(bytes.len, FRAME_MAX);
 	ck_assert_int_eq(frame_decode(buf_str(&bytes), &got, &err),
 			 (int)bytes.len);
 	ck_assert_int_eq(
-		parcel_open_items(got.msgs[0].body, pool, &items, &count), 0);
+		payload_decode_items(got.msgs[0].body, pool, &items, &count),
+		0);
 	directory_apply(&to->dir, items, count, 1000);
 	frame_free(&got);
 	buf_free(&body);
@@ -139,8 +140,8 @@
 	ck_assert_uint_eq(reader->dir.catalog->version, 2);
 	ck_assert_uint_eq(other->dir.catalog->version, 2);
 	snprintf(last, sizeof(last), "/r%d/x", routes - 1);
-	ck_assert_ptr_nonnull(catalog_route(other->dir.catalog,
-					    STR("h.example"), str_of(last)));
+	ck_assert_ptr_nonnull(catalog_find_route(
+		other->dir.catalog, STR("h.example"), str_of(last)));
 	reading_destroy(other);
 	reading_destroy(reader);
 }
@@ -193,7 +194,7 @@
 	path = reading->dir.catalog->routes[0].prefix;
 	ck_assert_uint_eq(path.len, 4002);
 	ck_assert_ptr_nonnull(
-		catalog_route(reading->dir.catalog, STR("h"), path));
+		catalog_find_route(reading->dir.catalog, STR("h"), path));
 	buf_free(&text);
 	reading_destroy(reading);
 }
@@ -206,7 +207,7 @@
 	*now += 1000000;
 	reader_tick(reader, *now);
 	for (size_t i = 0; i < reader->fx->count; i++)
-		if (reader->fx->list[i].type == FLOW_READ)
+		if (reader->fx->list[i].type == FLOW_STORE_CALL)
 			return reader->fx->list[i];
 	ck_abort_msg("no call to the store");
 }
@@ -220,9 +221,9 @@
 	struct store_reply reply = { .items = &item,
 				     .count = text.len > 0,
 				     .revision = revision };
-	struct flow_store store = { .call = STORE_RANGE,
-				    .ok = true,
-				    .reply = &reply };
+	struct flow_store_reply store = { .call = STORE_RANGE,
+					  .ok = true,
+					  .reply = &reply };
 
 	reader_reply(reader, &store, now);
 }
@@ -231,7 +232,7 @@
 {
 	struct flow_effect call = next_call(reader, now);
 
-	ck_assert_int_eq(call.read, STORE_RANGE);
+	ck_assert_int_eq(call.call, STORE_RANGE);
 	page(reader, config_text(version, 1, ""), (uint64_t)version, *now);
 	page(reader, (struct str){ 0 }, (uint64_t)version, *now);
 }
@@ -245,20 +246,22 @@
 START_TEST(test_changes_too_large)
 {
 	struct reading *reading = reading_create();
-	struct flow_store refused = { .call = STORE_WATCH,
-				      .unusable = true,
-				      .why = "reply is no HTTP, or too large" };
+	struct flow_store_reply refused = {
+		.call = STORE_WATCH,
+		.unusable = true,
+		.why = "reply is no HTTP, or too large"
+	};
 	struct reader reader;
 	int64_t now = 1000000;
 
 	reader_init(&reader, &reading->dir, &reading->fx, now);
-	reader_active(&reader, true, now);
+	reader_set_active(&reader, true, now);
 	read_all(&reader, 1, &now);
-	ck_assert_int_eq(next_call(&reader, &now).read, STORE_WATCH);
+	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_reply(&reader, &refused, now);
 	read_all(&reader, 2, &now);
 	ck_assert_uint_eq(reading->dir.catalog->version, 2);
-	ck_assert_int_eq(next_call(&reader, &now).read, STORE_WATCH);
+	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_destroy(&reader);
 	reading_destroy(reading);
 }
@@ -292,10 +295,10 @@
 		told = told || reading->fx.list[i].severe;
 	ck_assert(told);
 	ck_assert_uint_eq(reading->dir.catalog->version, 1);
-	ck_assert_uint_eq(reading->dir.catalog_at, 1);
-	ck_assert_uint_eq(reading->dir.seen_at, 2);
+	ck_assert_uint_eq(reading->dir.catalog_revision, 1);
+	ck_assert_uint_eq(reading->dir.seen_revision, 2);
 	ck_assert_uint_eq(
-		reading->notes.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
+		reading->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
 		1);
 	reading_destroy(reading);
 }
@@ -322,16 +325,16 @@
 	size_t count;
 
 	publish(reading, config_text(1, 1400, ""), 1);
-	directory_pack(&reading->dir, 0, &body);
+	directory_encode(&reading->dir, 0, &body);
 	ck_assert_int_eq(
-		parcel_open_items(buf_str(&body), pool, &items, &count), 0);
+		payload_decode_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
 	if (damage->at)
 		body.ptr[damage->at > 0 ? (size_t)damage->at
 					: body.len - (size_t)-damage->at] ^= 85;
 	body.len -= (size_t)damage->cut;
 	ck_assert_int_eq(
-		parcel_open_items(buf_str(&body), pool, &items, &count),
+		payload_decode_items(buf_str(&body), pool, &items, &count),
 		ERR_FRAME);
 	ck_assert_uint_eq(count, 0);
 	buf_free(&body);
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -6,7 +6,7 @@
 
 #include "../config.h"
 #include "../doc.h"
-#include "../parcel.h"
+#include "../payload.h"
 #include "../platform/platform.h"
 #include "../request.h"
 #include "../target.h"
@@ -59,7 +59,7 @@
 
 static void take_reply(struct str in)
 {
-	struct fetched got = { .result = FETCH_OK };
+	struct fetch_response got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
 	target_parse_reply(in, 200, &got, &rows);
@@ -70,7 +70,7 @@
 {
 	struct vm_settings settings;
 	struct store_reply page;
-	struct fact fact;
+	struct store_record record;
 	struct error err;
 	apr_pool_t *pool;
 
@@ -78,9 +78,9 @@
 	platform_settings(in, &settings, pool, &err);
 	platform_range_reply(in, &page, pool, &err);
 	platform_watch_reply(in, &page, pool, &err);
-	platform_decode(STR("servers/i"), in, &fact, pool, &err);
-	if (!platform_decode(STR("op/config"), in, &fact, pool, &err))
-		catalog_unref(fact.catalog);
+	platform_decode(STR("servers/i"), in, &record, pool, &err);
+	if (!platform_decode(STR("op/config"), in, &record, pool, &err))
+		catalog_unref(record.catalog);
 	apr_pool_destroy(pool);
 }
 
@@ -93,9 +93,9 @@
 	size_t count;
 
 	apr_pool_create(&pool, NULL);
-	parcel_open_members(in, pool, &members, &count);
-	parcel_open_items(in, pool, &items, &count);
-	parcel_open_request(in, pool, &request);
+	payload_decode_members(in, pool, &members, &count);
+	payload_decode_items(in, pool, &items, &count);
+	payload_decode_request(in, pool, &request);
 	apr_pool_destroy(pool);
 }
 
--- a/tests/stage_targets.c
+++ b/tests/stage_targets.c
@@ -297,7 +297,7 @@
 	t = &stage->targets[happen->target];
 	if (!str_eq(happen->expected, str_of(t->id))) {
 		reply.status = 421;
-		reply.other = reply.not_run = true;
+		reply.wrong_target = reply.not_run = true;
 		reply_later(stage, happen, STAGE_FAR_US, reply);
 		return;
 	}
@@ -342,11 +342,11 @@
 	struct store_item items[STAGE_STORE_KEYS];
 	struct store_reply reply = { .items = items,
 				     .revision = stage->revision };
-	struct flow_store store = { .call = happen->call,
-				    .ok = happen->store_ok &&
-					  !stage->store_down,
-				    .why = "no reply in time",
-				    .reply = &reply };
+	struct flow_store_reply store = { .call = happen->call,
+					  .ok = happen->store_ok &&
+						!stage->store_down,
+					  .why = "no reply in time",
+					  .reply = &reply };
 
 	for (int i = 0; i < stage->store->nkeys; i++) {
 		const struct store_key *key = &stage->store->keys[i];
@@ -361,5 +361,6 @@
 					     key->deleted };
 	}
 	stage_feed(stage, happen->node,
-		   (struct flow_event){ .type = FLOW_STORE, .store = &store });
+		   (struct flow_event){ .type = FLOW_STORE_REPLY,
+					.store = &store });
 }
--- a/tier.c
+++ b/tier.c
@@ -5,7 +5,7 @@
 #include "batch.h"
 #include "forward.h"
 #include "merge.h"
-#include "note.h"
+#include "decision_log.h"
 #include "placement.h"
 #include "poison_sync.h"
 #include "reader.h"
@@ -55,7 +55,7 @@
 	uint64_t incarnation;
 	struct flow_effects *fx;
 	struct balancer *balancer;
-	struct note_book notes;
+	struct decision_log dlog;
 	struct directory dir;
 	struct reader reader;
 	struct calls calls;
@@ -111,13 +111,15 @@
 	struct member_info *members[EVIDENCE_DIRECT_MAX];
 	size_t count;
 
-	count = gossip_near(&tier->gossip,
-			    use_relays ? EVIDENCE_FANOUT : EVIDENCE_DIRECT_MAX,
-			    now, members);
+	count = gossip_pick_near(&tier->gossip,
+				 use_relays ? EVIDENCE_FANOUT
+					    : EVIDENCE_DIRECT_MAX,
+				 now, members);
 	send_to_members(tier, *msg, use_relays, members, count);
 	if (near)
 		return;
-	count = gossip_far(&tier->gossip, EVIDENCE_DIRECT_MAX, now, members);
+	count = gossip_pick_far(&tier->gossip, EVIDENCE_DIRECT_MAX, now,
+				members);
 	send_to_members(tier, *msg, true, members, count);
 }
 
@@ -138,11 +140,11 @@
 	tier->dialect = opt->dialect;
 	tier->incarnation = opt->incarnation;
 	tier->fx = fx;
-	tier->notes.fx = fx;
+	tier->dlog.fx = fx;
 	tier->balancer = balancer_create(tier->pool, tier->settings.domain,
 					 opt->without);
 	directory_init(&tier->dir, tier->pool, opt->dialect, tier->balancer,
-		       &tier->notes);
+		       &tier->dlog);
 	tier->dir.cold_factor = tier->settings.cold_factor;
 	tier->dir.cold_extra = tier->settings.cold_extra;
 	reader_init(&tier->reader, &tier->dir, fx, now);
@@ -152,7 +154,7 @@
 		budget_create(tier->pool, budget_rules_of(&tier->settings));
 	tier->calls.without = opt->without;
 	tier->calls.fx = fx;
-	tier->calls.notes = &tier->notes;
+	tier->calls.dlog = &tier->dlog;
 	gossip_init(&tier->gossip, tier->pool, fx, &tier->calls.rng,
 		    &tier->settings, opt->incarnation, now);
 	relay_init(
@@ -206,7 +208,7 @@
 	fx->body = str_dup(tier->fx->pool, buf_str(&body));
 	fx->retry_after_us = retry_after_us;
 	if (status == 503)
-		metric_add(&tier->notes.metrics, METRIC_REFUSED);
+		metric_add(&tier->dlog.metrics, METRIC_REFUSED);
 	buf_free(&body);
 }
 
@@ -227,8 +229,8 @@
 {
 	const struct flow_request *request = event->request;
 
-	return event->held_us && request->time_left_us >= 0 &&
-	       request->time_left_us <= event->held_us;
+	return event->queued_us && request->time_left_us >= 0 &&
+	       request->time_left_us <= event->queued_us;
 }
 
 /* Return: true if the request is blocked; the call has ended then. */
@@ -239,7 +241,7 @@
 
 	if (poison_verdict(&tier->poison, &call->print) != POISON_BLOCKED)
 		return false;
-	metric_add(&tier->notes.metrics, METRIC_BLOCKED);
+	metric_add(&tier->dlog.metrics, METRIC_BLOCKED);
 	trial_refusal_reason(&tier->calls, call, &why, &retry_us);
 	call_refuse(&tier->calls, call, 503, why, retry_us);
 	return true;
@@ -263,8 +265,9 @@
 		return;
 	}
 	if (copy.time_left_us >= 0)
-		copy.time_left_us -= event->held_us;
-	route = catalog_route(tier->dir.catalog, request->host, request->uri);
+		copy.time_left_us -= event->queued_us;
+	route = catalog_find_route(tier->dir.catalog, request->host,
+				   request->uri);
 	if (!route) {
 		refuse_early(tier, event->id, 404, ERR_NOT_FOUND,
 			     "no route for this host and path", 0);
@@ -298,18 +301,19 @@
 		return;
 	tier->ready = ready;
 	fx = flow_add(tier->fx, FLOW_READY);
-	fx->on = ready;
+	fx->ready = ready;
 	if (ready)
-		tier->gossip.self.state |= MEMBER_SERVES;
+		tier->gossip.self.state |= MEMBER_SERVING;
 	else
-		tier->gossip.self.state |= MEMBER_LEAVES;
+		tier->gossip.self.state |= MEMBER_LEAVING;
 	/* Other nodes must not send shards to a node that is about to exit. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
-	note_belief(&tier->notes, tier->calls.now, "ready",
-		    ready ? STR("yes") : STR("no"),
-		    ready ? "a configuration is in force" : "planned stop",
-		    tier->notes.version);
+	decision_log_state(&tier->dlog, tier->calls.now, "ready",
+			   ready ? STR("yes") : STR("no"),
+			   ready ? "a configuration is in force"
+				 : "planned stop",
+			   tier->dlog.version);
 }
 
 static void emit_limits(struct tier *tier)
@@ -348,8 +352,8 @@
 	budget_rules(tier->calls.budget, budget_rules_of(settings));
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
-	gossip_seeds(&tier->gossip, settings);
-	directory_bounds(&tier->dir, tier->dir.nodes, tier->dir.near);
+	gossip_set_seeds(&tier->gossip, settings);
+	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near);
 }
 
 /* Other nodes. */
@@ -366,16 +370,17 @@
 	const struct msg *msg = event->msg;
 	struct flow_effect *fx;
 
-	int64_t delay_us =
-		gossip_delay(&tier->gossip, event->from, event->incarnation,
-			     event->sent_us, event->now);
+	int64_t delay_us = gossip_excess_delay(&tier->gossip, event->from,
+					       event->incarnation,
+					       event->sent_us, event->now);
 
-	if (delay_us < event->held_us)
-		delay_us = event->held_us;
-	gossip_heard(&tier->gossip, event->from);
+	if (delay_us < event->queued_us)
+		delay_us = event->queued_us;
+	gossip_mark_answered(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
-		gossip_msg(&tier->gossip, event->from, msg->body, event->now);
+		gossip_receive(&tier->gossip, event->from, msg->body,
+			       event->now);
 		poison_sync_on_digest(&tier->poison_sync, event->from,
 				      msg->hash, event->now);
 		break;
@@ -423,16 +428,16 @@
 
 static void update_node_count(struct tier *tier)
 {
-	int nodes = gossip_count(&tier->gossip);
+	int nodes = gossip_counted_nodes(&tier->gossip);
 	bool discovery_done =
 		tier->calls.now - tier->gossip.started_at > DISCOVERY_US;
 	int near = discovery_done ? tier->gossip.near_counted : 0;
 
 	if (nodes == tier->dir.nodes && near == tier->dir.near)
 		return;
-	note_belief(&tier->notes, tier->calls.now, "nodes", STR("all"),
-		    "membership changed", (uint64_t)nodes);
-	directory_bounds(&tier->dir, nodes, near);
+	decision_log_state(&tier->dlog, tier->calls.now, "nodes", STR("all"),
+			   "membership changed", (uint64_t)nodes);
+	directory_set_nodes(&tier->dir, nodes, near);
 	tier->placement.discovery_done = discovery_done;
 	placement_invalidate(&tier->placement);
 	budget_set_nodes(tier->calls.budget, nodes);
@@ -482,7 +487,7 @@
 	case FLOW_REPLY:
 		call_on_reply(&tier->calls, event->id, event->reply);
 		break;
-	case FLOW_STORE:
+	case FLOW_STORE_REPLY:
 		reader_reply(&tier->reader, event->store, event->now);
 		if (event->store->ok && tier->reader.state == READER_IDLE)
 			relay_on_read(&tier->relay, event->now);
@@ -543,7 +548,7 @@
 	struct poison_counts counts = poison_count(&tier->poison);
 	const struct directory *dir = &tier->dir;
 
-	metrics_text(&tier->notes.metrics, out);
+	metrics_text(&tier->dlog.metrics, out);
 	metric_gauge(out, "open_calls", "requests without an answer",
 		     tier->calls.nopen);
 	metric_gauge(out, "waiting",
@@ -557,11 +562,11 @@
 		     dir->catalog ? dir->catalog->version : 0);
 	metric_gauge(out, "configuration_revision",
 		     "of the store, at which it was published",
-		     dir->catalog_at);
+		     dir->catalog_revision);
 	metric_gauge(out, "configuration_seen_revision",
 		     "of the newest one that was read; above the one in force: "
 		     "it was refused",
-		     dir->seen_at);
+		     dir->seen_revision);
 	metric_gauge(out, "configuration_seen_bytes", "size of that one",
 		     dir->seen_bytes);
 	metric_gauge(out, "store_revision", "that this node knows",
--- a/trial.c
+++ b/trial.c
@@ -1,7 +1,7 @@
 #include "trial.h"
 
 #include "gossip.h"
-#include "note.h"
+#include "decision_log.h"
 
 enum {
 	/* A reply takes two hops; by then the owner is down or unreachable. */
@@ -23,7 +23,7 @@
 {
 	call->trial.state = granted ? TRIAL_GRANTED : TRIAL_DENIED;
 	if (granted)
-		metric_add(&calls->notes->metrics, METRIC_TRIALS);
+		metric_add(&calls->dlog->metrics, METRIC_TRIALS);
 }
 
 static void request_lease(struct calls *calls, struct call *call)
