--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -8,7 +8,7 @@
 
 #include <check.h>
 
-#include "stage.h"
+#include "sim.h"
 #include "suite.h"
 
 #define COUNT(table) (int)(sizeof(table) / sizeof(*(table)))
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -11,7 +11,7 @@
 #include <check.h>
 
 #include "../mechanism.h"
-#include "stage.h"
+#include "sim.h"
 #include "suite.h"
 
 enum {
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -8,7 +8,7 @@
 
 #include <check.h>
 
-#include "stage.h"
+#include "sim.h"
 #include "suite.h"
 
 enum {
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -12,7 +12,7 @@
 
 #include <apr_general.h>
 
-#include "stage.h"
+#include "sim.h"
 
 enum {
 	STEPS = 250,
--- a/tests/stage.c
+++ b/tests/sim.c
@@ -1,10 +1,10 @@
-#include "stage_inner.h"
+#include "sim_internal.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "../xmalloc.h"
-#include "stage_dialect.h"
+#include "sim_dialect.h"
 
 enum {
 	PEER_PORT = 7000,
--- a/tests/stage_dialect.c
+++ b/tests/sim_dialect.c
@@ -1,9 +1,9 @@
-#include "stage_dialect.h"
+#include "sim_dialect.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "stage.h"
+#include "sim.h"
 
 enum {
 	GOAL_US = 100000,
--- a/tests/stage_inner.h
+++ b/tests/sim_internal.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "stage.h"
+#include "sim.h"
 
 /**
  * DOC: what the parts of the stage share
  *
- * stage.c has the nodes and the time, stage_targets.c the store and the
+ * sim.c has the nodes and the time, sim_targets.c the store and the
  * targets.
  */
 
--- a/tests/stage_targets.c
+++ b/tests/sim_targets.c
@@ -1,4 +1,4 @@
-#include "stage_inner.h"
+#include "sim_internal.h"
 
 #include <stdio.h>
 #include <stdlib.h>
