--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -53,7 +53,7 @@
  */
 struct deadly_case {
 	const char *name;
-	enum stage_kind kind;
+	enum sim_request_kind kind;
 	int at_once;
 	int callers;
 	int requests;
@@ -66,33 +66,33 @@
 };
 
 static const struct deadly_case deadly_cases[] = {
-	{ .name = "over all shards", .kind = STAGE_MERGED },
-	{ .name = "nearly all shards needed", .kind = STAGE_STRICT },
-	{ .name = "one target", .kind = STAGE_SINGLE },
-	{ .name = "once only", .kind = STAGE_ONCE },
-	{ .name = "at four nodes at once", .kind = STAGE_MERGED, .at_once = 4 },
+	{ .name = "over all shards", .kind = SIM_MERGED },
+	{ .name = "nearly all shards needed", .kind = SIM_STRICT },
+	{ .name = "one target", .kind = SIM_SINGLE },
+	{ .name = "once only", .kind = SIM_ONCE },
+	{ .name = "at four nodes at once", .kind = SIM_MERGED, .at_once = 4 },
 	{ .name = "one target, four at once",
-	  .kind = STAGE_SINGLE,
+	  .kind = SIM_SINGLE,
 	  .at_once = 4 },
-	{ .name = "from many addresses", .kind = STAGE_MERGED, .callers = 5 },
-	{ .name = "three by turns", .kind = STAGE_MERGED, .requests = 3 },
-	{ .name = "nodes restart in turn", .kind = STAGE_MERGED, .kill = true },
-	{ .name = "all nodes restart", .kind = STAGE_MERGED, .power = 5 },
-	{ .name = "a domain is cut off", .kind = STAGE_MERGED, .cut = 1 },
+	{ .name = "from many addresses", .kind = SIM_MERGED, .callers = 5 },
+	{ .name = "three by turns", .kind = SIM_MERGED, .requests = 3 },
+	{ .name = "nodes restart in turn", .kind = SIM_MERGED, .kill = true },
+	{ .name = "all nodes restart", .kind = SIM_MERGED, .power = 5 },
+	{ .name = "a domain is cut off", .kind = SIM_MERGED, .cut = 1 },
 	{ .name = "targets keep their ids",
-	  .kind = STAGE_MERGED,
+	  .kind = SIM_MERGED,
 	  .keeps_id = true },
 	/* Its hedges are out before the first target has crashed. */
-	{ .name = "slow to crash", .kind = STAGE_MERGED, .runs_us = 40000 },
+	{ .name = "slow to crash", .kind = SIM_MERGED, .runs_us = 40000 },
 	{ .name = "slow, all nodes restart",
-	  .kind = STAGE_MERGED,
+	  .kind = SIM_MERGED,
 	  .runs_us = 40000,
 	  .power = 5 },
 	{ .name = "slow, four at once",
-	  .kind = STAGE_MERGED,
+	  .kind = SIM_MERGED,
 	  .at_once = 4,
 	  .runs_us = 40000 },
-	{ .name = "many nodes", .kind = STAGE_MERGED, .nodes = 40 },
+	{ .name = "many nodes", .kind = SIM_MERGED, .nodes = 40 },
 };
 
 static int or_one(int number)
@@ -100,105 +100,104 @@
 	return number ? number : 1;
 }
 
-static struct stage *begin(int nodes, uint64_t seed)
+static struct sim *begin(int nodes, uint64_t seed)
 {
-	struct stage *stage = stage_create(nodes, seed);
-
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_DOMAINS; i++)
-		stage_add_target(stage, "single", i % STAGE_DOMAINS);
-	stage_configure(stage, 1);
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	return stage;
+	struct sim *sim = sim_create(nodes, seed);
+
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
+		sim_add_target(sim, "single", i % SIM_DOMAINS);
+	sim_configure(sim, 1);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	return sim;
 }
 
-static int ask(struct stage *stage, int node, enum stage_kind kind,
-	       const struct stage_asked *asked)
+static int ask(struct sim *sim, int node, enum sim_request_kind kind,
+	       const struct sim_request_spec *spec)
 {
-	return stage_ask(stage, node % stage->nnodes, kind, asked);
+	return sim_call_with(sim, node % sim->nnodes, kind, spec);
 }
 
-static int ask_deadly(struct stage *stage, const struct deadly_case *c,
-		      int round, int node)
+static int ask_deadly(struct sim *sim, const struct deadly_case *c, int round,
+		      int node)
 {
 	int number = round % or_one(c->requests) + 1;
 	char caller[24];
 	char query[24];
-	struct stage_asked asked = { query, caller, number };
+	struct sim_request_spec spec = { query, caller, number };
 
 	snprintf(caller, sizeof(caller), "10.1.0.%d",
 		 round % or_one(c->callers));
 	snprintf(query, sizeof(query), "deadly%d", number);
-	return ask(stage, node, c->kind, &asked);
+	return ask(sim, node, c->kind, &spec);
 }
 
 /* A request that nobody asked before. */
-static int ask_other(struct stage *stage, int node, enum stage_kind kind)
+static int ask_other(struct sim *sim, int node, enum sim_request_kind kind)
 {
 	char query[24];
-	struct stage_asked asked = { query, "10.2.0.1", 0 };
+	struct sim_request_spec spec = { query, "10.2.0.1", 0 };
 
-	snprintf(query, sizeof(query), "other%d", stage->ncalls);
-	return ask(stage, node, kind, &asked);
+	snprintf(query, sizeof(query), "other%d", sim->ncalls);
+	return ask(sim, node, kind, &spec);
 }
 
 /* It comes, and its caller tries once more where that failed. */
-static void come(struct stage *stage, const struct deadly_case *c, int round)
+static void come(struct sim *sim, const struct deadly_case *c, int round)
 {
-	int first = stage->ncalls;
+	int first = sim->ncalls;
 
 	for (int i = 0; i < or_one(c->at_once); i++)
-		ask_deadly(stage, c, round, round + i);
-	stage_run(stage, 2 * RETRY_US);
+		ask_deadly(sim, c, round, round + i);
+	sim_run(sim, 2 * RETRY_US);
 	for (int i = 0; i < or_one(c->at_once); i++)
-		if (stage->calls[first + i].status != 200)
-			ask_deadly(stage, c, round, round + i + 1);
-	stage_run(stage, RETRY_US);
+		if (sim->calls[first + i].status != 200)
+			ask_deadly(sim, c, round, round + i + 1);
+	sim_run(sim, RETRY_US);
 }
 
-static void lose_power(struct stage *stage)
+static void lose_power(struct sim *sim)
 {
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_kill_node(stage, i);
-	stage_run(stage, SECOND_US);
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_kill_node(sim, i);
+	sim_run(sim, SECOND_US);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_start_node(sim, i);
+	sim_settle(sim);
 }
 
 /* Nodes of one failure domain reach no others, but targets and store. */
-static void cut_domain(struct stage *stage, bool cut)
+static void cut_domain(struct sim *sim, bool cut)
 {
-	for (int i = 0; i < stage->nnodes; i++)
-		for (int j = 0; j < stage->nnodes; j++)
-			if (stage->nodes[i].domain != stage->nodes[j].domain &&
-			    (!stage->nodes[i].domain ||
-			     !stage->nodes[j].domain))
-				stage->links_cut[i][j] = cut;
+	for (int i = 0; i < sim->nnodes; i++)
+		for (int j = 0; j < sim->nnodes; j++)
+			if (sim->nodes[i].domain != sim->nodes[j].domain &&
+			    (!sim->nodes[i].domain || !sim->nodes[j].domain))
+				sim->links_cut[i][j] = cut;
 }
 
-static void restart_one(struct stage *stage, int node)
+static void restart_one(struct sim *sim, int node)
 {
-	stage_kill_node(stage, node);
-	stage_run(stage, SECOND_US / 2);
-	stage_start_node(stage, node);
+	sim_kill_node(sim, node);
+	sim_run(sim, SECOND_US / 2);
+	sim_start_node(sim, node);
 }
 
 /* Others ask all the while. Return: how many were not served. */
-static int ask_others(struct stage *stage, int64_t us)
+static int ask_others(struct sim *sim, int64_t us)
 {
-	int first = stage->ncalls;
+	int first = sim->ncalls;
 	int failed = 0;
 
 	for (int64_t t = 0; t < us; t += SECOND_US / 10) {
-		ask_other(stage, stage->ncalls, STAGE_MERGED);
-		ask_other(stage, stage->ncalls, STAGE_SINGLE);
-		stage_run(stage, SECOND_US / 10);
+		ask_other(sim, sim->ncalls, SIM_MERGED);
+		ask_other(sim, sim->ncalls, SIM_SINGLE);
+		sim_run(sim, SECOND_US / 10);
 	}
-	for (int i = first; i < stage->ncalls - 2; i++)
-		failed += stage->calls[i].status != 200;
+	for (int i = first; i < sim->ncalls - 2; i++)
+		failed += sim->calls[i].status != 200;
 	return failed;
 }
 
@@ -215,24 +214,24 @@
 START_TEST(test_deadly_request_is_stopped)
 {
 	const struct deadly_case *c = &deadly_cases[_i];
-	struct stage *stage = begin(c->nodes ? c->nodes : NODES, 11);
+	struct sim *sim = begin(c->nodes ? c->nodes : NODES, 11);
 	int failed = 0;
 	int first = 0;
 
-	stage->deadly_us = c->runs_us;
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].keeps_id = c->keeps_id;
+	sim->deadly_run_us = c->runs_us;
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].keeps_id = c->keeps_id;
 	for (int round = 0; round < ROUNDS; round++) {
 		if (c->power && round == c->power)
-			lose_power(stage);
+			lose_power(sim);
 		if (c->cut)
-			cut_domain(stage, round == c->cut);
-		come(stage, c, round);
+			cut_domain(sim, round == c->cut);
+		come(sim, c, round);
 		if (c->kill)
-			restart_one(stage, (round + 1) % NODES);
+			restart_one(sim, (round + 1) % NODES);
 		if (!round)
-			first = stage->deadly[1].crashes;
-		failed = ask_others(stage, ROUND_US);
+			first = sim->deadly[1].crashes;
+		failed = ask_others(sim, ROUND_US);
 		if (round >= or_one(c->requests) * CALM_ROUND &&
 		    round != c->power && !c->kill)
 			ck_assert_msg(!failed, "%s: round %d: %d others failed",
@@ -240,24 +239,24 @@
 	}
 	if (getenv("TELL"))
 		printf("%-28s late %d, ended %d, %d after the first round\n",
-		       c->name, stage->deadly[1].late, stage->deadly[1].crashes,
-		       stage->deadly[1].crashes - first);
+		       c->name, sim->deadly[1].late, sim->deadly[1].crashes,
+		       sim->deadly[1].crashes - first);
 	if (is_calm(c))
-		ck_assert_msg(stage->deadly[1].crashes - first <= LATER_MOST,
+		ck_assert_msg(sim->deadly[1].crashes - first <= LATER_MOST,
 			      "%s: %d targets ended after the first round",
-			      c->name, stage->deadly[1].crashes - first);
+			      c->name, sim->deadly[1].crashes - first);
 	for (int i = 1; i <= or_one(c->requests); i++)
-		ck_assert_msg(stage->deadly[i].crashes >= 3 &&
-				      stage->deadly[i].late <= LATE_MOST,
+		ck_assert_msg(sim->deadly[i].crashes >= 3 &&
+				      sim->deadly[i].late <= LATE_MOST,
 			      "%s: %d late tries, %d targets ended", c->name,
-			      stage->deadly[i].late, stage->deadly[i].crashes);
-	stage_destroy(stage);
+			      sim->deadly[i].late, sim->deadly[i].crashes);
+	sim_destroy(sim);
 }
 END_TEST
 
 /**
  * struct other_case - a harmless request beside a deadly one
- * @asked: what it asks, and who asks it
+ * @spec: what it asks, and who asks it
  * @gap_us: it is asked all the while, so often; 0: only as below
  * @since: it is asked from this round on
  *
@@ -266,40 +265,39 @@
  */
 struct other_case {
 	const char *name;
-	enum stage_kind kind;
-	struct stage_asked asked;
+	enum sim_request_kind kind;
+	struct sim_request_spec spec;
 	int64_t gap_us;
 	int since;
 };
 
 static const struct other_case other_cases[] = {
-	{ "asked seldom", STAGE_MERGED, { "other", "10.2.0.1", 0 }, 0, 0 },
-	{ "asked often", STAGE_MERGED, { "other", "10.2.0.1", 0 }, 50000, 0 },
+	{ "asked seldom", SIM_MERGED, { "other", "10.2.0.1", 0 }, 0, 0 },
+	{ "asked often", SIM_MERGED, { "other", "10.2.0.1", 0 }, 50000, 0 },
 	{ "asked seldom, one target",
-	  STAGE_SINGLE,
+	  SIM_SINGLE,
 	  { "other", "10.2.0.1", 0 },
 	  0,
 	  0 },
 	{ "the same of another caller",
-	  STAGE_MERGED,
+	  SIM_MERGED,
 	  { "deadly1", "10.2.0.1", 0 },
 	  0,
 	  0 },
-	{ "the same, later", STAGE_MERGED, { "deadly1", "10.2.0.1", 0 }, 0, 5 },
+	{ "the same, later", SIM_MERGED, { "deadly1", "10.2.0.1", 0 }, 0, 5 },
 	{ "another of its caller",
-	  STAGE_MERGED,
+	  SIM_MERGED,
 	  { "other", "10.1.0.0", 0 },
 	  0,
 	  0 },
 };
 
-static void check_whole(struct stage *stage, const struct other_case *o,
-			int round)
+static void check_whole(struct sim *sim, const struct other_case *o, int round)
 {
-	int index = ask(stage, round, o->kind, &o->asked);
-	const struct stage_call *call = &stage->calls[index];
+	int index = ask(sim, round, o->kind, &o->spec);
+	const struct sim_call *call = &sim->calls[index];
 
-	stage_run(stage, SECOND_US / 2);
+	sim_run(sim, SECOND_US / 2);
 	ck_assert_msg(call->status == 200 && !call->missing,
 		      "%s: round %d: status %d", o->name, round, call->status);
 }
@@ -313,25 +311,25 @@
 {
 	const struct other_case *o = &other_cases[_i];
 	const struct deadly_case c = { .name = "beside", .kind = o->kind };
-	struct stage *stage = begin(NODES, 11);
+	struct sim *sim = begin(NODES, 11);
 
 	for (int round = 0; round < ROUNDS; round++) {
-		ask_deadly(stage, &c, round, round);
-		stage_run(stage, BEFORE_CRASH_US);
+		ask_deadly(sim, &c, round, round);
+		sim_run(sim, BEFORE_CRASH_US);
 		for (int i = 0; i < NODES && round >= o->since; i++)
-			ask(stage, i, o->kind, &o->asked);
+			ask(sim, i, o->kind, &o->spec);
 		for (int64_t t = 0; o->gap_us && t < ROUND_US / 2;
 		     t += o->gap_us) {
-			ask(stage, stage->ncalls, o->kind, &o->asked);
-			stage_run(stage, o->gap_us);
+			ask(sim, sim->ncalls, o->kind, &o->spec);
+			sim_run(sim, o->gap_us);
 		}
-		stage_run(stage, ROUND_US / 2);
+		sim_run(sim, ROUND_US / 2);
 		if (round >= o->since)
-			check_whole(stage, o, round);
-		stage_run(stage, ROUND_US / 2);
+			check_whole(sim, o, round);
+		sim_run(sim, ROUND_US / 2);
 	}
-	ck_assert_int_le(stage->deadly[1].late, LATE_MOST);
-	stage_destroy(stage);
+	ck_assert_int_le(sim->deadly[1].late, LATE_MOST);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -345,29 +343,28 @@
 	const char *name;
 	bool domains;
 	int64_t gap_us;
-	enum stage_kind kind;
+	enum sim_request_kind kind;
 	int64_t often_us;
 };
 
 static const struct crash_case crash_cases[] = {
-	{ "three domains in a row", true, 500000, STAGE_MERGED, 20000 },
-	{ "three domains in a row, seldom", true, 500000, STAGE_MERGED,
-	  400000 },
-	{ "domains all the time", true, 2000000, STAGE_STRICT, 100000 },
-	{ "domains, one target", true, 2000000, STAGE_SINGLE, 20000 },
-	{ "targets restart in turn", false, 100000, STAGE_MERGED, 20000 },
-	{ "in turn, one target", false, 100000, STAGE_SINGLE, 20000 },
+	{ "three domains in a row", true, 500000, SIM_MERGED, 20000 },
+	{ "three domains in a row, seldom", true, 500000, SIM_MERGED, 400000 },
+	{ "domains all the time", true, 2000000, SIM_STRICT, 100000 },
+	{ "domains, one target", true, 2000000, SIM_SINGLE, 20000 },
+	{ "targets restart in turn", false, 100000, SIM_MERGED, 20000 },
+	{ "in turn, one target", false, 100000, SIM_SINGLE, 20000 },
 };
 
-static void crash_some(struct stage *stage, const struct crash_case *c, int n)
+static void crash_some(struct sim *sim, const struct crash_case *c, int n)
 {
 	if (!c->domains) {
-		stage_crash(stage, n % stage->ntargets);
+		sim_crash_target(sim, n % sim->ntargets);
 		return;
 	}
-	for (int i = 0; i < stage->ntargets; i++)
-		if (stage->targets[i].domain == n % STAGE_DOMAINS)
-			stage_crash(stage, i);
+	for (int i = 0; i < sim->ntargets; i++)
+		if (sim->targets[i].domain == n % SIM_DOMAINS)
+			sim_crash_target(sim, i);
 }
 
 /*
@@ -377,31 +374,30 @@
 START_TEST(test_crashes_of_other_causes)
 {
 	const struct crash_case *c = &crash_cases[_i];
-	struct stage_asked asked = { "popular", "10.2.0.1", 0 };
-	struct stage *stage = begin(NODES, 11);
-	int64_t next = stage->now;
+	struct sim_request_spec spec = { "popular", "10.2.0.1", 0 };
+	struct sim *sim = begin(NODES, 11);
+	int64_t next = sim->now;
 	int n = 0;
 	int index;
 
 	for (int64_t t = 0; t < 12 * (int64_t)SECOND_US; t += c->often_us) {
-		ask(stage, stage->ncalls, c->kind, &asked);
-		stage_run(stage, c->often_us / 2);
-		if (stage->now >= next) {
-			crash_some(stage, c, n++);
-			next = stage->now + c->gap_us;
+		ask(sim, sim->ncalls, c->kind, &spec);
+		sim_run(sim, c->often_us / 2);
+		if (sim->now >= next) {
+			crash_some(sim, c, n++);
+			next = sim->now + c->gap_us;
 		}
-		stage_run(stage, c->often_us / 2);
+		sim_run(sim, c->often_us / 2);
 	}
 	/* Targets are back, and their entries too. */
-	stage_run(stage, ROUND_US);
+	sim_run(sim, ROUND_US);
 	for (int i = 0; i < NODES; i++) {
-		index = ask(stage, i, c->kind, &asked);
-		stage_run(stage, SECOND_US / 2);
-		ck_assert_msg(stage->calls[index].status == 200,
-			      "%s: status %d", c->name,
-			      stage->calls[index].status);
+		index = ask(sim, i, c->kind, &spec);
+		sim_run(sim, SECOND_US / 2);
+		ck_assert_msg(sim->calls[index].status == 200, "%s: status %d",
+			      c->name, sim->calls[index].status);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -411,36 +407,36 @@
  */
 START_TEST(test_broken_connections_are_no_crashes)
 {
-	static const enum stage_kind kinds[] = { STAGE_MERGED, STAGE_SINGLE,
-						 STAGE_ONCE };
-	struct stage_asked asked = { "seldom", "10.2.0.1", 0 };
-	struct stage *stage = begin(NODES, 11);
+	static const enum sim_request_kind kinds[] = { SIM_MERGED, SIM_SINGLE,
+						       SIM_ONCE };
+	struct sim_request_spec spec = { "seldom", "10.2.0.1", 0 };
+	struct sim *sim = begin(NODES, 11);
 	int index;
 
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].lose = 1;
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].reply_loss = 1;
 	for (int i = 0; i < NODES; i++) {
-		ask(stage, i, kinds[_i], &asked);
-		stage_run(stage, SECOND_US);
+		ask(sim, i, kinds[_i], &spec);
+		sim_run(sim, SECOND_US);
 	}
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].lose = 0;
-	stage_run(stage, 16 * SECOND_US);
-	index = ask(stage, 0, kinds[_i], &asked);
-	stage_run(stage, SECOND_US);
-	ck_assert_int_eq(stage->calls[index].status, 200);
-	stage_destroy(stage);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].reply_loss = 0;
+	sim_run(sim, 16 * SECOND_US);
+	index = ask(sim, 0, kinds[_i], &spec);
+	sim_run(sim, SECOND_US);
+	ck_assert_int_eq(sim->calls[index].status, 200);
+	sim_destroy(sim);
 }
 END_TEST
 
-static bool knows_suspect(struct stage *stage, int node)
+static bool knows_suspect(struct sim *sim, int node)
 {
 	static const char suspect[] = "\nwasabimoor_suspect_requests 1\n";
 	static const char blocked[] = "\nwasabimoor_blocked_requests 1\n";
 	struct buf text = { 0 };
 	bool knows;
 
-	tier_metrics(stage->nodes[node].tier, &text);
+	tier_metrics(sim->nodes[node].tier, &text);
 	knows = memmem(text.ptr, text.len, suspect, sizeof(suspect) - 1) ||
 		memmem(text.ptr, text.len, blocked, sizeof(blocked) - 1);
 	buf_free(&text);
@@ -467,19 +463,19 @@
 START_TEST(test_evidence_reaches_all_nodes)
 {
 	const struct spread_case *c = &spread_cases[_i];
-	static const struct deadly_case once = { .kind = STAGE_MERGED };
-	struct stage *stage = begin(c->nodes, 11);
+	static const struct deadly_case once = { .kind = SIM_MERGED };
+	struct sim *sim = begin(c->nodes, 11);
 	int call;
 
-	stage->deadly_us = c->runs_us;
-	call = ask_deadly(stage, &once, 0, 0);
-	while (!stage->calls[call].answered_at)
-		stage_run(stage, STEP_US);
-	stage_run(stage, TOLD_US);
-	for (int i = 0; i < stage->nnodes; i++)
-		ck_assert_msg(knows_suspect(stage, i), "node %d of %d", i,
-			      stage->nnodes);
-	stage_destroy(stage);
+	sim->deadly_run_us = c->runs_us;
+	call = ask_deadly(sim, &once, 0, 0);
+	while (!sim->calls[call].answered_at)
+		sim_run(sim, STEP_US);
+	sim_run(sim, TOLD_US);
+	for (int i = 0; i < sim->nnodes; i++)
+		ck_assert_msg(knows_suspect(sim, i), "node %d of %d", i,
+			      sim->nnodes);
+	sim_destroy(sim);
 }
 END_TEST
 
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -37,7 +37,7 @@
 struct pattern {
 	const char *name;
 	int rate;
-	void (*spoil)(struct stage *stage);
+	void (*spoil)(struct sim *sim);
 	double credit;
 	double failed;
 	double extra;
@@ -47,53 +47,53 @@
 /* Targets are added shard by shard: of a shard, 2 i and 2 i + 1. */
 
 /* One target of each shard rejects three of five requests, health good. */
-static void shed_across(struct stage *stage)
+static void shed_across(struct sim *sim)
 {
-	for (int i = 0; i < STAGE_SHARDS; i++)
-		stage->targets[2 * i + i % 2].shed = 0.6;
+	for (int i = 0; i < SIM_SHARDS; i++)
+		sim->targets[2 * i + i % 2].reject_rate = 0.6;
 }
 
 /* One target of each fourth shard takes eight times as long. */
-static void slow_across(struct stage *stage)
+static void slow_across(struct sim *sim)
 {
-	for (int i = 0; i < STAGE_SHARDS; i += 4)
-		stage->targets[2 * i].service_us = 8 * WORK_US;
+	for (int i = 0; i < SIM_SHARDS; i += 4)
+		sim->targets[2 * i].service_us = 8 * WORK_US;
 }
 
 /* Each target stands still for 150 ms each 3.6 s, at its own time. */
-static void pause_in_turn(struct stage *stage)
+static void pause_in_turn(struct sim *sim)
 {
 	static const int64_t every = 3600000;
 	static const int64_t length = 150000;
 
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++) {
-		int64_t at = stage->now + every - i * every / 29;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++) {
+		int64_t at = sim->now + every - i * every / 29;
 
 		if (at % every < length)
-			stage->targets[i].paused_until =
-				stage->now + length - at % every;
+			sim->targets[i].paused_until =
+				sim->now + length - at % every;
 	}
 }
 
-static void shed_and_pause(struct stage *stage)
+static void shed_and_pause(struct sim *sim)
 {
-	shed_across(stage);
-	pause_in_turn(stage);
+	shed_across(sim);
+	pause_in_turn(sim);
 }
 
 /* A burst: what is left of each fourth shard is just not enough for it. */
-static void slow_in_burst(struct stage *stage)
+static void slow_in_burst(struct sim *sim)
 {
-	for (int i = 0; i < STAGE_SHARDS; i += 4)
-		stage->targets[2 * i].service_us = 30 * WORK_US;
+	for (int i = 0; i < SIM_SHARDS; i += 4)
+		sim->targets[2 * i].service_us = 30 * WORK_US;
 }
 
 /* Both targets of two shards are so slow that there is no room for all. */
-static void short_of_room(struct stage *stage)
+static void short_of_room(struct sim *sim)
 {
-	for (int i = 0; i < 2 * STAGE_SHARDS; i += STAGE_SHARDS)
+	for (int i = 0; i < 2 * SIM_SHARDS; i += SIM_SHARDS)
 		for (int j = 0; j < 2; j++)
-			stage->targets[i + j].service_us = 12 * WORK_US;
+			sim->targets[i + j].service_us = 12 * WORK_US;
 }
 
 /*
@@ -101,23 +101,23 @@
  * domain that fewer nodes are beside. What is left can bear all; a node that
  * leaves it too few of its connections has shards wait for room there.
  */
-static void dark_domain(struct stage *stage)
+static void dark_domain(struct sim *sim)
 {
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++)
-		if (stage->targets[i].domain == 0)
-			stage->targets[i].silent = true;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++)
+		if (sim->targets[i].domain == 0)
+			sim->targets[i].silent = true;
 }
 
 /* All targets run requests and lose three of ten replies. */
-static void lose_all(struct stage *stage)
+static void lose_all(struct sim *sim)
 {
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++)
-		stage->targets[i].lose = 0.3;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++)
+		sim->targets[i].reply_loss = 0.3;
 }
 
-static void nothing(struct stage *stage)
+static void nothing(struct sim *sim)
 {
-	(void)stage;
+	(void)sim;
 }
 
 static const struct pattern patterns[] = {
@@ -136,48 +136,47 @@
 };
 
 /* Why callers got nothing, to begin a search with. */
-static void tell_failed(const struct stage *stage, int from)
+static void tell_failed(const struct sim *sim, int from)
 {
 	int told = 0;
 
-	for (int i = from; i < stage->ncalls && told < TOLD; i++)
-		if (stage->calls[i].status != 200 && ++told)
+	for (int i = from; i < sim->ncalls && told < TOLD; i++)
+		if (sim->calls[i].status != 200 && ++told)
 			printf("  question %d: status %d after %.1f ms\n", i,
-			       stage->calls[i].status,
-			       (stage->calls[i].answered_at -
-				stage->calls[i].start) /
+			       sim->calls[i].status,
+			       (sim->calls[i].answered_at -
+				sim->calls[i].start) /
 				       1000.0);
 }
 
-static struct stage *begin(bool small, uint32_t without)
+static struct sim *begin(bool small, uint32_t without)
 {
-	struct stage *stage = stage_create(NODES, 11);
+	struct sim *sim = sim_create(NODES, 11);
 
-	stage->without = without;
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++) {
-		stage->targets[i].slots = 2;
-		stage->targets[i].service_us = WORK_US;
+	sim->without = without;
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_SHARDS; i++) {
+		sim->targets[i].slots = 2;
+		sim->targets[i].service_us = WORK_US;
 	}
-	stage_configure(stage, 1);
+	sim_configure(sim, 1);
 	for (int i = 0; small && i < NODES; i++)
 		if (i % 3)
-			stage->nodes[i].settings.core = 0.05;
+			sim->nodes[i].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	return stage;
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	return sim;
 }
 
-static void load(struct stage *stage, const struct pattern *pattern,
-		 int64_t length)
+static void load(struct sim *sim, const struct pattern *pattern, int64_t length)
 {
 	int64_t gap = SECOND_US / pattern->rate;
 
 	for (int64_t at = 0; at < length; at += gap) {
-		pattern->spoil(stage);
-		stage_call(stage, stage->ncalls % NODES, STAGE_STRICT);
-		stage_run(stage, gap);
+		pattern->spoil(sim);
+		sim_call(sim, sim->ncalls % NODES, SIM_STRICT);
+		sim_run(sim, gap);
 	}
 }
 
@@ -191,14 +190,14 @@
 	double extra;
 };
 
-static struct result judge(const struct stage *stage, int from)
+static struct result judge(const struct sim *sim, int from)
 {
 	struct result result = { 0 };
-	int count = stage->ncalls - from;
+	int count = sim->ncalls - from;
 
-	for (int i = from; i < stage->ncalls; i++) {
-		const struct stage_call *call = &stage->calls[i];
-		double share = (double)call->parts / STAGE_SHARDS;
+	for (int i = from; i < sim->ncalls; i++) {
+		const struct sim_call *call = &sim->calls[i];
+		double share = (double)call->parts / SIM_SHARDS;
 
 		if (call->status != 200)
 			result.failed += 1.0 / count;
@@ -211,27 +210,27 @@
 /* Plays @pattern without some mechanisms. */
 static struct result play(const struct pattern *pattern, uint32_t without)
 {
-	struct stage *stage = begin(pattern->small, without);
+	struct sim *sim = begin(pattern->small, without);
 	/* The log of one question, by its number. */
 	const char *traced = getenv("TRACE");
 	struct result result;
 	int from;
 
 	if (traced)
-		stage->traced = atoi(traced);
-	load(stage, pattern, LEARN_US);
-	from = stage->ncalls;
-	stage->first_sends = stage->extra_sends = 0;
-	load(stage, pattern, JUDGED_US);
-	stage_run(stage, 2 * SECOND_US);
-	result = judge(stage, from);
-	result.extra = 100.0 * stage->extra_sends / stage->first_sends;
+		sim->traced_call = atoi(traced);
+	load(sim, pattern, LEARN_US);
+	from = sim->ncalls;
+	sim->first_sends = sim->extra_sends = 0;
+	load(sim, pattern, JUDGED_US);
+	sim_run(sim, 2 * SECOND_US);
+	result = judge(sim, from);
+	result.extra = 100.0 * sim->extra_sends / sim->first_sends;
 	printf("%-24s credit %.3f, failed %.3f, retries %.1f %%\n",
 	       pattern->name, result.credit, result.failed, result.extra);
 	if (!without)
-		tell_failed(stage, from);
+		tell_failed(sim, from);
 	fflush(stdout);
-	stage_destroy(stage);
+	sim_destroy(sim);
 	return result;
 }
 
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -16,73 +16,73 @@
 	SECOND_US = 1000000,
 	NODES = 6,
 	NINE = 9,
-	MANY = STAGE_NODES,
-	FULL = STAGE_SHARDS,
+	MANY = SIM_NODES_MAX,
+	FULL = SIM_SHARDS,
 };
 
-static struct stage *begin(int nodes)
+static struct sim *begin(int nodes)
 {
-	struct stage *stage = stage_create(nodes, 7);
+	struct sim *sim = sim_create(nodes, 7);
 
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_DOMAINS; i++)
-		stage_add_target(stage, "single", i % STAGE_DOMAINS);
-	stage_configure(stage, 1);
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
+		sim_add_target(sim, "single", i % SIM_DOMAINS);
+	sim_configure(sim, 1);
 	for (int i = 0; i < nodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	return stage;
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	return sim;
 }
 
 /* All nodes are without power for a second; the test starts them anew. */
-static void lose_power(struct stage *stage, int nodes)
+static void lose_power(struct sim *sim, int nodes)
 {
 	for (int i = 0; i < nodes; i++)
-		stage_kill_node(stage, i);
-	stage_run(stage, SECOND_US);
+		sim_kill_node(sim, i);
+	sim_run(sim, SECOND_US);
 }
 
-static int64_t took(const struct stage_call *call)
+static int64_t took(const struct sim_call *call)
 {
 	return call->answered_at - call->start;
 }
 
-static int most_targets_of_a_shard(const struct stage_call *call)
+static int most_targets_of_a_shard(const struct sim_call *call)
 {
 	int most = 0;
 
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++)
+	for (int i = 0; i < 2 * SIM_SHARDS; i++)
 		if (call->targets_of_shard[i] > most)
 			most = call->targets_of_shard[i];
 	return most;
 }
 
-static void check_merged(const struct stage_call *call, size_t parts)
+static void check_merged(const struct sim_call *call, size_t parts)
 {
 	ck_assert_int_eq(call->status, 200);
 	ck_assert_uint_eq(call->parts, parts);
 	ck_assert_uint_eq(call->missing, FULL - parts);
 	ck_assert(!call->duplicate_part);
 	ck_assert(!call->foreign_part);
-	ck_assert(!call->not_greatest);
+	ck_assert(!call->unsorted);
 	ck_assert_int_le(most_targets_of_a_shard(call), 2);
 }
 
 /* Nothing fails: each node answers each kind, whole and in time. */
 START_TEST(test_calm)
 {
-	struct stage *stage = begin(NODES);
-	int merged = stage_call(stage, _i, STAGE_MERGED);
-	int single = stage_call(stage, _i, STAGE_SINGLE);
-	int once = stage_call(stage, _i, STAGE_ONCE);
+	struct sim *sim = begin(NODES);
+	int merged = sim_call(sim, _i, SIM_MERGED);
+	int single = sim_call(sim, _i, SIM_SINGLE);
+	int once = sim_call(sim, _i, SIM_ONCE);
 
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[merged], FULL);
-	ck_assert_int_le(took(&stage->calls[merged]), GOAL_US / 2);
-	ck_assert_int_eq(stage->calls[single].status, 200);
-	ck_assert_int_eq(stage->calls[once].status, 200);
-	ck_assert_int_eq(stage->calls[once].runs, 1);
-	stage_destroy(stage);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[merged], FULL);
+	ck_assert_int_le(took(&sim->calls[merged]), GOAL_US / 2);
+	ck_assert_int_eq(sim->calls[single].status, 200);
+	ck_assert_int_eq(sim->calls[once].status, 200);
+	ck_assert_int_eq(sim->calls[once].runs, 1);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -93,21 +93,21 @@
  */
 START_TEST(test_paused_targets)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int first;
 	int second;
 
 	for (int i = 0; i < 2 * FULL; i += 6)
-		stage->targets[i].paused_until = stage->now + 3 * GOAL_US;
-	first = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, GOAL_US);
-	second = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[first], FULL);
-	check_merged(&stage->calls[second], FULL);
-	ck_assert_int_le(took(&stage->calls[first]), GOAL_US);
-	ck_assert_int_le(took(&stage->calls[second]), GOAL_US / 2);
-	stage_destroy(stage);
+		sim->targets[i].paused_until = sim->now + 3 * GOAL_US;
+	first = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, GOAL_US);
+	second = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[first], FULL);
+	check_merged(&sim->calls[second], FULL);
+	ck_assert_int_le(took(&sim->calls[first]), GOAL_US);
+	ck_assert_int_le(took(&sim->calls[second]), GOAL_US / 2);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -134,22 +134,22 @@
 START_TEST(test_missing_shards)
 {
 	const struct gap *gap = &gaps[_i];
-	struct stage *stage = begin(NODES);
-	struct stage_call *call;
+	struct sim *sim = begin(NODES);
+	struct sim_call *call;
 	int warm;
 	int index;
 
 	for (int i = 0; i < 2 * gap->shards; i++) {
-		stage->targets[i].silent = gap->silent;
-		stage->targets[i].up = gap->silent;
+		sim->targets[i].silent = gap->silent;
+		sim->targets[i].up = gap->silent;
 	}
 	/* What is refused once is known to be down for the next. */
-	warm = stage_call(stage, 2, STAGE_MERGED);
-	stage_run(stage, GOAL_US / 4);
-	index = stage_call(stage, 2, STAGE_MERGED);
-	stage_run(stage, 3 * SECOND_US);
-	call = &stage->calls[index];
-	ck_assert_int_ne(stage->calls[warm].status, 0);
+	warm = sim_call(sim, 2, SIM_MERGED);
+	sim_run(sim, GOAL_US / 4);
+	index = sim_call(sim, 2, SIM_MERGED);
+	sim_run(sim, 3 * SECOND_US);
+	call = &sim->calls[index];
+	ck_assert_int_ne(sim->calls[warm].status, 0);
 	ck_assert_int_eq(call->status, gap->status);
 	if (gap->status == 200)
 		check_merged(call, (size_t)(FULL - gap->shards));
@@ -159,15 +159,15 @@
 		ck_assert_int_gt(call->retry_after_us, 0);
 		ck_assert_int_eq(call->runs, 0);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
 /** struct once_case - what the targets do, and what the caller may hear */
 struct once_case {
 	const char *name;
-	double shed;
-	double lose;
+	double reject_rate;
+	double reply_loss;
 	bool down;
 	int status;
 	int runs;
@@ -186,21 +186,21 @@
 START_TEST(test_once)
 {
 	const struct once_case *c = &once_cases[_i];
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int index;
 
-	for (int i = 2 * FULL; i < stage->ntargets; i++) {
-		stage->targets[i].shed = c->shed;
-		stage->targets[i].lose = c->lose;
-		stage->targets[i].up = !c->down;
+	for (int i = 2 * FULL; i < sim->ntargets; i++) {
+		sim->targets[i].reject_rate = c->reject_rate;
+		sim->targets[i].reply_loss = c->reply_loss;
+		sim->targets[i].up = !c->down;
 	}
-	index = stage_call(stage, 1, STAGE_ONCE);
-	stage_run(stage, 3 * SECOND_US);
-	ck_assert_int_eq(stage->calls[index].status, c->status);
-	ck_assert_int_eq(stage->calls[index].runs, c->runs);
+	index = sim_call(sim, 1, SIM_ONCE);
+	sim_run(sim, 3 * SECOND_US);
+	ck_assert_int_eq(sim->calls[index].status, c->status);
+	ck_assert_int_eq(sim->calls[index].runs, c->runs);
 	if (c->status == 503)
-		ck_assert_int_gt(stage->calls[index].retry_after_us, 0);
-	stage_destroy(stage);
+		ck_assert_int_gt(sim->calls[index].retry_after_us, 0);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -210,20 +210,20 @@
  */
 START_TEST(test_once_goes_on)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int served = 0;
 
-	for (int i = 2 * FULL; i < stage->ntargets - 1; i++)
-		stage->targets[i].shed = 0.4;
+	for (int i = 2 * FULL; i < sim->ntargets - 1; i++)
+		sim->targets[i].reject_rate = 0.4;
 	for (int i = 0; i < 20; i++) {
-		int index = stage_call(stage, 1, STAGE_ONCE);
+		int index = sim_call(sim, 1, SIM_ONCE);
 
-		stage_run(stage, SECOND_US);
-		served += stage->calls[index].status == 200;
-		ck_assert_int_le(stage->calls[index].runs, 1);
+		sim_run(sim, SECOND_US);
+		served += sim->calls[index].status == 200;
+		ck_assert_int_le(sim->calls[index].runs, 1);
 	}
 	ck_assert_int_ge(served, 15);
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -242,29 +242,28 @@
 };
 
 /* Each shard has a third target, so that three could be asked. */
-static struct stage *begin_with_three(void)
+static struct sim *begin_with_three(void)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 
-	for (int i = 0; i < STAGE_SHARDS; i++) {
+	for (int i = 0; i < SIM_SHARDS; i++) {
 		char service[16];
 
 		snprintf(service, sizeof(service), "s%d", i);
-		stage_add_target(stage, service, i % STAGE_DOMAINS);
+		sim_add_target(sim, service, i % SIM_DOMAINS);
 	}
-	stage_run(stage, 2 * SECOND_US);
-	return stage;
+	sim_run(sim, 2 * SECOND_US);
+	return sim;
 }
 
-static void strike(struct stage *stage, const struct node_fault *fault,
-		   int node)
+static void strike(struct sim *sim, const struct node_fault *fault, int node)
 {
 	if (fault->kill)
-		stage_kill_node(stage, node);
+		sim_kill_node(sim, node);
 	if (fault->freeze)
-		stage->nodes[node].frozen_until = stage->now + 2 * SECOND_US;
-	for (int i = 0; fault->cut && i < stage->nnodes; i++)
-		stage->links_cut[i][node] = stage->links_cut[node][i] = true;
+		sim->nodes[node].frozen_until = sim->now + 2 * SECOND_US;
+	for (int i = 0; fault->cut && i < sim->nnodes; i++)
+		sim->links_cut[i][node] = sim->links_cut[node][i] = true;
 }
 
 /*
@@ -274,27 +273,27 @@
  */
 START_TEST(test_merging_node_lost)
 {
-	struct stage *stage = begin_with_three();
-	int index = stage_call(stage, 0, STAGE_MERGED);
+	struct sim *sim = begin_with_three();
+	int index = sim_call(sim, 0, SIM_MERGED);
 	int next;
 
 	/* Long enough for the first sends of the others to be late. */
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].service_us = 30000;
-	stage_run(stage, 1200);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].service_us = 30000;
+	sim_run(sim, 1200);
 	for (int i = 1; i < NODES; i++)
-		strike(stage, &node_faults[_i], i);
-	stage_run(stage, SECOND_US / 2);
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].service_us = 8000;
-	next = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	ck_assert_int_eq(stage->calls[index].status, 200);
-	ck_assert_int_le(took(&stage->calls[index]), 3 * GOAL_US / 2);
-	ck_assert_int_le(most_targets_of_a_shard(&stage->calls[index]), 2);
-	check_merged(&stage->calls[next], FULL);
-	ck_assert_int_le(took(&stage->calls[next]), GOAL_US);
-	stage_destroy(stage);
+		strike(sim, &node_faults[_i], i);
+	sim_run(sim, SECOND_US / 2);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].service_us = 8000;
+	next = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	ck_assert_int_eq(sim->calls[index].status, 200);
+	ck_assert_int_le(took(&sim->calls[index]), 3 * GOAL_US / 2);
+	ck_assert_int_le(most_targets_of_a_shard(&sim->calls[index]), 2);
+	check_merged(&sim->calls[next], FULL);
+	ck_assert_int_le(took(&sim->calls[next]), GOAL_US);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -307,29 +306,29 @@
  */
 START_TEST(test_rest_handed_on)
 {
-	struct stage *stage = stage_create(NODES, 7);
-	struct stage_call *call;
+	struct sim *sim = sim_create(NODES, 7);
+	struct sim_call *call;
 	int index;
 
-	stage_add_targets(stage, "s", 2);
-	stage_configure(stage, 1);
-	stage->nodes[5].settings.core = 0.05;
+	sim_add_targets(sim, "s", 2);
+	sim_configure(sim, 1);
+	sim->nodes[5].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
+		sim_start_node(sim, i);
+	sim_settle(sim);
 	for (int i = FULL; i < 2 * FULL; i++)
-		stage->targets[i].paused_until = stage->now + 60000;
-	index = stage_call(stage, 5, STAGE_STRICT);
-	stage_run(stage, 45000);
-	stage_kill_node(stage, 2);
-	stage_run(stage, SECOND_US);
-	call = &stage->calls[index];
+		sim->targets[i].paused_until = sim->now + 60000;
+	index = sim_call(sim, 5, SIM_STRICT);
+	sim_run(sim, 45000);
+	sim_kill_node(sim, 2);
+	sim_run(sim, SECOND_US);
+	call = &sim->calls[index];
 	ck_assert_int_eq(call->status, 200);
 	ck_assert(!call->duplicate_part);
 	ck_assert(!call->foreign_part);
-	ck_assert(!call->not_greatest);
+	ck_assert(!call->unsorted);
 	ck_assert_int_ge(call->parts, FULL - 1);
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -339,19 +338,19 @@
  */
 START_TEST(test_stale_batch)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int index;
 	int sent;
 
 	for (int i = 1; i < NODES; i++)
-		stage->nodes[i].frozen_until = stage->now + 3 * SECOND_US;
-	index = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, 2 * SECOND_US);
-	sent = stage->first_sends + stage->extra_sends;
-	ck_assert_int_eq(stage->calls[index].status, 200);
-	stage_run(stage, 3 * SECOND_US);
-	ck_assert_int_eq(stage->first_sends + stage->extra_sends, sent);
-	stage_destroy(stage);
+		sim->nodes[i].frozen_until = sim->now + 3 * SECOND_US;
+	index = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, 2 * SECOND_US);
+	sent = sim->first_sends + sim->extra_sends;
+	ck_assert_int_eq(sim->calls[index].status, 200);
+	sim_run(sim, 3 * SECOND_US);
+	ck_assert_int_eq(sim->first_sends + sim->extra_sends, sent);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -361,30 +360,29 @@
  */
 START_TEST(test_reshard)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int calls[60];
 
-	stage_add_targets(stage, "r", 2);
-	stage_run(stage, SECOND_US);
+	sim_add_targets(sim, "r", 2);
+	sim_run(sim, SECOND_US);
 	for (int i = 0; i < 60; i++) {
 		if (i == 30)
-			stage_configure(stage, 10);
-		calls[i] = stage_call(stage, i % NODES, STAGE_MERGED);
-		stage_run(stage, 10000);
+			sim_configure(sim, 10);
+		calls[i] = sim_call(sim, i % NODES, SIM_MERGED);
+		sim_run(sim, 10000);
 	}
-	stage_run(stage, SECOND_US);
+	sim_run(sim, SECOND_US);
 	for (int i = 0; i < 60; i++)
-		check_merged(&stage->calls[calls[i]], FULL);
-	stage_destroy(stage);
+		check_merged(&sim->calls[calls[i]], FULL);
+	sim_destroy(sim);
 }
 END_TEST
 
-static void keep_asking(struct stage *stage, int64_t us)
+static void keep_asking(struct sim *sim, int64_t us)
 {
 	for (int64_t passed = 0; passed < us; passed += 20000) {
-		stage_call(stage, (int)(passed / 20000) % stage->nnodes,
-			   STAGE_MERGED);
-		stage_run(stage, 20000);
+		sim_call(sim, (int)(passed / 20000) % sim->nnodes, SIM_MERGED);
+		sim_run(sim, 20000);
 	}
 }
 
@@ -394,17 +392,17 @@
  */
 START_TEST(test_domain_out)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int index;
 
-	keep_asking(stage, SECOND_US);
-	stage_domain(stage, 1, true);
-	keep_asking(stage, 7 * SECOND_US);
-	ck_assert_int_eq(stage->late_for_out, 0);
-	index = stage_call(stage, 1, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	stage_destroy(stage);
+	keep_asking(sim, SECOND_US);
+	sim_set_domain_out(sim, 1, true);
+	keep_asking(sim, 7 * SECOND_US);
+	ck_assert_int_eq(sim->late_to_out_domain, 0);
+	index = sim_call(sim, 1, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], FULL);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -414,19 +412,19 @@
  */
 START_TEST(test_leaving)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 
 	for (int i = 0; i < NODES; i += 2)
-		stage->nodes[i].store_cut = true;
-	keep_asking(stage, SECOND_US);
-	stage->targets[0].leaving = true;
-	stage->targets[0].left_at = stage->now;
-	stage_publish(stage, 0);
-	stage->targets[3].left_at = stage->now;
-	stage_unpublish(stage, 3);
-	keep_asking(stage, 5 * SECOND_US);
-	ck_assert_int_eq(stage->late_for_left, 0);
-	stage_destroy(stage);
+		sim->nodes[i].store_cut = true;
+	keep_asking(sim, SECOND_US);
+	sim->targets[0].leaving = true;
+	sim->targets[0].leaving_since = sim->now;
+	sim_publish_target(sim, 0);
+	sim->targets[3].leaving_since = sim->now;
+	sim_unpublish_target(sim, 3);
+	keep_asking(sim, 5 * SECOND_US);
+	ck_assert_int_eq(sim->late_to_leaving, 0);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -436,21 +434,21 @@
  */
 START_TEST(test_configuration_from_peers)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int index;
 
-	stage_add_targets(stage, "r", 2);
-	stage_run(stage, SECOND_US);
-	stage->nodes[4].store_cut = true;
-	stage_run(stage, SECOND_US / 2);
-	stage_configure(stage, 11);
-	stage_run(stage, 3 * SECOND_US);
+	sim_add_targets(sim, "r", 2);
+	sim_run(sim, SECOND_US);
+	sim->nodes[4].store_cut = true;
+	sim_run(sim, SECOND_US / 2);
+	sim_configure(sim, 11);
+	sim_run(sim, 3 * SECOND_US);
 	for (int i = 0; i < 2 * FULL; i++)
-		stage->targets[i].up = false;
-	index = stage_call(stage, 4, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	stage_destroy(stage);
+		sim->targets[i].up = false;
+	index = sim_call(sim, 4, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], FULL);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -460,21 +458,21 @@
  */
 START_TEST(test_start_alone)
 {
-	struct stage *stage = stage_create(1, 3);
+	struct sim *sim = sim_create(1, 3);
 	int index;
 
-	stage->nodes[0].store_cut = true;
-	stage_configure(stage, 1);
-	stage_start_node(stage, 0);
-	stage_run(stage, 2 * SECOND_US);
-	index = stage_call(stage, 0, STAGE_ONCE);
-	ck_assert(!stage->nodes[0].ready);
-	ck_assert_int_eq(stage->calls[index].status, 503);
-	ck_assert_int_gt(stage->calls[index].retry_after_us, 0);
-	stage->nodes[0].store_cut = false;
-	stage_run(stage, SECOND_US);
-	ck_assert(stage->nodes[0].ready);
-	stage_destroy(stage);
+	sim->nodes[0].store_cut = true;
+	sim_configure(sim, 1);
+	sim_start_node(sim, 0);
+	sim_run(sim, 2 * SECOND_US);
+	index = sim_call(sim, 0, SIM_ONCE);
+	ck_assert(!sim->nodes[0].ready);
+	ck_assert_int_eq(sim->calls[index].status, 503);
+	ck_assert_int_gt(sim->calls[index].retry_after_us, 0);
+	sim->nodes[0].store_cut = false;
+	sim_run(sim, SECOND_US);
+	ck_assert(sim->nodes[0].ready);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -485,21 +483,21 @@
  */
 START_TEST(test_all_restart)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int index;
 
-	stage_add_targets(stage, "r", 2);
-	stage_run(stage, SECOND_US);
-	stage_configure(stage, 12);
-	lose_power(stage, NODES);
+	sim_add_targets(sim, "r", 2);
+	sim_run(sim, SECOND_US);
+	sim_configure(sim, 12);
+	lose_power(sim, NODES);
 	for (int i = 0; i < NODES; i++)
-		stage_start_node(stage, i);
-	stage_run(stage, 2 * SECOND_US);
-	index = stage_call(stage, 5, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	ck_assert_int_eq(stage->calls[index].targets_of_shard[0], 0);
-	stage_destroy(stage);
+		sim_start_node(sim, i);
+	sim_run(sim, 2 * SECOND_US);
+	index = sim_call(sim, 5, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], FULL);
+	ck_assert_int_eq(sim->calls[index].targets_of_shard[0], 0);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -511,17 +509,17 @@
  */
 START_TEST(test_quick_return)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	bool ready;
 
-	lose_power(stage, NODES);
+	lose_power(sim, NODES);
 	for (int i = NODES - 1; i >= 0; i--) {
-		stage_start_node(stage, i);
-		stage_run(stage, GOAL_US);
-		ready = stage->nodes[i].ready;
+		sim_start_node(sim, i);
+		sim_run(sim, GOAL_US);
+		ready = sim->nodes[i].ready;
 		ck_assert_msg(ready, "node %d is not ready", i);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -547,22 +545,22 @@
 START_TEST(test_refused_at_start)
 {
 	const struct start *start = &starts[_i];
-	struct stage *stage = stage_create(1, 7);
-	struct stage_call *call;
+	struct sim *sim = sim_create(1, 7);
+	struct sim_call *call;
 
-	stage->store_down = start->store_down;
-	stage_start_node(stage, 0);
-	stage_run(stage, start->after_us);
-	call = &stage->calls[stage_call(stage, 0, STAGE_MERGED)];
+	sim->store_down = start->store_down;
+	sim_start_node(sim, 0);
+	sim_run(sim, start->after_us);
+	call = &sim->calls[sim_call(sim, 0, SIM_MERGED)];
 	ck_assert_int_eq(call->status, 503);
 	ck_assert_int_ge(call->retry_after_us, start->least_us);
 	ck_assert_int_le(call->retry_after_us, start->most_us);
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
 /* Value of the gauge @name of a node. */
-static int gauge(const struct stage *stage, int node, const char *name)
+static int gauge(const struct sim *sim, int node, const char *name)
 {
 	struct buf text = { 0 };
 	char key[64];
@@ -570,7 +568,7 @@
 	int value = -1;
 
 	snprintf(key, sizeof(key), "\nwasabimoor_%s ", name);
-	tier_metrics(stage->nodes[node].tier, &text);
+	tier_metrics(sim->nodes[node].tier, &text);
 	buf_add(&text, "", 1);
 	line = strstr(text.ptr, key);
 	if (line)
@@ -586,17 +584,17 @@
  */
 START_TEST(test_hopeless_question)
 {
-	struct stage *stage = begin(NODES);
-	const struct stage_call *call;
+	struct sim *sim = begin(NODES);
+	const struct sim_call *call;
 
 	for (int i = 0; i < 4; i++)
-		stage->targets[i].up = false;
-	call = &stage->calls[stage_call(stage, 0, STAGE_STRICT)];
-	stage_run(stage, 2 * SECOND_US);
+		sim->targets[i].up = false;
+	call = &sim->calls[sim_call(sim, 0, SIM_STRICT)];
+	sim_run(sim, 2 * SECOND_US);
 	ck_assert_int_ne(call->status, 200);
 	ck_assert_int_le(took(call), GOAL_US);
 	ck_assert_int_gt(call->retry_after_us, 0);
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -607,21 +605,21 @@
  */
 START_TEST(test_waiters_do_not_pile_up)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 
-	stage_unpublish(stage, 0);
-	stage_unpublish(stage, 1);
+	sim_unpublish_target(sim, 0);
+	sim_unpublish_target(sim, 1);
 	for (int i = 0; i < 1200; i++) {
-		stage_call(stage, i % NODES, STAGE_MERGED);
-		stage_run(stage, SECOND_US / 40);
+		sim_call(sim, i % NODES, SIM_MERGED);
+		sim_run(sim, SECOND_US / 40);
 	}
 	for (int i = 0; i < NODES; i++) {
-		int waiting = gauge(stage, i, "waiting");
+		int waiting = gauge(sim, i, "waiting");
 
 		ck_assert_int_ge(waiting, 0);
 		ck_assert_int_le(waiting, 2 * FULL);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -633,17 +631,17 @@
  */
 START_TEST(test_nodes_meet_quickly)
 {
-	struct stage *stage = begin(NINE);
+	struct sim *sim = begin(NINE);
 
-	lose_power(stage, NINE);
+	lose_power(sim, NINE);
 	for (int i = NINE - 1; i >= 0; i--) {
-		stage_start_node(stage, i);
-		stage_run(stage, SECOND_US / 20);
+		sim_start_node(sim, i);
+		sim_run(sim, SECOND_US / 20);
 	}
-	stage_run(stage, SECOND_US * 8 / 10);
+	sim_run(sim, SECOND_US * 8 / 10);
 	for (int i = 0; i < NINE; i++)
-		ck_assert_int_eq(gauge(stage, i, "nodes"), NINE);
-	stage_destroy(stage);
+		ck_assert_int_eq(gauge(sim, i, "nodes"), NINE);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -654,19 +652,19 @@
  */
 START_TEST(test_planned_stop)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 	int index;
 
-	stage_stop_node(stage, 3);
-	ck_assert(!stage->nodes[3].ready);
-	stage_run(stage, 100000);
-	index = stage_call(stage, 3, STAGE_MERGED);
-	stage_run(stage, 2 * SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	ck_assert(!stage->nodes[3].exited);
-	stage_run(stage, 2 * SECOND_US);
-	ck_assert(stage->nodes[3].exited);
-	stage_destroy(stage);
+	sim_stop_node(sim, 3);
+	ck_assert(!sim->nodes[3].ready);
+	sim_run(sim, 100000);
+	index = sim_call(sim, 3, SIM_MERGED);
+	sim_run(sim, 2 * SECOND_US);
+	check_merged(&sim->calls[index], FULL);
+	ck_assert(!sim->nodes[3].exited);
+	sim_run(sim, 2 * SECOND_US);
+	ck_assert(sim->nodes[3].exited);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -676,18 +674,17 @@
  */
 START_TEST(test_shared_retry_bound)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 
 	for (int i = 0; i < 2 * FULL; i++)
-		stage->targets[i].shed = i % 5 ? 0.66 : 0;
+		sim->targets[i].reject_rate = i % 5 ? 0.66 : 0;
 	for (int i = 0; i < 500; i++) {
-		stage_call(stage, i % NODES, STAGE_MERGED);
-		stage_run(stage, 20000);
+		sim_call(sim, i % NODES, SIM_MERGED);
+		sim_run(sim, 20000);
 	}
-	ck_assert_int_gt(stage->first_sends, 0);
-	ck_assert_int_le(stage->extra_sends,
-			 stage->first_sends / 5 + 60 * FULL);
-	stage_destroy(stage);
+	ck_assert_int_gt(sim->first_sends, 0);
+	ck_assert_int_le(sim->extra_sends, sim->first_sends / 5 + 60 * FULL);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -698,20 +695,20 @@
  */
 START_TEST(test_many_start_anew)
 {
-	struct stage *stage = begin(MANY);
+	struct sim *sim = begin(MANY);
 	uint64_t before;
 
-	lose_power(stage, MANY);
-	before = stage->store_calls;
+	lose_power(sim, MANY);
+	before = sim->store_calls;
 	for (int i = 0; i < MANY; i++) {
-		stage_start_node(stage, i);
-		stage_run(stage, SECOND_US / 3 / MANY);
+		sim_start_node(sim, i);
+		sim_run(sim, SECOND_US / 3 / MANY);
 	}
-	ck_assert_uint_le(stage->store_calls - before, 4 * STAGE_DOMAINS);
-	stage_run(stage, SECOND_US);
+	ck_assert_uint_le(sim->store_calls - before, 4 * SIM_DOMAINS);
+	sim_run(sim, SECOND_US);
 	for (int i = 0; i < MANY; i++)
-		ck_assert_msg(stage->nodes[i].ready, "node %d", i);
-	stage_destroy(stage);
+		ck_assert_msg(sim->nodes[i].ready, "node %d", i);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -723,28 +720,27 @@
  */
 START_TEST(test_retry_bound_after_start)
 {
-	struct stage *stage = begin(NINE);
+	struct sim *sim = begin(NINE);
 
 	for (int i = 0; i < 2 * FULL; i++)
-		stage->targets[i].shed = 0.5;
+		sim->targets[i].reject_rate = 0.5;
 	for (int i = 0; i < NINE; i++) {
-		stage_kill_node(stage, i);
-		stage->nodes[i].settings.core = i < 3 ? 0.25 : 0.05;
+		sim_kill_node(sim, i);
+		sim->nodes[i].settings.core = i < 3 ? 0.25 : 0.05;
 	}
-	stage_run(stage, SECOND_US);
+	sim_run(sim, SECOND_US);
 	for (int i = NINE - 1; i >= 0; i--) {
-		stage_start_node(stage, i);
-		stage_run(stage, GOAL_US);
+		sim_start_node(sim, i);
+		sim_run(sim, GOAL_US);
 	}
-	stage->first_sends = stage->extra_sends = 0;
+	sim->first_sends = sim->extra_sends = 0;
 	for (int i = 0; i < 300; i++) {
-		stage_call(stage, i % NINE, STAGE_MERGED);
-		stage_run(stage, 30000);
+		sim_call(sim, i % NINE, SIM_MERGED);
+		sim_run(sim, 30000);
 	}
-	ck_assert_int_gt(stage->first_sends, 0);
-	ck_assert_int_le(stage->extra_sends,
-			 stage->first_sends / 5 + 60 * FULL);
-	stage_destroy(stage);
+	ck_assert_int_gt(sim->first_sends, 0);
+	ck_assert_int_le(sim->extra_sends, sim->first_sends / 5 + 60 * FULL);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -754,13 +750,13 @@
  */
 START_TEST(test_store_calls)
 {
-	struct stage *stage = begin(9);
-	uint64_t before = stage->store_calls;
+	struct sim *sim = begin(9);
+	uint64_t before = sim->store_calls;
 
-	stage_run(stage, 60 * SECOND_US);
-	ck_assert_uint_le(stage->store_calls - before,
-			  STAGE_DOMAINS * 60 + STAGE_DOMAINS * 10);
-	stage_destroy(stage);
+	sim_run(sim, 60 * SECOND_US);
+	ck_assert_uint_le(sim->store_calls - before,
+			  SIM_DOMAINS * 60 + SIM_DOMAINS * 10);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -770,27 +766,27 @@
  */
 START_TEST(test_store_away)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = begin(NODES);
 
-	stage->store_down = true;
+	sim->store_down = true;
 	for (int i = 0; i < 10; i++) {
-		int index = stage_call(stage, i % NODES, STAGE_MERGED);
+		int index = sim_call(sim, i % NODES, SIM_MERGED);
 
-		stage_run(stage, SECOND_US);
-		check_merged(&stage->calls[index], FULL);
+		sim_run(sim, SECOND_US);
+		check_merged(&sim->calls[index], FULL);
 	}
 	for (int i = 0; i < 2 * FULL; i += 2)
-		stage_unpublish(stage, i);
-	stage->store_down = false;
-	stage_run(stage, SECOND_US);
+		sim_unpublish_target(sim, i);
+	sim->store_down = false;
+	sim_run(sim, SECOND_US);
 	for (int i = 0; i < 2 * FULL; i += 2)
-		stage_publish(stage, i);
-	stage_run(stage, SECOND_US / 2);
-	int index = stage_call(stage, 1, STAGE_MERGED);
+		sim_publish_target(sim, i);
+	sim_run(sim, SECOND_US / 2);
+	int index = sim_call(sim, 1, SIM_MERGED);
 
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	stage_destroy(stage);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], FULL);
+	sim_destroy(sim);
 }
 END_TEST
 
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -20,7 +20,7 @@
 	/* What a request may take beyond the time that its caller waits. */
 	LATE_US = 500000,
 	TIMEOUT_US = 1000000,
-	SHARD_TARGETS = 2 * STAGE_SHARDS,
+	SHARD_TARGETS = 2 * SIM_SHARDS,
 	RESTART_US = 1500000,
 	FAULT_STEPS = 4,
 	/*
@@ -35,9 +35,9 @@
 
 /** struct trial - one seed: the stage, and what is under way */
 struct trial {
-	struct stage *stage;
+	struct sim *sim;
 	uint64_t version;
-	int64_t down_until[STAGE_NODES];
+	int64_t down_until[SIM_NODES_MAX];
 	int64_t heal_at;
 	bool resharded;
 	const char *fault;
@@ -45,21 +45,21 @@
 
 static uint64_t below(struct trial *trial, uint64_t bound)
 {
-	return rng_below(&trial->stage->rng, bound);
+	return rng_below(&trial->sim->rng, bound);
 }
 
-static struct stage_target *any_target(struct trial *trial)
+static struct sim_target *any_target(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = trial->sim;
 
-	return &stage->targets[below(trial, (uint64_t)stage->ntargets)];
+	return &sim->targets[below(trial, (uint64_t)sim->ntargets)];
 }
 
 /* Faults. */
 
 static void pause_target(struct trial *trial)
 {
-	any_target(trial)->paused_until = trial->stage->now + 150000;
+	any_target(trial)->paused_until = trial->sim->now + 150000;
 }
 
 static void slow_target(struct trial *trial)
@@ -69,111 +69,110 @@
 
 static void shed_target(struct trial *trial)
 {
-	any_target(trial)->shed = (double)below(trial, 10) / 10;
+	any_target(trial)->reject_rate = (double)below(trial, 10) / 10;
 }
 
 static void lose_replies(struct trial *trial)
 {
-	any_target(trial)->lose = (double)below(trial, 5) / 10;
+	any_target(trial)->reply_loss = (double)below(trial, 5) / 10;
 }
 
 static void crash_target(struct trial *trial)
 {
-	struct stage_target *target = any_target(trial);
+	struct sim_target *target = any_target(trial);
 
-	if (!target->returning)
+	if (!target->restarting)
 		target->up = !target->up;
 }
 
 static void drain_target(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
-	int index = (int)below(trial, (uint64_t)stage->ntargets);
-	struct stage_target *target = &stage->targets[index];
+	struct sim *sim = trial->sim;
+	int index = (int)below(trial, (uint64_t)sim->ntargets);
+	struct sim_target *target = &sim->targets[index];
 
-	if (target->left_at || stage->store_down)
+	if (target->leaving_since || sim->store_down)
 		return;
 	target->leaving = true;
-	stage_publish(stage, index);
-	target->left_at = stage->now;
-	if (stage->ntargets < STAGE_TARGETS)
-		stage_add_target(stage, target->service, target->domain);
+	sim_publish_target(sim, index);
+	target->leaving_since = sim->now;
+	if (sim->ntargets < SIM_TARGETS_MAX)
+		sim_add_target(sim, target->service, target->domain);
 }
 
 static void kill_node(struct trial *trial)
 {
-	int node = (int)below(trial, (uint64_t)trial->stage->nnodes);
+	int node = (int)below(trial, (uint64_t)trial->sim->nnodes);
 
-	if (!trial->stage->nodes[node].up)
+	if (!trial->sim->nodes[node].up)
 		return;
-	trial->stage->nodes[node].troubled_at = trial->stage->now;
-	stage_kill_node(trial->stage, node);
-	trial->down_until[node] = trial->stage->now + RESTART_US;
+	trial->sim->nodes[node].fault_at = trial->sim->now;
+	sim_kill_node(trial->sim, node);
+	trial->down_until[node] = trial->sim->now + RESTART_US;
 }
 
 static void freeze_node(struct trial *trial)
 {
-	int node = (int)below(trial, (uint64_t)trial->stage->nnodes);
+	int node = (int)below(trial, (uint64_t)trial->sim->nnodes);
 
-	trial->stage->nodes[node].frozen_until =
-		trial->stage->now + 1000 * (int64_t)below(trial, 2000);
-	trial->stage->nodes[node].troubled_at =
-		trial->stage->nodes[node].frozen_until;
+	trial->sim->nodes[node].frozen_until =
+		trial->sim->now + 1000 * (int64_t)below(trial, 2000);
+	trial->sim->nodes[node].fault_at = trial->sim->nodes[node].frozen_until;
 }
 
 static void cut_link(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
-	int a = (int)below(trial, (uint64_t)stage->nnodes);
-	int b = (int)below(trial, (uint64_t)stage->nnodes);
+	struct sim *sim = trial->sim;
+	int a = (int)below(trial, (uint64_t)sim->nnodes);
+	int b = (int)below(trial, (uint64_t)sim->nnodes);
 
-	stage->nodes[a].troubled_at = INT64_MAX / 2;
-	stage->nodes[b].troubled_at = INT64_MAX / 2;
-	stage->links_cut[a][b] = true;
+	sim->nodes[a].fault_at = INT64_MAX / 2;
+	sim->nodes[b].fault_at = INT64_MAX / 2;
+	sim->links_cut[a][b] = true;
 	if (below(trial, 2))
-		stage->links_cut[b][a] = true;
+		sim->links_cut[b][a] = true;
 }
 
 static void cut_store(struct trial *trial)
 {
-	int node = (int)below(trial, (uint64_t)trial->stage->nnodes);
+	int node = (int)below(trial, (uint64_t)trial->sim->nnodes);
 
-	trial->stage->nodes[node].store_cut = true;
+	trial->sim->nodes[node].store_cut = true;
 }
 
 static void store_away(struct trial *trial)
 {
-	trial->stage->store_down = true;
+	trial->sim->store_down = true;
 }
 
 static void configure(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = trial->sim;
 
-	if (stage->store_down)
+	if (sim->store_down)
 		return;
 	if (!trial->resharded && below(trial, 3) == 0) {
-		stage_add_targets(stage, "r", 2);
+		sim_add_targets(sim, "r", 2);
 		trial->resharded = true;
 		trial->version = 10;
 	}
-	stage_configure(stage, ++trial->version);
+	sim_configure(sim, ++trial->version);
 }
 
 static void heal(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
-
-	memset(stage->links_cut, 0, sizeof(stage->links_cut));
-	stage->store_down = false;
-	for (int i = 0; i < stage->nnodes; i++) {
-		stage->nodes[i].store_cut = false;
-		if (stage->nodes[i].troubled_at > stage->now)
-			stage->nodes[i].troubled_at = stage->now;
+	struct sim *sim = trial->sim;
+
+	memset(sim->links_cut, 0, sizeof(sim->links_cut));
+	sim->store_down = false;
+	for (int i = 0; i < sim->nnodes; i++) {
+		sim->nodes[i].store_cut = false;
+		if (sim->nodes[i].fault_at > sim->now)
+			sim->nodes[i].fault_at = sim->now;
 	}
-	for (int i = 0; i < stage->ntargets; i++) {
-		stage->targets[i].shed = 0;
-		stage->targets[i].lose = 0;
+	for (int i = 0; i < sim->ntargets; i++) {
+		sim->targets[i].reject_rate = 0;
+		sim->targets[i].reply_loss = 0;
 	}
 }
 
@@ -185,20 +184,20 @@
 
 /* Judgement. */
 
-static const char *judge_call(const struct stage_call *call)
+static const char *judge_call(const struct sim_call *call)
 {
 	if (call->duplicate_part)
 		return "a shard counted twice";
 	if (call->foreign_part)
 		return "a part of another request or version";
-	if (call->not_greatest)
+	if (call->unsorted)
 		return "records out of order";
-	if (call->kind == STAGE_ONCE && call->runs > 1)
+	if (call->kind == SIM_ONCE && call->runs > 1)
 		return "a request that may run once ran twice";
-	if (call->kind == STAGE_ONCE && call->status == 503 && call->runs)
+	if (call->kind == SIM_ONCE && call->status == 503 && call->runs)
 		return "\"not run\" was promised and it ran";
-	if (call->kind == STAGE_MERGED && call->status == 200 &&
-	    call->parts + call->missing != STAGE_SHARDS)
+	if (call->kind == SIM_MERGED && call->status == 200 &&
+	    call->parts + call->missing != SIM_SHARDS)
 		return "parts and missing shards are not the whole";
 	if (call->status == 404)
 		return "a route that exists was not found";
@@ -210,99 +209,98 @@
 
 static const char *judge(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = trial->sim;
 	int over_asked = 0;
 
-	for (int i = 0; i < stage->ncalls; i++) {
-		const struct stage_call *call = &stage->calls[i];
+	for (int i = 0; i < sim->ncalls; i++) {
+		const struct sim_call *call = &sim->calls[i];
 		const char *fault = judge_call(call);
 		int most = 0;
 
 		if (fault)
 			return fault;
-		for (int j = 0; j < 2 * STAGE_SHARDS; j++)
+		for (int j = 0; j < 2 * SIM_SHARDS; j++)
 			if (call->targets_of_shard[j] > most)
 				most = call->targets_of_shard[j];
 		over_asked += most > 2;
 	}
-	for (int i = 1; i < STAGE_DEADLY; i++)
-		if (stage->deadly[i].late > DEADLY_LATE_MOST)
+	for (int i = 1; i < SIM_DEADLY_MAX; i++)
+		if (sim->deadly[i].late > DEADLY_LATE_MOST)
 			return "a deadly request was sent to ever more targets";
 	if (over_asked > 3)
 		return "shards asked at more targets than the route allows";
-	if (stage->extra_sends >
-	    stage->first_sends / 5 + 2 * STAGE_SHARDS * 60 * 2)
+	if (sim->extra_sends > sim->first_sends / 5 + 2 * SIM_SHARDS * 60 * 2)
 		return "retries beyond the shared bound";
 	return NULL;
 }
 
 /* A node that was frozen answers late for that reason. */
-static void forgive_frozen(struct stage *stage)
+static void forgive_frozen(struct sim *sim)
 {
-	for (int i = 0; i < stage->ncalls; i++)
-		if (stage->calls[i].answered_at - stage->calls[i].start >
+	for (int i = 0; i < sim->ncalls; i++)
+		if (sim->calls[i].answered_at - sim->calls[i].start >
 		    TIMEOUT_US + LATE_US)
-			stage->calls[i].answered_at =
-				stage->calls[i].start + TIMEOUT_US;
+			sim->calls[i].answered_at =
+				sim->calls[i].start + TIMEOUT_US;
 }
 
 static void restart_nodes(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = trial->sim;
 
-	for (int i = 0; i < stage->nnodes; i++)
-		if (!stage->nodes[i].up && stage->now >= trial->down_until[i]) {
-			stage->nodes[i].troubled_at = stage->now;
-			stage_start_node(stage, i);
+	for (int i = 0; i < sim->nnodes; i++)
+		if (!sim->nodes[i].up && sim->now >= trial->down_until[i]) {
+			sim->nodes[i].fault_at = sim->now;
+			sim_start_node(sim, i);
 		}
 }
 
 /* At a node that takes callers; one of each kind, each with its books. */
 static void ask_deadly(struct trial *trial)
 {
-	struct stage *stage = trial->stage;
-	struct stage_asked asked = { "deadly", "10.1.0.1", 0 };
-	int node = (int)below(trial, (uint64_t)stage->nnodes);
-	enum stage_kind kind = (enum stage_kind)below(trial, 3);
-
-	asked.deadly = (int)kind + 1;
-	if (stage->nodes[node].up && stage->nodes[node].ready)
-		stage_ask(stage, node, kind, &asked);
+	struct sim *sim = trial->sim;
+	struct sim_request_spec spec = { "deadly", "10.1.0.1", 0 };
+	int node = (int)below(trial, (uint64_t)sim->nnodes);
+	enum sim_request_kind kind = (enum sim_request_kind)below(trial, 3);
+
+	spec.deadly = (int)kind + 1;
+	if (sim->nodes[node].up && sim->nodes[node].ready)
+		sim_call_with(sim, node, kind, &spec);
 }
 
-static int served_at_last(struct stage *stage)
+static int served_at_last(struct sim *sim)
 {
-	int first = stage->ncalls;
+	int first = sim->ncalls;
 	int served = 0;
 
-	for (int i = 0; i < stage->nnodes; i++) {
-		stage_call(stage, i, STAGE_SINGLE);
-		stage_run(stage, 200000);
+	for (int i = 0; i < sim->nnodes; i++) {
+		sim_call(sim, i, SIM_SINGLE);
+		sim_run(sim, 200000);
 	}
-	stage_run(stage, 2000000);
-	for (int i = first; i < stage->ncalls; i++)
-		served += stage->calls[i].status == 200;
+	sim_run(sim, 2000000);
+	for (int i = first; i < sim->ncalls; i++)
+		served += sim->calls[i].status == 200;
 	return served;
 }
 
 static const char *run_seed(uint64_t seed, bool deadly)
 {
 	struct trial trial = { .version = 1 };
-	struct stage *stage = stage_create(6, seed);
+	struct sim *sim = sim_create(6, seed);
 	int steps = deadly ? DEADLY_STEPS : STEPS;
 	uint64_t fault_steps = deadly ? DEADLY_FAULT_STEPS : FAULT_STEPS;
 	const char *fault;
 
-	trial.stage = stage;
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_DOMAINS; i++)
-		stage_add_target(stage, "single", i % STAGE_DOMAINS);
-	stage_configure(stage, 1);
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
+	trial.sim = sim;
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
+		sim_add_target(sim, "single", i % SIM_DOMAINS);
+	sim_configure(sim, 1);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_start_node(sim, i);
+	sim_settle(sim);
 	for (int step = 0; step < steps; step++) {
-		int node = (int)below(&trial, (uint64_t)stage->nnodes);
+		int node = (int)below(&trial, (uint64_t)sim->nnodes);
 
 		if (below(&trial, fault_steps) == 0)
 			faults[below(&trial, sizeof(faults) / sizeof(*faults))](
@@ -310,22 +308,22 @@
 		restart_nodes(&trial);
 		if (deadly && step % DEADLY_EACH == 0)
 			ask_deadly(&trial);
-		if (stage->nodes[node].up && stage->nodes[node].ready)
-			stage_call(stage, node,
-				   (enum stage_kind)below(&trial, 3));
-		stage_run(stage, STEP_US);
+		if (sim->nodes[node].up && sim->nodes[node].ready)
+			sim_call(sim, node,
+				 (enum sim_request_kind)below(&trial, 3));
+		sim_run(sim, STEP_US);
 	}
 	heal(&trial);
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].up = true;
-	stage_run(stage, RESTART_US);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].up = true;
+	sim_run(sim, RESTART_US);
 	restart_nodes(&trial);
-	stage_run(stage, 6000000);
-	forgive_frozen(stage);
+	sim_run(sim, 6000000);
+	forgive_frozen(sim);
 	fault = judge(&trial);
-	if (!fault && served_at_last(stage) < stage->nnodes)
+	if (!fault && served_at_last(sim) < sim->nnodes)
 		fault = "not served after all faults were healed";
-	stage_destroy(stage);
+	sim_destroy(sim);
 	return fault;
 }
 
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -11,170 +11,173 @@
 	SETTLE_US = 10000000,
 };
 
-struct happen *stage_later(struct stage *stage, int64_t after,
-			   enum happen_type type, int node)
+struct sim_event *sim_schedule(struct sim *sim, int64_t after,
+			       enum sim_event_type type, int node)
 {
-	struct stage_queue *queue = stage->queue;
-	struct happen *happen;
+	struct sim_queue *queue = sim->queue;
+	struct sim_event *event;
 
 	if (queue->count == queue->cap) {
 		queue->cap = queue->cap ? queue->cap * 2 : 256;
 		queue->list = xrealloc(queue->list,
 				       queue->cap * sizeof(*queue->list));
 	}
-	happen = &queue->list[queue->count++];
-	*happen = (struct happen){ .when = stage->now + after,
-				   .order = queue->order++,
-				   .type = type,
-				   .node = node };
-	return happen;
+	event = &queue->list[queue->count++];
+	*event = (struct sim_event){ .when = sim->now + after,
+				     .order = queue->order++,
+				     .type = type,
+				     .node = node };
+	return event;
 }
 
-static void happen_free(struct happen *happen)
+static void sim_event_free(struct sim_event *event)
 {
-	str_free(happen->reply.body);
-	str_free(happen->reply.signature);
-	str_free(happen->msg.body);
-	str_free(happen->msg.name);
-	str_free(happen->msg.text);
-	str_free(happen->prefix);
-	str_free(happen->request_id);
-	str_free(happen->uri);
-	str_free(happen->expected);
+	str_free(event->reply.body);
+	str_free(event->reply.signature);
+	str_free(event->msg.body);
+	str_free(event->msg.name);
+	str_free(event->msg.text);
+	str_free(event->prefix);
+	str_free(event->request_id);
+	str_free(event->uri);
+	str_free(event->expected);
 }
 
 /* Nodes. */
 
-static void carry_out(struct stage *stage, int node);
+static void apply_effects(struct sim *sim, int node);
 
-void stage_feed(struct stage *stage, int node, struct flow_event event)
+void sim_deliver(struct sim *sim, int node, struct flow_event input)
 {
-	struct stage_node *n = &stage->nodes[node];
+	struct sim_node *n = &sim->nodes[node];
 
-	event.now = stage->now;
-	if (stage->now == n->frozen_until)
-		event.queued_us = stage->now - n->last_at;
+	input.now = sim->now;
+	if (sim->now == n->frozen_until)
+		input.queued_us = sim->now - n->last_event_at;
 	else
-		n->last_at = stage->now;
-	tier_reduce(n->tier, &event, &n->fx);
-	carry_out(stage, node);
+		n->last_event_at = sim->now;
+	tier_reduce(n->tier, &input, &n->fx);
+	apply_effects(sim, node);
 }
 
-static int node_at(struct stage *stage, struct str addr)
+static int node_at(struct sim *sim, struct str addr)
 {
-	for (int i = 0; i < stage->nnodes; i++)
-		if (str_eq(addr, str_of(stage->nodes[i].addr)))
+	for (int i = 0; i < sim->nnodes; i++)
+		if (str_eq(addr, str_of(sim->nodes[i].addr)))
 			return i;
 	return -1;
 }
 
-static int64_t hop(struct stage *stage, int domain, int other)
+static int64_t hop_us(struct sim *sim, int domain, int other)
 {
-	int64_t us = domain == other ? STAGE_NEAR_US : STAGE_FAR_US;
+	int64_t us = domain == other ? SIM_NEAR_HOP_US : SIM_FAR_HOP_US;
 
-	return us + (int64_t)rng_below(&stage->rng, 200);
+	return us + (int64_t)rng_below(&sim->rng, 200);
 }
 
 /* Nodes talk over connections, which keep the order of what is sent. */
-static int64_t in_order(struct stage *stage, int from, int to, int64_t after)
+static int64_t ordered_delay_us(struct sim *sim, int from, int to,
+				int64_t after)
 {
-	int64_t *last = &stage->arrives_at[from][to];
+	int64_t *last = &sim->last_arrival_at[from][to];
 
-	if (stage->now + after < *last)
-		after = *last - stage->now;
-	*last = stage->now + after;
+	if (sim->now + after < *last)
+		after = *last - sim->now;
+	*last = sim->now + after;
 	return after;
 }
 
-static void do_tell(struct stage *stage, int node, const struct flow_effect *fx)
+static void send_msg(struct sim *sim, int node, const struct flow_effect *fx)
 {
-	int to = node_at(stage, fx->addr);
-	struct happen *happen;
+	int to = node_at(sim, fx->addr);
+	struct sim_event *event;
 	int64_t after;
 
 	if (to < 0)
 		return;
-	if (!stage->nodes[to].up) {
-		happen = stage_later(stage, STAGE_NEAR_US, HAPPEN_LOST, node);
-		happen->from = to;
+	if (!sim->nodes[to].up) {
+		event = sim_schedule(sim, SIM_NEAR_HOP_US, SIM_EVENT_PEER_LOST,
+				     node);
+		event->from = to;
 		return;
 	}
-	if (stage->links_cut[node][to])
+	if (sim->links_cut[node][to])
 		return;
-	after = hop(stage, stage->nodes[node].domain, stage->nodes[to].domain);
-	happen = stage_later(stage, in_order(stage, node, to, after),
-			     HAPPEN_MSG, to);
-	happen->from = node;
-	happen->incarnation = stage->nodes[node].incarnation;
-	happen->to_incarnation = fx->incarnation;
-	happen->sent_us = stage->now;
-	happen->msg = fx->msg;
-	happen->msg.body = str_keep(fx->msg.body);
-	happen->msg.name = str_keep(fx->msg.name);
-	happen->msg.text = str_keep(fx->msg.text);
+	after = hop_us(sim, sim->nodes[node].domain, sim->nodes[to].domain);
+	event = sim_schedule(sim, ordered_delay_us(sim, node, to, after),
+			     SIM_EVENT_MSG, to);
+	event->from = node;
+	event->incarnation = sim->nodes[node].incarnation;
+	event->to_incarnation = fx->incarnation;
+	event->sent_us = sim->now;
+	event->msg = fx->msg;
+	event->msg.body = str_keep(fx->msg.body);
+	event->msg.name = str_keep(fx->msg.name);
+	event->msg.text = str_keep(fx->msg.text);
 }
 
-static void do_send(struct stage *stage, int node, const struct flow_effect *fx)
+static void send_request(struct sim *sim, int node,
+			 const struct flow_effect *fx)
 {
-	struct happen *happen =
-		stage_later(stage, STAGE_FAR_US, HAPPEN_ARRIVE, node);
-
-	happen->id = fx->id;
-	happen->incarnation = stage->nodes[node].incarnation;
-	happen->request_id = str_keep(fx->request->request_id);
-	happen->uri = str_keep(fx->request->uri);
-	happen->expected = str_keep(fx->expected);
-	happen->target = -1;
-	for (int i = 0; i < stage->ntargets; i++)
-		if (stage->targets[i].up &&
-		    str_eq(fx->addr, str_of(stage->targets[i].addr)))
-			happen->target = i;
-	if (happen->target < 0)
-		happen->when = stage->now + STAGE_REFUSED_US;
+	struct sim_event *event =
+		sim_schedule(sim, SIM_FAR_HOP_US, SIM_EVENT_ARRIVAL, node);
+
+	event->id = fx->id;
+	event->incarnation = sim->nodes[node].incarnation;
+	event->request_id = str_keep(fx->request->request_id);
+	event->uri = str_keep(fx->request->uri);
+	event->expected = str_keep(fx->expected);
+	event->target = -1;
+	for (int i = 0; i < sim->ntargets; i++)
+		if (sim->targets[i].up &&
+		    str_eq(fx->addr, str_of(sim->targets[i].addr)))
+			event->target = i;
+	if (event->target < 0)
+		event->when = sim->now + SIM_REFUSED_LATENCY_US;
 }
 
-static void do_cancel(struct stage *stage, const struct flow_effect *fx,
-		      int node)
+static void cancel_request(struct sim *sim, const struct flow_effect *fx,
+			   int node)
 {
-	for (size_t i = 0; i < stage->queue->count; i++) {
-		struct happen *happen = &stage->queue->list[i];
+	for (size_t i = 0; i < sim->queue->count; i++) {
+		struct sim_event *event = &sim->queue->list[i];
 
-		if (happen->type == HAPPEN_REPLY && happen->node == node &&
-		    happen->id == fx->id)
-			happen->id = 0;
+		if (event->type == SIM_EVENT_REPLY && event->node == node &&
+		    event->id == fx->id)
+			event->id = 0;
 	}
 }
 
-static void do_read(struct stage *stage, int node, const struct flow_effect *fx)
+static void call_store(struct sim *sim, int node, const struct flow_effect *fx)
 {
-	bool ok = !stage->store_down && !stage->nodes[node].store_cut;
-	struct happen *happen =
-		stage_later(stage, STAGE_STORE_US, HAPPEN_STORE, node);
-
-	stage->store_calls++;
-	happen->call = fx->call;
-	happen->revision = fx->revision;
-	happen->store_ok = ok;
-	happen->incarnation = stage->nodes[node].incarnation;
-	if (ok && fx->call == STORE_WATCH && fx->revision >= stage->revision)
-		happen->when = stage->now + fx->time_left_us;
+	bool ok = !sim->store_down && !sim->nodes[node].store_cut;
+	struct sim_event *event = sim_schedule(sim, SIM_STORE_LATENCY_US,
+					       SIM_EVENT_STORE_REPLY, node);
+
+	sim->store_calls++;
+	event->call = fx->call;
+	event->revision = fx->revision;
+	event->store_ok = ok;
+	event->incarnation = sim->nodes[node].incarnation;
+	if (ok && fx->call == STORE_WATCH && fx->revision >= sim->revision)
+		event->when = sim->now + fx->time_left_us;
 }
 
 /* A part's signature is "CALL.SHARD.TARGET". */
-static void judge_parts(struct stage_call *call, int id, struct str signatures)
+static void record_parts(struct sim_call *call, int id, struct str signatures)
 {
-	bool seen[2 * STAGE_SHARDS] = { false };
+	bool seen[2 * SIM_SHARDS] = { false };
 	char copy[4096];
 	char *save = NULL;
 
 	snprintf(copy, sizeof(copy), "%.*s", STR_ARG(signatures));
 	for (char *at = strtok_r(copy, ", ", &save); at;
 	     at = strtok_r(NULL, ", ", &save)) {
-		int of = -1;
+		int part_call = -1;
 		int shard = -1;
 
-		if (sscanf(at, "%d.%d", &of, &shard) != 2 || of != id ||
-		    shard < 0 || shard >= 2 * STAGE_SHARDS) {
+		if (sscanf(at, "%d.%d", &part_call, &shard) != 2 ||
+		    part_call != id || shard < 0 || shard >= 2 * SIM_SHARDS) {
 			call->foreign_part = true;
 			continue;
 		}
@@ -184,66 +187,66 @@
 		call->parts++;
 	}
 	/* All from one version: either the first shards, or the second. */
-	for (int i = 0; i < STAGE_SHARDS; i++)
-		for (int j = STAGE_SHARDS; j < 2 * STAGE_SHARDS; j++)
+	for (int i = 0; i < SIM_SHARDS; i++)
+		for (int j = SIM_SHARDS; j < 2 * SIM_SHARDS; j++)
 			if (seen[i] && seen[j])
 				call->foreign_part = true;
 }
 
-static void do_answer(struct stage *stage, const struct flow_effect *fx)
+static void record_answer(struct sim *sim, const struct flow_effect *fx)
 {
-	struct stage_call *call;
+	struct sim_call *call;
 
-	if (!fx->id || fx->id > (uint64_t)stage->ncalls)
+	if (!fx->id || fx->id > (uint64_t)sim->ncalls)
 		return;
-	call = &stage->calls[fx->id - 1];
-	call->answered_at = stage->now;
+	call = &sim->calls[fx->id - 1];
+	call->answered_at = sim->now;
 	call->status = fx->status;
 	call->missing = fx->missing;
 	call->retry_after_us = fx->retry_after_us;
 	if (!fx->merged)
 		return;
-	judge_parts(call, (int)fx->id, fx->signatures);
+	record_parts(call, (int)fx->id, fx->signatures);
 	for (size_t i = 16; i + 16 <= fx->body.len; i += 16)
 		if (memcmp(fx->body.ptr + i - 16, fx->body.ptr + i, 16) < 0)
-			call->not_greatest = true;
+			call->unsorted = true;
 }
 
 /* The log of one question, when a test's result is to be traced. */
-static void do_log(const struct stage *stage, int node,
-		   const struct flow_effect *fx)
+static void print_log(const struct sim *sim, int node,
+		      const struct flow_effect *fx)
 {
 	char id[32];
 	int len = snprintf(id, sizeof(id), "\"request\":\"%d\"",
-			   stage->traced + 1);
+			   sim->traced_call + 1);
 
-	if (stage->traced >= 0 &&
+	if (sim->traced_call >= 0 &&
 	    memmem(fx->text.ptr, fx->text.len, id, (size_t)len))
-		printf("%d %.1f %.*s\n", node, (double)stage->now / 1000,
+		printf("%d %.1f %.*s\n", node, (double)sim->now / 1000,
 		       STR_ARG(fx->text));
 }
 
-static void carry_out(struct stage *stage, int node)
+static void apply_effects(struct sim *sim, int node)
 {
-	struct stage_node *n = &stage->nodes[node];
+	struct sim_node *n = &sim->nodes[node];
 
 	for (size_t i = 0; i < n->fx.count; i++) {
 		struct flow_effect fx = n->fx.list[i];
 
 		if (fx.type == FLOW_PEER_SEND)
-			do_tell(stage, node, &fx);
+			send_msg(sim, node, &fx);
 		else if (fx.type == FLOW_SEND)
-			do_send(stage, node, &fx);
+			send_request(sim, node, &fx);
 		else if (fx.type == FLOW_CANCEL)
-			do_cancel(stage, &fx, node);
+			cancel_request(sim, &fx, node);
 		else if (fx.type == FLOW_STORE_CALL)
-			do_read(stage, node, &fx);
+			call_store(sim, node, &fx);
 		else if (fx.type == FLOW_ANSWER)
-			do_answer(stage, &fx);
+			record_answer(sim, &fx);
 		else if (fx.type == FLOW_READY)
 			n->ready = fx.ready;
 		else if (fx.type == FLOW_LOG)
-			do_log(stage, node, &fx);
+			print_log(sim, node, &fx);
 		else if (fx.type == FLOW_EXIT)
 			n->exited = true;
 	}
@@ -251,28 +254,28 @@
 	tier_reap(n->tier);
 }
 
-void stage_start_node(struct stage *stage, int node)
+void sim_start_node(struct sim *sim, int node)
 {
-	struct stage_node *n = &stage->nodes[node];
+	struct sim_node *n = &sim->nodes[node];
 	struct tier_options opt = { .settings = &n->settings,
-				    .dialect = &stage_dialect,
-				    .seed = rng_next(&stage->rng),
-				    .without = stage->without };
+				    .dialect = &sim_dialect,
+				    .seed = rng_next(&sim->rng),
+				    .without = sim->without };
 
-	n->incarnation = rng_next(&stage->rng) | 1;
+	n->incarnation = rng_next(&sim->rng) | 1;
 	opt.incarnation = n->incarnation;
 	n->up = true;
 	n->ready = false;
 	n->exited = false;
-	flow_effects_init(&n->fx, stage->pool);
-	n->tier = tier_create(&opt, stage->now, &n->fx);
+	flow_effects_init(&n->fx, sim->pool);
+	n->tier = tier_create(&opt, sim->now, &n->fx);
 	n->settings.first_start = false;
-	stage_feed(stage, node, (struct flow_event){ .type = FLOW_TICK });
+	sim_deliver(sim, node, (struct flow_event){ .type = FLOW_TICK });
 }
 
-void stage_kill_node(struct stage *stage, int node)
+void sim_kill_node(struct sim *sim, int node)
 {
-	struct stage_node *n = &stage->nodes[node];
+	struct sim_node *n = &sim->nodes[node];
 
 	if (!n->up)
 		return;
@@ -281,44 +284,45 @@
 	tier_destroy(n->tier);
 	flow_effects_free(&n->fx);
 	n->tier = NULL;
-	for (int i = 0; i < stage->nnodes; i++) {
-		if (i == node || !stage->nodes[i].up)
+	for (int i = 0; i < sim->nnodes; i++) {
+		if (i == node || !sim->nodes[i].up)
 			continue;
-		stage_later(stage, STAGE_NEAR_US, HAPPEN_LOST, i)->from = node;
+		sim_schedule(sim, SIM_NEAR_HOP_US, SIM_EVENT_PEER_LOST, i)
+			->from = node;
 	}
 }
 
-void stage_stop_node(struct stage *stage, int node)
+void sim_stop_node(struct sim *sim, int node)
 {
-	stage_feed(stage, node, (struct flow_event){ .type = FLOW_STOP });
+	sim_deliver(sim, node, (struct flow_event){ .type = FLOW_STOP });
 }
 
-struct stage *stage_create(int nnodes, uint64_t seed)
+struct sim *sim_create(int nnodes, uint64_t seed)
 {
-	struct stage *stage = xcalloc(1, sizeof(*stage));
-
-	apr_pool_create(&stage->pool, NULL);
-	stage->now = 1000000;
-	stage->rng.seed = seed;
-	stage->nnodes = nnodes;
-	stage->traced = -1;
-	stage->queue = xcalloc(1, sizeof(*stage->queue));
-	stage->store = xcalloc(1, sizeof(*stage->store));
+	struct sim *sim = xcalloc(1, sizeof(*sim));
+
+	apr_pool_create(&sim->pool, NULL);
+	sim->now = 1000000;
+	sim->rng.seed = seed;
+	sim->nnodes = nnodes;
+	sim->traced_call = -1;
+	sim->queue = xcalloc(1, sizeof(*sim->queue));
+	sim->store = xcalloc(1, sizeof(*sim->store));
 	for (int i = 0; i < nnodes; i++) {
-		struct stage_node *n = &stage->nodes[i];
+		struct sim_node *n = &sim->nodes[i];
 		struct vm_settings *s = &n->settings;
 
-		n->domain = i % STAGE_DOMAINS;
+		n->domain = i % SIM_DOMAINS;
 		snprintf(n->addr, sizeof(n->addr), "10.0.0.%d:%d", i + 1,
 			 PEER_PORT);
-		s->ip = stage_text(stage->pool, "10.0.0.%d", i + 1);
-		s->domain = stage_text(stage->pool, "d%d", n->domain);
+		s->ip = sim_format(sim->pool, "10.0.0.%d", i + 1);
+		s->domain = sim_format(sim->pool, "d%d", n->domain);
 		s->peer_port = PEER_PORT;
 		s->seeds[0] = STR("10.0.0.1");
 		s->seeds[1] = STR("10.0.0.2");
 		s->nseeds = 2;
 		s->core = 0.25;
-		s->drain_us = STAGE_DRAIN_US;
+		s->drain_us = SIM_DRAIN_US;
 		s->grace_us = 6000000;
 		s->retry_ratio = 0.2;
 		s->retry_window_us = 10000000;
@@ -327,121 +331,121 @@
 		s->cold_extra = 5;
 		s->first_start = true;
 	}
-	return stage;
+	return sim;
 }
 
-void stage_destroy(struct stage *stage)
+void sim_destroy(struct sim *sim)
 {
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_kill_node(stage, i);
-	for (size_t i = 0; i < stage->queue->count; i++)
-		happen_free(&stage->queue->list[i]);
-	free(stage->queue->list);
-	free(stage->queue);
-	free(stage->store);
-	apr_pool_destroy(stage->pool);
-	free(stage);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_kill_node(sim, i);
+	for (size_t i = 0; i < sim->queue->count; i++)
+		sim_event_free(&sim->queue->list[i]);
+	free(sim->queue->list);
+	free(sim->queue);
+	free(sim->store);
+	apr_pool_destroy(sim->pool);
+	free(sim);
 }
 
 /* What happens. */
 
-static void take_place(struct stage *stage, struct happen *happen)
+static void dispatch(struct sim *sim, struct sim_event *event)
 {
-	struct stage_node *n = &stage->nodes[happen->node];
+	struct sim_node *n = &sim->nodes[event->node];
 
-	if (happen->type == HAPPEN_ARRIVE) {
-		stage_arrived(stage, happen);
+	if (event->type == SIM_EVENT_ARRIVAL) {
+		sim_request_arrived(sim, event);
 		return;
 	}
-	if (happen->type == HAPPEN_RETURN) {
-		stage_returned(stage, happen->target);
+	if (event->type == SIM_EVENT_RESTART) {
+		sim_target_restarted(sim, event->target);
 		return;
 	}
-	if (happen->type == HAPPEN_LAPSE) {
-		stage_lapsed(stage, happen->expected);
+	if (event->type == SIM_EVENT_ENTRY_EXPIRED) {
+		sim_delete_entry(sim, event->expected);
 		return;
 	}
 	if (!n->up)
 		return;
-	switch (happen->type) {
-	case HAPPEN_REPLY:
-		if (!happen->id || happen->incarnation != n->incarnation)
+	switch (event->type) {
+	case SIM_EVENT_REPLY:
+		if (!event->id || event->incarnation != n->incarnation)
 			break;
-		if (happen->crash)
-			stage_ended(stage, happen);
-		stage_feed(stage, happen->node,
-			   (struct flow_event){ .type = FLOW_REPLY,
-						.id = happen->id,
-						.reply = &happen->reply });
+		if (event->crash)
+			sim_deadly_run_ended(sim, event);
+		sim_deliver(sim, event->node,
+			    (struct flow_event){ .type = FLOW_REPLY,
+						 .id = event->id,
+						 .reply = &event->reply });
 		break;
-	case HAPPEN_MSG:
-		if (happen->to_incarnation &&
-		    happen->to_incarnation != n->incarnation)
+	case SIM_EVENT_MSG:
+		if (event->to_incarnation &&
+		    event->to_incarnation != n->incarnation)
 			break;
-		stage_feed(
-			stage, happen->node,
+		sim_deliver(
+			sim, event->node,
 			(struct flow_event){
 				.type = FLOW_MSG,
-				.from = str_of(stage->nodes[happen->from].addr),
-				.incarnation = happen->incarnation,
-				.sent_us = happen->sent_us,
-				.msg = &happen->msg });
+				.from = str_of(sim->nodes[event->from].addr),
+				.incarnation = event->incarnation,
+				.sent_us = event->sent_us,
+				.msg = &event->msg });
 		break;
-	case HAPPEN_LOST:
-		stage_feed(stage, happen->node,
-			   (struct flow_event){
-				   .type = FLOW_PEER_LOST,
-				   .from = str_of(
-					   stage->nodes[happen->from].addr) });
+	case SIM_EVENT_PEER_LOST:
+		sim_deliver(
+			sim, event->node,
+			(struct flow_event){
+				.type = FLOW_PEER_LOST,
+				.from = str_of(sim->nodes[event->from].addr) });
 		break;
-	case HAPPEN_STORE:
-		if (happen->incarnation == n->incarnation)
-			stage_store_replied(stage, happen);
+	case SIM_EVENT_STORE_REPLY:
+		if (event->incarnation == n->incarnation)
+			sim_store_replied(sim, event);
 		break;
-	case HAPPEN_ARRIVE:
-	case HAPPEN_RETURN:
-	case HAPPEN_LAPSE:
+	case SIM_EVENT_ARRIVAL:
+	case SIM_EVENT_RESTART:
+	case SIM_EVENT_ENTRY_EXPIRED:
 		break;
 	}
 }
 
-static int64_t frozen(const struct stage *stage, int node)
+static int64_t node_frozen_until(const struct sim *sim, int node)
 {
-	return stage->nodes[node].frozen_until;
+	return sim->nodes[node].frozen_until;
 }
 
 /* Index of what happens first; what meets a frozen node waits for it. */
-static size_t first(struct stage *stage)
+static size_t earliest_event(struct sim *sim)
 {
-	struct stage_queue *queue = stage->queue;
+	struct sim_queue *queue = sim->queue;
 	size_t best = SIZE_MAX;
 
 	for (size_t i = 0; i < queue->count; i++) {
-		struct happen *happen = &queue->list[i];
-
-		if (happen->type < HAPPEN_ARRIVE &&
-		    happen->when < frozen(stage, happen->node))
-			happen->when = frozen(stage, happen->node);
-		if (best == SIZE_MAX || happen->when < queue->list[best].when ||
-		    (happen->when == queue->list[best].when &&
-		     happen->order < queue->list[best].order))
+		struct sim_event *event = &queue->list[i];
+
+		if (event->type < SIM_EVENT_ARRIVAL &&
+		    event->when < node_frozen_until(sim, event->node))
+			event->when = node_frozen_until(sim, event->node);
+		if (best == SIZE_MAX || event->when < queue->list[best].when ||
+		    (event->when == queue->list[best].when &&
+		     event->order < queue->list[best].order))
 			best = i;
 	}
 	return best;
 }
 
-static int first_to_wake(struct stage *stage, int64_t *when)
+static int earliest_wake(struct sim *sim, int64_t *when)
 {
 	int best = -1;
 
-	for (int i = 0; i < stage->nnodes; i++) {
+	for (int i = 0; i < sim->nnodes; i++) {
 		int64_t at;
 
-		if (!stage->nodes[i].up)
+		if (!sim->nodes[i].up)
 			continue;
-		at = tier_wake_at(stage->nodes[i].tier);
-		if (at < frozen(stage, i))
-			at = frozen(stage, i);
+		at = tier_wake_at(sim->nodes[i].tier);
+		if (at < node_frozen_until(sim, i))
+			at = node_frozen_until(sim, i);
 		if (best < 0 || at < *when) {
 			best = i;
 			*when = at;
@@ -450,84 +454,84 @@
 	return best;
 }
 
-void stage_run(struct stage *stage, int64_t us)
+void sim_run(struct sim *sim, int64_t us)
 {
-	int64_t until = stage->now + us;
+	int64_t until = sim->now + us;
 
 	for (;;) {
 		int64_t wake_at = INT64_MAX;
-		size_t next = first(stage);
-		int waker = first_to_wake(stage, &wake_at);
+		size_t next = earliest_event(sim);
+		int waking_node = earliest_wake(sim, &wake_at);
 		int64_t when = next == SIZE_MAX ? INT64_MAX
-						: stage->queue->list[next].when;
+						: sim->queue->list[next].when;
 
-		if ((waker < 0 || wake_at > until) && when > until)
+		if ((waking_node < 0 || wake_at > until) && when > until)
 			break;
 		if (when <= wake_at) {
-			struct happen happen = stage->queue->list[next];
-
-			stage->queue->list[next] =
-				stage->queue->list[--stage->queue->count];
-			if (when > stage->now)
-				stage->now = when;
-			take_place(stage, &happen);
-			happen_free(&happen);
+			struct sim_event event = sim->queue->list[next];
+
+			sim->queue->list[next] =
+				sim->queue->list[--sim->queue->count];
+			if (when > sim->now)
+				sim->now = when;
+			dispatch(sim, &event);
+			sim_event_free(&event);
 		} else {
-			if (wake_at > stage->now)
-				stage->now = wake_at;
-			stage_feed(stage, waker,
-				   (struct flow_event){ .type = FLOW_TICK });
+			if (wake_at > sim->now)
+				sim->now = wake_at;
+			sim_deliver(sim, waking_node,
+				    (struct flow_event){ .type = FLOW_TICK });
 		}
 	}
-	stage->now = until;
+	sim->now = until;
 }
 
-void stage_settle(struct stage *stage)
+void sim_settle(struct sim *sim)
 {
 	for (int64_t waited = 0; waited < SETTLE_US; waited += 100000) {
 		int ready = 0;
 
-		for (int i = 0; i < stage->nnodes; i++)
-			ready += stage->nodes[i].ready;
-		if (ready == stage->nnodes)
+		for (int i = 0; i < sim->nnodes; i++)
+			ready += sim->nodes[i].ready;
+		if (ready == sim->nnodes)
 			break;
-		stage_run(stage, 100000);
+		sim_run(sim, 100000);
 	}
 	/* Word of each other goes round in a few periods. */
-	stage_run(stage, 3000000);
+	sim_run(sim, 3000000);
 }
 
-int stage_ask(struct stage *stage, int node, enum stage_kind kind,
-	      const struct stage_asked *asked)
+int sim_call_with(struct sim *sim, int node, enum sim_request_kind kind,
+		  const struct sim_request_spec *spec)
 {
 	static const char *const paths[] = { "/all/", "/strict/", "/one/",
 					     "/once/" };
-	int index = stage->ncalls++;
+	int index = sim->ncalls++;
 	char id[16];
 	char uri[64];
 	struct flow_request request = {
-		.method = kind == STAGE_ONCE ? STR("POST") : STR("GET"),
+		.method = kind == SIM_ONCE ? STR("POST") : STR("GET"),
 		.host = STR("h"),
-		.caller = str_of(asked->caller),
+		.caller = str_of(spec->caller),
 		.time_left_us = TIMEOUT_US,
 	};
 
 	snprintf(id, sizeof(id), "%d", index + 1);
-	snprintf(uri, sizeof(uri), "%s%s", paths[kind], asked->query);
+	snprintf(uri, sizeof(uri), "%s%s", paths[kind], spec->query);
 	request.request_id = str_of(id);
 	request.uri = str_of(uri);
-	stage->calls[index] = (struct stage_call){ .kind = kind,
-						   .start = stage->now,
-						   .deadly = asked->deadly };
-	stage_feed(stage, node,
-		   (struct flow_event){ .type = FLOW_REQUEST,
-					.id = (uint64_t)index + 1,
-					.request = &request });
+	sim->calls[index] = (struct sim_call){ .kind = kind,
+					       .start = sim->now,
+					       .deadly = spec->deadly };
+	sim_deliver(sim, node,
+		    (struct flow_event){ .type = FLOW_REQUEST,
+					 .id = (uint64_t)index + 1,
+					 .request = &request });
 	return index;
 }
 
-int stage_call(struct stage *stage, int node, enum stage_kind kind)
+int sim_call(struct sim *sim, int node, enum sim_request_kind kind)
 {
-	return stage_ask(stage, node, kind,
-			 &(struct stage_asked){ .query = "x" });
+	return sim_call_with(sim, node, kind,
+			     &(struct sim_request_spec){ .query = "x" });
 }
--- a/tests/sim_dialect.c
+++ b/tests/sim_dialect.c
@@ -8,12 +8,12 @@
 enum {
 	GOAL_US = 100000,
 	RESHARD_VERSION = 10,
-	TOP = 4,
+	TOP_K = 4,
 };
 
 static const struct str prefixes[] = { { "all/", 4 } };
 
-static enum store_record_kind fake_kind(struct str key)
+static enum store_record_kind record_kind(struct str key)
 {
 	if (key.len < 5)
 		return RECORD_NONE;
@@ -29,7 +29,7 @@
 	}
 }
 
-struct str stage_text(apr_pool_t *pool, const char *fmt, int number)
+struct str sim_format(apr_pool_t *pool, const char *fmt, int number)
 {
 	char out[32];
 	int len = snprintf(out, sizeof(out), fmt, number);
@@ -75,13 +75,13 @@
 {
 	struct route *route = add_route(catalog, name);
 
-	route->top_k = TOP;
+	route->top_k = TOP_K;
 	route->min_coverage = min_coverage;
 	route->shards =
-		apr_pcalloc(catalog->pool, STAGE_SHARDS * sizeof(uint64_t));
-	for (int i = 0; i < STAGE_SHARDS; i++)
+		apr_pcalloc(catalog->pool, SIM_SHARDS * sizeof(uint64_t));
+	for (int i = 0; i < SIM_SHARDS; i++)
 		route->shards[route->nshards++] =
-			str_hash(stage_text(catalog->pool, fmt, i));
+			str_hash(sim_format(catalog->pool, fmt, i));
 }
 
 static struct catalog *make_catalog(uint64_t version)
@@ -93,21 +93,21 @@
 	catalog->version = version;
 	catalog->routes = apr_pcalloc(pool, 5 * sizeof(*catalog->routes));
 	catalog->services = apr_pcalloc(
-		pool, (STAGE_SHARDS + 1) * sizeof(*catalog->services));
+		pool, (SIM_SHARDS + 1) * sizeof(*catalog->services));
 	add_merged(catalog, "/all/", 0.7, fmt);
 	add_merged(catalog, "/strict/", 0.9, fmt);
 	catalog->routes[1].max_attempts = 3;
-	for (int i = 0; i < STAGE_SHARDS; i++)
-		add_service(catalog, stage_text(pool, fmt, i));
+	for (int i = 0; i < SIM_SHARDS; i++)
+		add_service(catalog, sim_format(pool, fmt, i));
 	add_service(catalog, STR("single"));
 	add_single(catalog, "/one/", true);
 	add_single(catalog, "/once/", false);
 	return catalog;
 }
 
-static int fake_decode(struct str key, struct str value,
-		       struct store_record *out, apr_pool_t *pool,
-		       struct error *err)
+static int decode_record(struct str key, struct str value,
+			 struct store_record *out, apr_pool_t *pool,
+			 struct error *err)
 {
 	char service[32];
 	char addr[32];
@@ -115,7 +115,7 @@
 	int leaving;
 	int born;
 
-	*out = (struct store_record){ .kind = fake_kind(key) };
+	*out = (struct store_record){ .kind = record_kind(key) };
 	if (out->kind == RECORD_CATALOG)
 		out->catalog = make_catalog(strtoull(value.ptr, NULL, 10));
 	if (out->kind == RECORD_DOMAIN_OUT)
@@ -130,16 +130,16 @@
 		return error_set(err, ERR_LIST, "entry");
 	out->target.service = str_hash(str_of(service));
 	out->target.addr = str_dup(pool, str_of(addr));
-	out->target.domain = stage_text(pool, "d%d", domain);
+	out->target.domain = sim_format(pool, "d%d", domain);
 	out->target.slots = 2;
 	out->target.leaving = leaving;
 	out->target.born_ms = born;
 	return 0;
 }
 
-const struct dialect stage_dialect = {
+const struct dialect sim_dialect = {
 	.prefixes = prefixes,
 	.nprefixes = 1,
-	.kind = fake_kind,
-	.decode = fake_decode,
+	.kind = record_kind,
+	.decode = decode_record,
 };
--- a/tests/sim_dialect.h
+++ b/tests/sim_dialect.h
@@ -14,7 +14,7 @@
 	TIMEOUT_US = 1000000,
 };
 
-extern const struct dialect stage_dialect;
+extern const struct dialect sim_dialect;
 
-/** stage_text() - @fmt with one number, in @pool. */
-struct str stage_text(apr_pool_t *pool, const char *fmt, int number);
+/** sim_format() - @fmt with one number, in @pool. */
+struct str sim_format(apr_pool_t *pool, const char *fmt, int number);
--- a/tests/sim_internal.h
+++ b/tests/sim_internal.h
@@ -10,29 +10,29 @@
  */
 
 enum {
-	STAGE_NEAR_US = 200,
-	STAGE_FAR_US = 900,
-	STAGE_STORE_US = 2000,
-	STAGE_REFUSED_US = 300,
-	STAGE_DRAIN_US = 3000000,
-	STAGE_STORE_KEYS = 2048,
+	SIM_NEAR_HOP_US = 200,
+	SIM_FAR_HOP_US = 900,
+	SIM_STORE_LATENCY_US = 2000,
+	SIM_REFUSED_LATENCY_US = 300,
+	SIM_DRAIN_US = 3000000,
+	SIM_STORE_KEYS_MAX = 2048,
 };
 
-enum happen_type {
-	HAPPEN_REPLY,
-	HAPPEN_MSG,
-	HAPPEN_LOST,
-	HAPPEN_STORE,
-	HAPPEN_ARRIVE,
-	HAPPEN_RETURN, /* of a target that crashed */
-	HAPPEN_LAPSE, /* of its entry: expected */
+enum sim_event_type {
+	SIM_EVENT_REPLY,
+	SIM_EVENT_MSG,
+	SIM_EVENT_PEER_LOST,
+	SIM_EVENT_STORE_REPLY,
+	SIM_EVENT_ARRIVAL,
+	SIM_EVENT_RESTART, /* of a target that crashed */
+	SIM_EVENT_ENTRY_EXPIRED, /* of its entry: expected */
 };
 
-/** struct happen - one thing that will happen; strings on the heap */
-struct happen {
+/** struct sim_event - one thing that will happen; strings on the heap */
+struct sim_event {
 	int64_t when;
 	uint64_t order;
-	enum happen_type type;
+	enum sim_event_type type;
 	int node;
 	int from;
 	uint64_t incarnation;
@@ -54,8 +54,8 @@
 	bool counted;
 };
 
-struct stage_queue {
-	struct happen *list;
+struct sim_queue {
+	struct sim_event *list;
 	size_t count;
 	size_t cap;
 	uint64_t order;
@@ -68,23 +68,23 @@
 	bool deleted;
 };
 
-struct stage_store {
-	struct store_key keys[STAGE_STORE_KEYS];
+struct sim_store {
+	struct store_key keys[SIM_STORE_KEYS_MAX];
 	int nkeys;
 };
 
-/** stage_later() - something will happen @after microseconds from now. */
-struct happen *stage_later(struct stage *stage, int64_t after,
-			   enum happen_type type, int node);
-/** stage_feed() - hand an event to @node, and carry out what it does. */
-void stage_feed(struct stage *stage, int node, struct flow_event event);
-/** stage_store_replied() - a call of a node to the store is answered. */
-void stage_store_replied(struct stage *stage, const struct happen *happen);
-/** stage_arrived() - a request has come to its target. */
-void stage_arrived(struct stage *stage, const struct happen *happen);
-/** stage_ended() - a deadly request has ended its target. */
-void stage_ended(struct stage *stage, const struct happen *happen);
-/** stage_returned() - a target is back after a crash. */
-void stage_returned(struct stage *stage, int target);
-/** stage_lapsed() - the entry of a target that is gone goes. */
-void stage_lapsed(struct stage *stage, struct str id);
+/** sim_schedule() - something will happen @after microseconds from now. */
+struct sim_event *sim_schedule(struct sim *sim, int64_t after,
+			       enum sim_event_type type, int node);
+/** sim_deliver() - hand an event to @node, and carry out what it does. */
+void sim_deliver(struct sim *sim, int node, struct flow_event input);
+/** sim_store_replied() - a call of a node to the store is answered. */
+void sim_store_replied(struct sim *sim, const struct sim_event *event);
+/** sim_request_arrived() - a request has come to its target. */
+void sim_request_arrived(struct sim *sim, const struct sim_event *event);
+/** sim_deadly_run_ended() - a deadly request has ended its target. */
+void sim_deadly_run_ended(struct sim *sim, const struct sim_event *event);
+/** sim_target_restarted() - a target is back after a crash. */
+void sim_target_restarted(struct sim *sim, int target);
+/** sim_delete_entry() - the entry of a target that is gone goes. */
+void sim_delete_entry(struct sim *sim, struct str id);
--- a/tests/sim_targets.c
+++ b/tests/sim_targets.c
@@ -7,23 +7,23 @@
 
 enum {
 	SERVICE_US = 8000,
-	RECORDS = 3,
+	RECORDS_PER_REPLY = 3,
 	/* A target that crashed is back after this time, or up to half more. */
-	RETURN_US = 1200000,
+	RESTART_DELAY_US = 1200000,
 	/* Its entry goes after this time of silence. */
-	LAPSE_US = 3600000,
-	OUT_US = 5000000,
+	ENTRY_EXPIRY_US = 3600000,
+	DOMAIN_OUT_GRACE_US = 5000000,
 };
-static double draw(struct stage *stage)
+static double random_fraction(struct sim *sim)
 {
-	return (double)rng_below(&stage->rng, 1000000) / 1e6;
+	return (double)rng_below(&sim->rng, 1000000) / 1e6;
 }
 
 /* Store. */
 
-static struct store_key *store_get(struct stage *stage, const char *key)
+static struct store_key *store_get_or_add(struct sim *sim, const char *key)
 {
-	struct stage_store *store = stage->store;
+	struct sim_store *store = sim->store;
 
 	for (int i = 0; i < store->nkeys; i++)
 		if (!strcmp(store->keys[i].key, key))
@@ -34,237 +34,237 @@
 }
 
 /* Calls that wait for a change are answered by it. */
-static void store_changed(struct stage *stage)
+static void wake_watches(struct sim *sim)
 {
-	for (size_t i = 0; i < stage->queue->count; i++) {
-		struct happen *happen = &stage->queue->list[i];
+	for (size_t i = 0; i < sim->queue->count; i++) {
+		struct sim_event *event = &sim->queue->list[i];
 
-		if (happen->type == HAPPEN_STORE &&
-		    happen->call == STORE_WATCH &&
-		    happen->when > stage->now + STAGE_STORE_US)
-			happen->when = stage->now + STAGE_STORE_US;
+		if (event->type == SIM_EVENT_STORE_REPLY &&
+		    event->call == STORE_WATCH &&
+		    event->when > sim->now + SIM_STORE_LATENCY_US)
+			event->when = sim->now + SIM_STORE_LATENCY_US;
 	}
 }
 
-static void store_put(struct stage *stage, const char *key, const char *value)
+static void store_put(struct sim *sim, const char *key, const char *value)
 {
-	struct store_key *held = store_get(stage, key);
+	struct store_key *entry = store_get_or_add(sim, key);
 
-	held->revision = ++stage->revision;
-	held->deleted = !value;
-	snprintf(held->value, sizeof(held->value), "%s", value ? value : "");
-	store_changed(stage);
+	entry->revision = ++sim->revision;
+	entry->deleted = !value;
+	snprintf(entry->value, sizeof(entry->value), "%s", value ? value : "");
+	wake_watches(sim);
 }
 
-void stage_configure(struct stage *stage, uint64_t version)
+void sim_configure(struct sim *sim, uint64_t version)
 {
 	char value[32];
 
 	snprintf(value, sizeof(value), "%llu", (unsigned long long)version);
-	stage->version = version;
-	store_put(stage, "all/c", value);
+	sim->version = version;
+	store_put(sim, "all/c", value);
 }
 
-void stage_domain(struct stage *stage, int domain, bool out)
+void sim_set_domain_out(struct sim *sim, int domain, bool out)
 {
 	char key[32];
 
 	snprintf(key, sizeof(key), "all/o/d%d", domain);
-	stage->out_since[domain] = out ? stage->now : 0;
-	store_put(stage, key, out ? "out" : NULL);
+	sim->out_since[domain] = out ? sim->now : 0;
+	store_put(sim, key, out ? "out" : NULL);
 }
 
-void stage_publish(struct stage *stage, int target)
+void sim_publish_target(struct sim *sim, int target)
 {
-	const struct stage_target *t = &stage->targets[target];
+	const struct sim_target *t = &sim->targets[target];
 	char key[64];
 	char value[128];
 
 	snprintf(key, sizeof(key), "all/t/%s", t->id);
 	snprintf(value, sizeof(value), "%s %s %d %d %d", t->service, t->addr,
-		 t->domain, t->leaving, t->starts + 1);
-	store_put(stage, key, value);
+		 t->domain, t->leaving, t->restarts + 1);
+	store_put(sim, key, value);
 }
 
-void stage_lapsed(struct stage *stage, struct str id)
+void sim_delete_entry(struct sim *sim, struct str id)
 {
 	char key[64];
 
 	snprintf(key, sizeof(key), "all/t/%.*s", STR_ARG(id));
-	store_put(stage, key, NULL);
+	store_put(sim, key, NULL);
 }
 
-void stage_unpublish(struct stage *stage, int target)
+void sim_unpublish_target(struct sim *sim, int target)
 {
-	stage_lapsed(stage, str_of(stage->targets[target].id));
+	sim_delete_entry(sim, str_of(sim->targets[target].id));
 }
 
-int stage_add_target(struct stage *stage, const char *service, int domain)
+int sim_add_target(struct sim *sim, const char *service, int domain)
 {
-	int index = stage->ntargets++;
-	struct stage_target *t = &stage->targets[index];
+	int index = sim->ntargets++;
+	struct sim_target *t = &sim->targets[index];
 
-	*t = (struct stage_target){ .domain = domain,
-				    .up = true,
-				    .service_us = SERVICE_US };
+	*t = (struct sim_target){ .domain = domain,
+				  .up = true,
+				  .service_us = SERVICE_US };
 	snprintf(t->id, sizeof(t->id), "i%d", index);
 	snprintf(t->addr, sizeof(t->addr), "10.9.%d.%d:80", domain, index);
 	snprintf(t->service, sizeof(t->service), "%s", service);
-	stage_publish(stage, index);
+	sim_publish_target(sim, index);
 	return index;
 }
 
-void stage_add_targets(struct stage *stage, const char *prefix, int each)
+void sim_add_targets(struct sim *sim, const char *prefix, int each)
 {
-	for (int i = 0; i < STAGE_SHARDS; i++) {
+	for (int i = 0; i < SIM_SHARDS; i++) {
 		char service[16];
 
 		snprintf(service, sizeof(service), "%s%d", prefix, i);
 		for (int j = 0; j < each; j++)
-			stage_add_target(stage, service,
-					 (i + j) % STAGE_DOMAINS);
+			sim_add_target(sim, service, (i + j) % SIM_DOMAINS);
 	}
 }
 
 /* Targets. */
 
-static int shard_of(const struct stage_target *t)
+static int shard_of(const struct sim_target *t)
 {
 	if (t->service[0] == 's' && t->service[1] != 'i')
 		return atoi(t->service + 1);
 	if (t->service[0] == 'r')
-		return STAGE_SHARDS + atoi(t->service + 1);
+		return SIM_SHARDS + atoi(t->service + 1);
 	return -1;
 }
 
-static void count_arrival(struct stage *stage, struct stage_target *t,
-			  int call_id)
+static void count_arrival(struct sim *sim, struct sim_target *t, int call_id)
 {
-	struct stage_call *call = &stage->calls[call_id - 1];
+	struct sim_call *call = &sim->calls[call_id - 1];
 	int shard = shard_of(t);
-	size_t place = (size_t)(t - stage->targets);
-	uint64_t bit = 1ULL << place % 64;
-	uint64_t *asked;
+	size_t target_index = (size_t)(t - sim->targets);
+	uint64_t bit = 1ULL << target_index % 64;
+	uint64_t *sent_to;
 
 	t->arrivals++;
-	if (t->left_at && stage->now - t->left_at > STAGE_DRAIN_US)
-		stage->late_for_left++;
-	if (stage->out_since[t->domain] &&
-	    stage->now - stage->out_since[t->domain] > OUT_US)
-		stage->late_for_out++;
+	if (t->leaving_since && sim->now - t->leaving_since > SIM_DRAIN_US)
+		sim->late_to_leaving++;
+	if (sim->out_since[t->domain] &&
+	    sim->now - sim->out_since[t->domain] > DOMAIN_OUT_GRACE_US)
+		sim->late_to_out_domain++;
 	if (shard < 0)
 		return;
 	if (call->targets_of_shard[shard])
-		stage->extra_sends++;
+		sim->extra_sends++;
 	else
-		stage->first_sends++;
-	asked = &call->asked[shard][place / 64];
+		sim->first_sends++;
+	sent_to = &call->sent_to[shard][target_index / 64];
 	/* The same target once more is an extra send, but no further target. */
-	if (*asked & bit)
+	if (*sent_to & bit)
 		return;
-	*asked |= bit;
+	*sent_to |= bit;
 	call->targets_of_shard[shard]++;
 }
 
-static struct str make_records(struct stage *stage)
+static struct str make_records(struct sim *sim)
 {
-	char *bytes = xmalloc((size_t)RECORDS * 16);
+	char *bytes = xmalloc((size_t)RECORDS_PER_REPLY * 16);
 
-	for (int i = 0; i < RECORDS * 16; i++)
-		bytes[i] = (char)rng_next(&stage->rng);
-	return (struct str){ bytes, (size_t)RECORDS * 16 };
+	for (int i = 0; i < RECORDS_PER_REPLY * 16; i++)
+		bytes[i] = (char)rng_next(&sim->rng);
+	return (struct str){ bytes, (size_t)RECORDS_PER_REPLY * 16 };
 }
 
-static struct happen *reply_later(struct stage *stage,
-				  const struct happen *from, int64_t after,
-				  struct flow_reply reply)
+static struct sim_event *schedule_reply(struct sim *sim,
+					const struct sim_event *arrival,
+					int64_t after, struct flow_reply reply)
 {
-	struct happen *happen;
-	int node = from->node;
-	uint64_t id = from->id;
-	uint64_t incarnation = from->incarnation;
-	int target = from->target;
-
-	happen = stage_later(stage, after, HAPPEN_REPLY, node);
-	happen->id = id;
-	happen->incarnation = incarnation;
-	happen->target = target;
-	happen->reply = reply;
-	return happen;
+	struct sim_event *event;
+	int node = arrival->node;
+	uint64_t id = arrival->id;
+	uint64_t incarnation = arrival->incarnation;
+	int target = arrival->target;
+
+	event = sim_schedule(sim, after, SIM_EVENT_REPLY, node);
+	event->id = id;
+	event->incarnation = incarnation;
+	event->target = target;
+	event->reply = reply;
+	return event;
 }
 
 /* All that it works on breaks with it. */
-static void crash(struct stage *stage, int target, int deadly)
+static void crash(struct sim *sim, int target, int deadly)
 {
-	struct stage_target *t = &stage->targets[target];
-	struct stage_deadly *books = &stage->deadly[deadly];
-	struct happen *lapse;
+	struct sim_target *t = &sim->targets[target];
+	struct sim_deadly *record = &sim->deadly[deadly];
+	struct sim_event *expiry;
 
 	if (!t->up)
 		return;
 	t->up = false;
-	t->returning = true;
-	if (++books->crashes == 3)
-		books->third_at = stage->now;
-	for (size_t i = 0; i < stage->queue->count; i++) {
-		struct happen *happen = &stage->queue->list[i];
+	t->restarting = true;
+	if (++record->crashes == 3)
+		record->third_crash_at = sim->now;
+	for (size_t i = 0; i < sim->queue->count; i++) {
+		struct sim_event *event = &sim->queue->list[i];
 
-		if (happen->type != HAPPEN_REPLY || happen->target != target)
+		if (event->type != SIM_EVENT_REPLY || event->target != target)
 			continue;
-		happen->reply.result = FETCH_BROKEN;
-		happen->when = stage->now + STAGE_NEAR_US;
+		event->reply.result = FETCH_BROKEN;
+		event->when = sim->now + SIM_NEAR_HOP_US;
 	}
-	stage_later(stage,
-		    RETURN_US + (int64_t)rng_below(&stage->rng, RETURN_US / 2),
-		    HAPPEN_RETURN, 0)
+	sim_schedule(
+		sim,
+		RESTART_DELAY_US +
+			(int64_t)rng_below(&sim->rng, RESTART_DELAY_US / 2),
+		SIM_EVENT_RESTART, 0)
 		->target = target;
 	if (t->keeps_id)
 		return;
-	lapse = stage_later(stage, LAPSE_US, HAPPEN_LAPSE, 0);
-	lapse->expected = str_keep(str_of(t->id));
+	expiry = sim_schedule(sim, ENTRY_EXPIRY_US, SIM_EVENT_ENTRY_EXPIRED, 0);
+	expiry->expected = str_keep(str_of(t->id));
 }
 
-void stage_ended(struct stage *stage, const struct happen *happen)
+void sim_deadly_run_ended(struct sim *sim, const struct sim_event *event)
 {
-	crash(stage, happen->target, stage->calls[happen->call_id - 1].deadly);
+	crash(sim, event->target, sim->calls[event->call_id - 1].deadly);
 }
 
-void stage_crash(struct stage *stage, int target)
+void sim_crash_target(struct sim *sim, int target)
 {
-	crash(stage, target, 0);
+	crash(sim, target, 0);
 }
 
-void stage_returned(struct stage *stage, int target)
+void sim_target_restarted(struct sim *sim, int target)
 {
-	struct stage_target *t = &stage->targets[target];
+	struct sim_target *t = &sim->targets[target];
 
-	t->starts++;
-	t->returning = false;
+	t->restarts++;
+	t->restarting = false;
 	t->up = true;
 	memset(t->slot_free_at, 0, sizeof(t->slot_free_at));
 	if (!t->keeps_id)
-		snprintf(t->id, sizeof(t->id), "i%d.%d", target, t->starts);
-	stage_publish(stage, target);
+		snprintf(t->id, sizeof(t->id), "i%d.%d", target, t->restarts);
+	sim_publish_target(sim, target);
 }
 
-static void note_late(struct stage *stage, struct stage_call *call, int node)
+static void count_late_run(struct sim *sim, struct sim_call *call, int node)
 {
-	struct stage_deadly *books = &stage->deadly[call->deadly];
-	int64_t troubled_at = stage->nodes[node].troubled_at;
+	struct sim_deadly *record = &sim->deadly[call->deadly];
+	int64_t fault_at = sim->nodes[node].fault_at;
 
-	if (call->reached_late || !books->third_at ||
-	    stage->now - books->third_at <= STAGE_STABLE_US ||
-	    (troubled_at && stage->now - troubled_at <= STAGE_STABLE_US))
+	if (call->reached_late || !record->third_crash_at ||
+	    sim->now - record->third_crash_at <= SIM_CONVERGENCE_US ||
+	    (fault_at && sim->now - fault_at <= SIM_CONVERGENCE_US))
 		return;
 	call->reached_late = true;
-	books->late++;
+	record->late++;
 }
 
-/* Return: when a request that takes @took ends; holds a slot until then. */
-static int64_t end_of_run(const struct stage *stage, struct stage_target *t,
-			  int64_t took)
+/* Return: when a request that takes @run_us ends; holds a slot until then. */
+static int64_t run_end(const struct sim *sim, struct sim_target *t,
+		       int64_t run_us)
 {
-	int64_t start = stage->now;
+	int64_t start = sim->now;
 	int best = 0;
 
 	for (int i = 1; i < t->slots; i++)
@@ -274,85 +274,86 @@
 		start = t->slot_free_at[best];
 	if (t->paused_until > start)
 		start = t->paused_until;
-	t->slot_free_at[best] = start + took;
-	return start + took;
+	t->slot_free_at[best] = start + run_us;
+	return start + run_us;
 }
 
-void stage_arrived(struct stage *stage, const struct happen *happen)
+void sim_request_arrived(struct sim *sim, const struct sim_event *event)
 {
 	struct flow_reply reply = { .result = FETCH_OK,
 				    .cold_us = -1,
 				    .running = -1 };
-	struct stage_target *t;
-	int call_id = atoi(happen->request_id.ptr);
-	struct happen *end_it;
+	struct sim_target *t;
+	int call_id = atoi(event->request_id.ptr);
+	struct sim_event *crash_event;
 	char signature[64];
-	int64_t took;
+	int64_t run_us;
 
-	if (happen->target < 0 || !stage->targets[happen->target].up) {
+	if (event->target < 0 || !sim->targets[event->target].up) {
 		reply.result = FETCH_REFUSED;
-		reply_later(stage, happen, STAGE_REFUSED_US, reply);
+		schedule_reply(sim, event, SIM_REFUSED_LATENCY_US, reply);
 		return;
 	}
-	t = &stage->targets[happen->target];
-	if (!str_eq(happen->expected, str_of(t->id))) {
+	t = &sim->targets[event->target];
+	if (!str_eq(event->expected, str_of(t->id))) {
 		reply.status = 421;
 		reply.wrong_target = reply.not_run = true;
-		reply_later(stage, happen, STAGE_FAR_US, reply);
+		schedule_reply(sim, event, SIM_FAR_HOP_US, reply);
 		return;
 	}
-	count_arrival(stage, t, call_id);
-	if (draw(stage) < t->shed) {
+	count_arrival(sim, t, call_id);
+	if (random_fraction(sim) < t->reject_rate) {
 		reply.status = 503;
 		reply.not_run = true;
-		reply_later(stage, happen, STAGE_FAR_US, reply);
+		schedule_reply(sim, event, SIM_FAR_HOP_US, reply);
 		return;
 	}
-	stage->calls[call_id - 1].runs++;
+	sim->calls[call_id - 1].runs++;
 	if (t->silent)
 		return;
-	took = t->service_us / 2 +
-	       (int64_t)rng_below(&stage->rng, (uint64_t)t->service_us);
-	took = end_of_run(stage, t, took) - stage->now;
-	if (stage->calls[call_id - 1].deadly) {
-		note_late(stage, &stage->calls[call_id - 1], happen->node);
+	run_us = t->service_us / 2 +
+		 (int64_t)rng_below(&sim->rng, (uint64_t)t->service_us);
+	run_us = run_end(sim, t, run_us) - sim->now;
+	if (sim->calls[call_id - 1].deadly) {
+		count_late_run(sim, &sim->calls[call_id - 1], event->node);
 		reply.result = FETCH_BROKEN;
 		/* All at the same time, so that others lose all connections. */
-		took = stage->deadly_us ? stage->deadly_us : t->service_us;
-		end_it = reply_later(stage, happen, took, reply);
-		end_it->crash = true;
-		end_it->call_id = call_id;
+		run_us =
+			sim->deadly_run_us ? sim->deadly_run_us : t->service_us;
+		crash_event = schedule_reply(sim, event, run_us, reply);
+		crash_event->crash = true;
+		crash_event->call_id = call_id;
 		return;
 	}
-	if (draw(stage) < t->lose) {
+	if (random_fraction(sim) < t->reply_loss) {
 		reply.result = FETCH_BROKEN;
-		reply_later(stage, happen, took, reply);
+		schedule_reply(sim, event, run_us, reply);
 		return;
 	}
 	snprintf(signature, sizeof(signature), "%d.%d.%s", call_id, shard_of(t),
 		 t->id);
 	reply.status = 200;
 	reply.signature = str_keep(str_of(signature));
-	reply.body = make_records(stage);
-	reply_later(stage, happen, took, reply);
+	reply.body = make_records(sim);
+	schedule_reply(sim, event, run_us, reply);
 }
 
-void stage_store_replied(struct stage *stage, const struct happen *happen)
+void sim_store_replied(struct sim *sim, const struct sim_event *event)
 {
-	struct store_item items[STAGE_STORE_KEYS];
+	struct store_item items[SIM_STORE_KEYS_MAX];
 	struct store_reply reply = { .items = items,
-				     .revision = stage->revision };
-	struct flow_store_reply store = { .call = happen->call,
-					  .ok = happen->store_ok &&
-						!stage->store_down,
+				     .revision = sim->revision };
+	struct flow_store_reply store = { .call = event->call,
+					  .ok = event->store_ok &&
+						!sim->store_down,
 					  .why = "no reply in time",
 					  .reply = &reply };
 
-	for (int i = 0; i < stage->store->nkeys; i++) {
-		const struct store_key *key = &stage->store->keys[i];
+	for (int i = 0; i < sim->store->nkeys; i++) {
+		const struct store_key *key = &sim->store->keys[i];
 
-		if (happen->call == STORE_WATCH
-			    ? key->revision <= happen->revision
+		if (event->call == STORE_WATCH
+			    ? key->revision <= event->revision
 			    : key->deleted)
 			continue;
 		items[reply.count++] =
@@ -360,7 +361,7 @@
 					     str_of(key->value), key->revision,
 					     key->deleted };
 	}
-	stage_feed(stage, happen->node,
-		   (struct flow_event){ .type = FLOW_STORE_REPLY,
-					.store = &store });
+	sim_deliver(sim, event->node,
+		    (struct flow_event){ .type = FLOW_STORE_REPLY,
+					 .store = &store });
 }
