--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -30,39 +30,39 @@
 
 static apr_pool_t *pool;
 
-static void make_pool(void)
+static void create_pool(void)
 {
 	apr_pool_create(&pool, NULL);
 }
 
-static void drop_pool(void)
+static void destroy_pool(void)
 {
 	apr_pool_destroy(pool);
 }
 
-/** struct reading - a node's copy of what is published */
-struct reading {
+/** struct node_copy - a node's copy of what is published */
+struct node_copy {
 	struct flow_effects fx;
 	struct decision_log dlog;
 	struct directory dir;
 };
 
-static struct reading *reading_create(void)
+static struct node_copy *node_copy_create(void)
 {
-	struct reading *reading = apr_pcalloc(pool, sizeof(*reading));
+	struct node_copy *node_copy = apr_pcalloc(pool, sizeof(*node_copy));
 
-	flow_effects_init(&reading->fx, pool);
-	reading->dlog.fx = &reading->fx;
-	directory_init(&reading->dir, pool, &platform_dialect,
-		       balancer_create(pool, STR("z"), 0), &reading->dlog);
-	return reading;
+	flow_effects_init(&node_copy->fx, pool);
+	node_copy->dlog.fx = &node_copy->fx;
+	directory_init(&node_copy->dir, pool, &platform_dialect,
+		       balancer_create(pool, STR("z"), 0), &node_copy->dlog);
+	return node_copy;
 }
 
-static void reading_destroy(struct reading *reading)
+static void node_copy_destroy(struct node_copy *node_copy)
 {
-	directory_destroy(&reading->dir);
-	balancer_destroy(reading->dir.balancer);
-	flow_effects_free(&reading->fx);
+	directory_destroy(&node_copy->dir);
+	balancer_destroy(node_copy->dir.balancer);
+	flow_effects_free(&node_copy->fx);
 }
 
 /* A configuration with @routes routes, each beginning with "r". */
@@ -86,17 +86,18 @@
 	return out;
 }
 
-static void publish(struct reading *reading, struct str text, uint64_t revision)
+static void publish(struct node_copy *node_copy, struct str text,
+		    uint64_t revision)
 {
 	struct store_item item = { .key = STR("op/config"),
 				   .value = text,
 				   .revision = revision };
 
-	directory_apply(&reading->dir, &item, 1, 1000);
+	directory_apply(&node_copy->dir, &item, 1, 1000);
 }
 
 /* One node's copy goes to another, in a frame. */
-static void pass_on(struct reading *from, struct reading *to)
+static void send_copy(struct node_copy *from, struct node_copy *to)
 {
 	struct buf body = { 0 };
 	struct buf bytes = { 0 };
@@ -130,20 +131,20 @@
 START_TEST(test_published_configuration_is_in_force)
 {
 	int routes = route_counts[_i];
-	struct reading *reader = reading_create();
-	struct reading *other = reading_create();
+	struct node_copy *reader = node_copy_create();
+	struct node_copy *other = node_copy_create();
 	char last[16];
 
 	publish(reader, config_text(1, 1, ""), 1);
 	publish(reader, config_text(2, routes, ""), 2);
-	pass_on(reader, other);
+	send_copy(reader, other);
 	ck_assert_uint_eq(reader->dir.catalog->version, 2);
 	ck_assert_uint_eq(other->dir.catalog->version, 2);
 	snprintf(last, sizeof(last), "/r%d/x", routes - 1);
 	ck_assert_ptr_nonnull(catalog_find_route(
 		other->dir.catalog, STR("h.example"), str_of(last)));
-	reading_destroy(other);
-	reading_destroy(reader);
+	node_copy_destroy(other);
+	node_copy_destroy(reader);
 }
 END_TEST
 
@@ -164,22 +165,22 @@
 };
 
 /* A number of one route is beyond what this node can use: the rest counts. */
-START_TEST(test_odd_route_is_in_force)
+START_TEST(test_out_of_range_route_is_in_force)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 
-	publish(reading, config_text(1, 1, ""), 1);
-	publish(reading, config_text(2, 3, route_texts[_i]), 2);
-	ck_assert_uint_eq(reading->dir.catalog->version, 2);
-	ck_assert_uint_eq(reading->dir.catalog->nroutes, 3);
-	reading_destroy(reading);
+	publish(node_copy, config_text(1, 1, ""), 1);
+	publish(node_copy, config_text(2, 3, route_texts[_i]), 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->nroutes, 3);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
 /* Names are as long as operators like; the value bounds them. */
 START_TEST(test_long_names)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 	struct buf text = { 0 };
 	struct str path;
 
@@ -188,15 +189,15 @@
 		   "{\"name\":\"r\",\"host\":\"h\",\"service\":\"s\","
 		   "\"kind\":\"idempotent\",\"prefix\":\"/%0*d/\"}]}",
 		   4000, 7);
-	publish(reading, config_text(1, 1, ""), 1);
-	publish(reading, buf_str(&text), 2);
-	ck_assert_uint_eq(reading->dir.catalog->version, 2);
-	path = reading->dir.catalog->routes[0].prefix;
+	publish(node_copy, config_text(1, 1, ""), 1);
+	publish(node_copy, buf_str(&text), 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
+	path = node_copy->dir.catalog->routes[0].prefix;
 	ck_assert_uint_eq(path.len, 4002);
 	ck_assert_ptr_nonnull(
-		catalog_find_route(reading->dir.catalog, STR("h"), path));
+		catalog_find_route(node_copy->dir.catalog, STR("h"), path));
 	buf_free(&text);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
@@ -212,8 +213,8 @@
 	ck_abort_msg("no call to the store");
 }
 
-static void page(struct reader *reader, struct str text, uint64_t revision,
-		 int64_t now)
+static void reply_page(struct reader *reader, struct str text,
+		       uint64_t revision, int64_t now)
 {
 	struct store_item item = { .key = STR("op/config"),
 				   .value = text,
@@ -228,13 +229,14 @@
 	reader_reply(reader, &store, now);
 }
 
-static void read_all(struct reader *reader, int version, int64_t *now)
+static void answer_range(struct reader *reader, int version, int64_t *now)
 {
 	struct flow_effect call = next_call(reader, now);
 
 	ck_assert_int_eq(call.call, STORE_RANGE);
-	page(reader, config_text(version, 1, ""), (uint64_t)version, *now);
-	page(reader, (struct str){ 0 }, (uint64_t)version, *now);
+	reply_page(reader, config_text(version, 1, ""), (uint64_t)version,
+		   *now);
+	reply_page(reader, (struct str){ 0 }, (uint64_t)version, *now);
 }
 
 /*
@@ -245,7 +247,7 @@
  */
 START_TEST(test_changes_too_large)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 	struct flow_store_reply refused = {
 		.call = STORE_WATCH,
 		.unusable = true,
@@ -254,53 +256,53 @@
 	struct reader reader;
 	int64_t now = 1000000;
 
-	reader_init(&reader, &reading->dir, &reading->fx, now);
+	reader_init(&reader, &node_copy->dir, &node_copy->fx, now);
 	reader_set_active(&reader, true, now);
-	read_all(&reader, 1, &now);
+	answer_range(&reader, 1, &now);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_reply(&reader, &refused, now);
-	read_all(&reader, 2, &now);
-	ck_assert_uint_eq(reading->dir.catalog->version, 2);
+	answer_range(&reader, 2, &now);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_destroy(&reader);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
 /* An older version stays away, and that is told; no operator has to act. */
-START_TEST(test_older_version_is_passed_over)
+START_TEST(test_older_version_is_ignored)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 
-	publish(reading, config_text(3, 1, ""), 1);
-	publish(reading, config_text(2, 1, ""), 2);
-	ck_assert_uint_eq(reading->dir.catalog->version, 3);
-	ck_assert_uint_eq(reading->fx.count, 2);
+	publish(node_copy, config_text(3, 1, ""), 1);
+	publish(node_copy, config_text(2, 1, ""), 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 3);
+	ck_assert_uint_eq(node_copy->fx.count, 2);
 	ck_assert_ptr_nonnull(
-		strstr(reading->fx.list[1].text.ptr, "passed over"));
-	ck_assert(!reading->fx.list[1].severe);
-	reading_destroy(reading);
+		strstr(node_copy->fx.list[1].text.ptr, "passed over"));
+	ck_assert(!node_copy->fx.list[1].severe);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
 /* What cannot be read is refused in sight of the operator. */
-START_TEST(test_refused_configuration_is_seen)
+START_TEST(test_refused_configuration_is_reported)
 {
-	struct reading *reading = reading_create();
-	bool told = false;
-
-	publish(reading, config_text(1, 1, ""), 1);
-	publish(reading, STR("{\"version\":2"), 2);
-	for (size_t i = 0; i < reading->fx.count; i++)
-		told = told || reading->fx.list[i].severe;
-	ck_assert(told);
-	ck_assert_uint_eq(reading->dir.catalog->version, 1);
-	ck_assert_uint_eq(reading->dir.catalog_revision, 1);
-	ck_assert_uint_eq(reading->dir.seen_revision, 2);
+	struct node_copy *node_copy = node_copy_create();
+	bool logged = false;
+
+	publish(node_copy, config_text(1, 1, ""), 1);
+	publish(node_copy, STR("{\"version\":2"), 2);
+	for (size_t i = 0; i < node_copy->fx.count; i++)
+		logged = logged || node_copy->fx.list[i].severe;
+	ck_assert(logged);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 1);
+	ck_assert_uint_eq(node_copy->dir.catalog_revision, 1);
+	ck_assert_uint_eq(node_copy->dir.seen_revision, 2);
 	ck_assert_uint_eq(
-		reading->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
+		node_copy->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
 		1);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
@@ -319,13 +321,13 @@
 START_TEST(test_damaged_list_is_refused)
 {
 	const struct damage *damage = &damages[_i];
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 	struct buf body = { 0 };
 	struct store_item *items;
 	size_t count;
 
-	publish(reading, config_text(1, 1400, ""), 1);
-	directory_encode(&reading->dir, 0, &body);
+	publish(node_copy, config_text(1, 1400, ""), 1);
+	directory_encode(&node_copy->dir, 0, &body);
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
@@ -338,7 +340,7 @@
 		ERR_FRAME);
 	ck_assert_uint_eq(count, 0);
 	buf_free(&body);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
@@ -346,15 +348,15 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_checked_fixture(tcase, make_pool, drop_pool);
+	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_published_configuration_is_in_force, 0,
 			    COUNT(route_counts));
-	tcase_add_loop_test(tcase, test_odd_route_is_in_force, 0,
+	tcase_add_loop_test(tcase, test_out_of_range_route_is_in_force, 0,
 			    COUNT(route_texts));
 	tcase_add_test(tcase, test_long_names);
 	tcase_add_test(tcase, test_changes_too_large);
-	tcase_add_test(tcase, test_older_version_is_passed_over);
-	tcase_add_test(tcase, test_refused_configuration_is_seen);
+	tcase_add_test(tcase, test_older_version_is_ignored);
+	tcase_add_test(tcase, test_refused_configuration_is_reported);
 	tcase_add_loop_test(tcase, test_damaged_list_is_refused, 0,
 			    COUNT(damages));
 }
--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -23,26 +23,26 @@
 	 */
 	ROUND_US = 4400000,
 	/* Late tries that may reach targets, for all nodes together. */
-	LATE_MOST = 3,
+	LATE_RUNS_MAX = 3,
 	/* Targets that such tries may end: two each, one after the other. */
-	LATER_MOST = 2 * LATE_MOST,
+	CRASHES_AFTER_FIRST_ROUND_MAX = 2 * LATE_RUNS_MAX,
 	STEP_US = 1000,
 	/* Three hops between failure domains. */
-	TOLD_US = 4000,
+	PROPAGATION_US = 4000,
 	/* Targets crash 8 ms after the request has come. */
 	BEFORE_CRASH_US = 7000,
 	/* From this round on others must be served all the time. */
-	CALM_ROUND = 3,
+	SERVED_FROM_ROUND = 3,
 };
 
 /**
  * struct deadly_case - how a deadly request comes
- * @at_once: nodes that it comes to at the same moment
+ * @concurrent: nodes that it comes to at the same moment
  * @callers: it comes from this many addresses by turns
  * @requests: so many of them, by turns
  * @kill: a node is killed each round, and starts again, all in turn; the next
  *        round comes to that one first
- * @power: before this round all nodes lose power; 0: never
+ * @power_loss_round: before this round all nodes lose power; 0: never
  * @cut: before this round a third of the nodes is cut off from the others, for
  *       a round; 0: never
  * @keeps_id: targets come back under the id that they had
@@ -54,11 +54,11 @@
 struct deadly_case {
 	const char *name;
 	enum sim_request_kind kind;
-	int at_once;
+	int concurrent;
 	int callers;
 	int requests;
 	bool kill;
-	int power;
+	int power_loss_round;
 	int cut;
 	bool keeps_id;
 	int64_t runs_us;
@@ -70,14 +70,18 @@
 	{ .name = "nearly all shards needed", .kind = SIM_STRICT },
 	{ .name = "one target", .kind = SIM_SINGLE },
 	{ .name = "once only", .kind = SIM_ONCE },
-	{ .name = "at four nodes at once", .kind = SIM_MERGED, .at_once = 4 },
+	{ .name = "at four nodes at once",
+	  .kind = SIM_MERGED,
+	  .concurrent = 4 },
 	{ .name = "one target, four at once",
 	  .kind = SIM_SINGLE,
-	  .at_once = 4 },
+	  .concurrent = 4 },
 	{ .name = "from many addresses", .kind = SIM_MERGED, .callers = 5 },
 	{ .name = "three by turns", .kind = SIM_MERGED, .requests = 3 },
 	{ .name = "nodes restart in turn", .kind = SIM_MERGED, .kill = true },
-	{ .name = "all nodes restart", .kind = SIM_MERGED, .power = 5 },
+	{ .name = "all nodes restart",
+	  .kind = SIM_MERGED,
+	  .power_loss_round = 5 },
 	{ .name = "a domain is cut off", .kind = SIM_MERGED, .cut = 1 },
 	{ .name = "targets keep their ids",
 	  .kind = SIM_MERGED,
@@ -87,20 +91,20 @@
 	{ .name = "slow, all nodes restart",
 	  .kind = SIM_MERGED,
 	  .runs_us = 40000,
-	  .power = 5 },
+	  .power_loss_round = 5 },
 	{ .name = "slow, four at once",
 	  .kind = SIM_MERGED,
-	  .at_once = 4,
+	  .concurrent = 4,
 	  .runs_us = 40000 },
 	{ .name = "many nodes", .kind = SIM_MERGED, .nodes = 40 },
 };
 
-static int or_one(int number)
+static int at_least_one(int number)
 {
 	return number ? number : 1;
 }
 
-static struct sim *begin(int nodes, uint64_t seed)
+static struct sim *setup(int nodes, uint64_t seed)
 {
 	struct sim *sim = sim_create(nodes, seed);
 
@@ -114,51 +118,51 @@
 	return sim;
 }
 
-static int ask(struct sim *sim, int node, enum sim_request_kind kind,
-	       const struct sim_request_spec *spec)
+static int send_call(struct sim *sim, int node, enum sim_request_kind kind,
+		     const struct sim_request_spec *spec)
 {
 	return sim_call_with(sim, node % sim->nnodes, kind, spec);
 }
 
-static int ask_deadly(struct sim *sim, const struct deadly_case *c, int round,
-		      int node)
+static int send_deadly(struct sim *sim, const struct deadly_case *c, int round,
+		       int node)
 {
-	int number = round % or_one(c->requests) + 1;
+	int number = round % at_least_one(c->requests) + 1;
 	char caller[24];
 	char query[24];
 	struct sim_request_spec spec = { query, caller, number };
 
 	snprintf(caller, sizeof(caller), "10.1.0.%d",
-		 round % or_one(c->callers));
+		 round % at_least_one(c->callers));
 	snprintf(query, sizeof(query), "deadly%d", number);
-	return ask(sim, node, c->kind, &spec);
+	return send_call(sim, node, c->kind, &spec);
 }
 
 /* A request that nobody asked before. */
-static int ask_other(struct sim *sim, int node, enum sim_request_kind kind)
+static int send_harmless(struct sim *sim, int node, enum sim_request_kind kind)
 {
 	char query[24];
 	struct sim_request_spec spec = { query, "10.2.0.1", 0 };
 
 	snprintf(query, sizeof(query), "other%d", sim->ncalls);
-	return ask(sim, node, kind, &spec);
+	return send_call(sim, node, kind, &spec);
 }
 
 /* It comes, and its caller tries once more where that failed. */
-static void come(struct sim *sim, const struct deadly_case *c, int round)
+static void run_round(struct sim *sim, const struct deadly_case *c, int round)
 {
 	int first = sim->ncalls;
 
-	for (int i = 0; i < or_one(c->at_once); i++)
-		ask_deadly(sim, c, round, round + i);
+	for (int i = 0; i < at_least_one(c->concurrent); i++)
+		send_deadly(sim, c, round, round + i);
 	sim_run(sim, 2 * RETRY_US);
-	for (int i = 0; i < or_one(c->at_once); i++)
+	for (int i = 0; i < at_least_one(c->concurrent); i++)
 		if (sim->calls[first + i].status != 200)
-			ask_deadly(sim, c, round, round + i + 1);
+			send_deadly(sim, c, round, round + i + 1);
 	sim_run(sim, RETRY_US);
 }
 
-static void lose_power(struct sim *sim)
+static void restart_all(struct sim *sim)
 {
 	for (int i = 0; i < sim->nnodes; i++)
 		sim_kill_node(sim, i);
@@ -186,14 +190,14 @@
 }
 
 /* Others ask all the while. Return: how many were not served. */
-static int ask_others(struct sim *sim, int64_t us)
+static int send_harmless_calls(struct sim *sim, int64_t us)
 {
 	int first = sim->ncalls;
 	int failed = 0;
 
 	for (int64_t t = 0; t < us; t += SECOND_US / 10) {
-		ask_other(sim, sim->ncalls, SIM_MERGED);
-		ask_other(sim, sim->ncalls, SIM_SINGLE);
+		send_harmless(sim, sim->ncalls, SIM_MERGED);
+		send_harmless(sim, sim->ncalls, SIM_SINGLE);
 		sim_run(sim, SECOND_US / 10);
 	}
 	for (int i = first; i < sim->ncalls - 2; i++)
@@ -202,9 +206,9 @@
 }
 
 /* No node has forgotten it, or has not heard of it. */
-static bool is_calm(const struct deadly_case *c)
+static bool is_undisturbed(const struct deadly_case *c)
 {
-	return !c->kill && !c->power && !c->cut;
+	return !c->kill && !c->power_loss_round && !c->cut;
 }
 
 /*
@@ -214,7 +218,7 @@
 START_TEST(test_deadly_request_is_stopped)
 {
 	const struct deadly_case *c = &deadly_cases[_i];
-	struct sim *sim = begin(c->nodes ? c->nodes : NODES, 11);
+	struct sim *sim = setup(c->nodes ? c->nodes : NODES, 11);
 	int failed = 0;
 	int first = 0;
 
@@ -222,18 +226,18 @@
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].keeps_id = c->keeps_id;
 	for (int round = 0; round < ROUNDS; round++) {
-		if (c->power && round == c->power)
-			lose_power(sim);
+		if (c->power_loss_round && round == c->power_loss_round)
+			restart_all(sim);
 		if (c->cut)
 			cut_domain(sim, round == c->cut);
-		come(sim, c, round);
+		run_round(sim, c, round);
 		if (c->kill)
 			restart_one(sim, (round + 1) % NODES);
 		if (!round)
 			first = sim->deadly[1].crashes;
-		failed = ask_others(sim, ROUND_US);
-		if (round >= or_one(c->requests) * CALM_ROUND &&
-		    round != c->power && !c->kill)
+		failed = send_harmless_calls(sim, ROUND_US);
+		if (round >= at_least_one(c->requests) * SERVED_FROM_ROUND &&
+		    round != c->power_loss_round && !c->kill)
 			ck_assert_msg(!failed, "%s: round %d: %d others failed",
 				      c->name, round, failed);
 	}
@@ -241,13 +245,14 @@
 		printf("%-28s late %d, ended %d, %d after the first round\n",
 		       c->name, sim->deadly[1].late, sim->deadly[1].crashes,
 		       sim->deadly[1].crashes - first);
-	if (is_calm(c))
-		ck_assert_msg(sim->deadly[1].crashes - first <= LATER_MOST,
+	if (is_undisturbed(c))
+		ck_assert_msg(sim->deadly[1].crashes - first <=
+				      CRASHES_AFTER_FIRST_ROUND_MAX,
 			      "%s: %d targets ended after the first round",
 			      c->name, sim->deadly[1].crashes - first);
-	for (int i = 1; i <= or_one(c->requests); i++)
+	for (int i = 1; i <= at_least_one(c->requests); i++)
 		ck_assert_msg(sim->deadly[i].crashes >= 3 &&
-				      sim->deadly[i].late <= LATE_MOST,
+				      sim->deadly[i].late <= LATE_RUNS_MAX,
 			      "%s: %d late tries, %d targets ended", c->name,
 			      sim->deadly[i].late, sim->deadly[i].crashes);
 	sim_destroy(sim);
@@ -258,7 +263,7 @@
  * struct other_case - a harmless request beside a deadly one
  * @spec: what it asks, and who asks it
  * @gap_us: it is asked all the while, so often; 0: only as below
- * @since: it is asked from this round on
+ * @since_round: it is asked from this round on
  *
  * In each round it is under way when the deadly request crashes its targets,
  * and is asked again when they are back.
@@ -268,7 +273,7 @@
 	enum sim_request_kind kind;
 	struct sim_request_spec spec;
 	int64_t gap_us;
-	int since;
+	int since_round;
 };
 
 static const struct other_case other_cases[] = {
@@ -292,9 +297,10 @@
 	  0 },
 };
 
-static void check_whole(struct sim *sim, const struct other_case *o, int round)
+static void check_complete(struct sim *sim, const struct other_case *o,
+			   int round)
 {
-	int index = ask(sim, round, o->kind, &o->spec);
+	int index = send_call(sim, round, o->kind, &o->spec);
 	const struct sim_call *call = &sim->calls[index];
 
 	sim_run(sim, SECOND_US / 2);
@@ -311,24 +317,24 @@
 {
 	const struct other_case *o = &other_cases[_i];
 	const struct deadly_case c = { .name = "beside", .kind = o->kind };
-	struct sim *sim = begin(NODES, 11);
+	struct sim *sim = setup(NODES, 11);
 
 	for (int round = 0; round < ROUNDS; round++) {
-		ask_deadly(sim, &c, round, round);
+		send_deadly(sim, &c, round, round);
 		sim_run(sim, BEFORE_CRASH_US);
-		for (int i = 0; i < NODES && round >= o->since; i++)
-			ask(sim, i, o->kind, &o->spec);
+		for (int i = 0; i < NODES && round >= o->since_round; i++)
+			send_call(sim, i, o->kind, &o->spec);
 		for (int64_t t = 0; o->gap_us && t < ROUND_US / 2;
 		     t += o->gap_us) {
-			ask(sim, sim->ncalls, o->kind, &o->spec);
+			send_call(sim, sim->ncalls, o->kind, &o->spec);
 			sim_run(sim, o->gap_us);
 		}
 		sim_run(sim, ROUND_US / 2);
-		if (round >= o->since)
-			check_whole(sim, o, round);
+		if (round >= o->since_round)
+			check_complete(sim, o, round);
 		sim_run(sim, ROUND_US / 2);
 	}
-	ck_assert_int_le(sim->deadly[1].late, LATE_MOST);
+	ck_assert_int_le(sim->deadly[1].late, LATE_RUNS_MAX);
 	sim_destroy(sim);
 }
 END_TEST
@@ -337,14 +343,14 @@
  * struct crash_case - targets that end for reasons of their own
  * @domains: all of a failure domain at once, one domain after the other
  * @gap_us: between two such crashes
- * @kind, @often_us: a harmless request is asked so often meanwhile
+ * @kind, @call_interval_us: a harmless request is asked so often meanwhile
  */
 struct crash_case {
 	const char *name;
 	bool domains;
 	int64_t gap_us;
 	enum sim_request_kind kind;
-	int64_t often_us;
+	int64_t call_interval_us;
 };
 
 static const struct crash_case crash_cases[] = {
@@ -375,24 +381,25 @@
 {
 	const struct crash_case *c = &crash_cases[_i];
 	struct sim_request_spec spec = { "popular", "10.2.0.1", 0 };
-	struct sim *sim = begin(NODES, 11);
+	struct sim *sim = setup(NODES, 11);
 	int64_t next = sim->now;
 	int n = 0;
 	int index;
 
-	for (int64_t t = 0; t < 12 * (int64_t)SECOND_US; t += c->often_us) {
-		ask(sim, sim->ncalls, c->kind, &spec);
-		sim_run(sim, c->often_us / 2);
+	for (int64_t t = 0; t < 12 * (int64_t)SECOND_US;
+	     t += c->call_interval_us) {
+		send_call(sim, sim->ncalls, c->kind, &spec);
+		sim_run(sim, c->call_interval_us / 2);
 		if (sim->now >= next) {
 			crash_some(sim, c, n++);
 			next = sim->now + c->gap_us;
 		}
-		sim_run(sim, c->often_us / 2);
+		sim_run(sim, c->call_interval_us / 2);
 	}
 	/* Targets are back, and their entries too. */
 	sim_run(sim, ROUND_US);
 	for (int i = 0; i < NODES; i++) {
-		index = ask(sim, i, c->kind, &spec);
+		index = send_call(sim, i, c->kind, &spec);
 		sim_run(sim, SECOND_US / 2);
 		ck_assert_msg(sim->calls[index].status == 200, "%s: status %d",
 			      c->name, sim->calls[index].status);
@@ -410,46 +417,46 @@
 	static const enum sim_request_kind kinds[] = { SIM_MERGED, SIM_SINGLE,
 						       SIM_ONCE };
 	struct sim_request_spec spec = { "seldom", "10.2.0.1", 0 };
-	struct sim *sim = begin(NODES, 11);
+	struct sim *sim = setup(NODES, 11);
 	int index;
 
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].reply_loss = 1;
 	for (int i = 0; i < NODES; i++) {
-		ask(sim, i, kinds[_i], &spec);
+		send_call(sim, i, kinds[_i], &spec);
 		sim_run(sim, SECOND_US);
 	}
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].reply_loss = 0;
 	sim_run(sim, 16 * SECOND_US);
-	index = ask(sim, 0, kinds[_i], &spec);
+	index = send_call(sim, 0, kinds[_i], &spec);
 	sim_run(sim, SECOND_US);
 	ck_assert_int_eq(sim->calls[index].status, 200);
 	sim_destroy(sim);
 }
 END_TEST
 
-static bool knows_suspect(struct sim *sim, int node)
+static bool has_suspect(struct sim *sim, int node)
 {
 	static const char suspect[] = "\nwasabimoor_suspect_requests 1\n";
 	static const char blocked[] = "\nwasabimoor_blocked_requests 1\n";
 	struct buf text = { 0 };
-	bool knows;
+	bool found;
 
 	tier_metrics(sim->nodes[node].tier, &text);
-	knows = memmem(text.ptr, text.len, suspect, sizeof(suspect) - 1) ||
+	found = memmem(text.ptr, text.len, suspect, sizeof(suspect) - 1) ||
 		memmem(text.ptr, text.len, blocked, sizeof(blocked) - 1);
 	buf_free(&text);
-	return knows;
+	return found;
 }
 
-/** struct spread_case - @runs_us: as in struct deadly_case */
-struct spread_case {
+/** struct propagation_case - @runs_us: as in struct deadly_case */
+struct propagation_case {
 	int nodes;
 	int64_t runs_us;
 };
 
-static const struct spread_case spread_cases[] = {
+static const struct propagation_case propagation_cases[] = {
 	{ NODES, 0 },
 	{ 40, 0 },
 	{ NODES, 40000 },
@@ -462,18 +469,18 @@
  */
 START_TEST(test_evidence_reaches_all_nodes)
 {
-	const struct spread_case *c = &spread_cases[_i];
+	const struct propagation_case *c = &propagation_cases[_i];
 	static const struct deadly_case once = { .kind = SIM_MERGED };
-	struct sim *sim = begin(c->nodes, 11);
+	struct sim *sim = setup(c->nodes, 11);
 	int call;
 
 	sim->deadly_run_us = c->runs_us;
-	call = ask_deadly(sim, &once, 0, 0);
+	call = send_deadly(sim, &once, 0, 0);
 	while (!sim->calls[call].answered_at)
 		sim_run(sim, STEP_US);
-	sim_run(sim, TOLD_US);
+	sim_run(sim, PROPAGATION_US);
 	for (int i = 0; i < sim->nnodes; i++)
-		ck_assert_msg(knows_suspect(sim, i), "node %d of %d", i,
+		ck_assert_msg(has_suspect(sim, i), "node %d of %d", i,
 			      sim->nnodes);
 	sim_destroy(sim);
 }
@@ -484,7 +491,7 @@
 	tcase_add_loop_test(tcase, test_deadly_request_is_stopped, 0,
 			    COUNT(deadly_cases));
 	tcase_add_loop_test(tcase, test_evidence_reaches_all_nodes, 0,
-			    COUNT(spread_cases));
+			    COUNT(propagation_cases));
 	tcase_add_loop_test(tcase, test_other_request_is_served, 0,
 			    COUNT(other_cases));
 	tcase_add_loop_test(tcase, test_crashes_of_other_causes, 0,
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -19,17 +19,17 @@
 	GOAL_US = 100000,
 	SECOND_US = 1000000,
 	/* Until nodes have seen what is wrong; not judged. */
-	LEARN_US = 2 * SECOND_US,
-	JUDGED_US = 8 * SECOND_US,
-	WORK_US = 10000,
+	WARMUP_US = 2 * SECOND_US,
+	MEASURED_US = 8 * SECOND_US,
+	BASE_SERVICE_US = 10000,
 	/* Failed questions that are told of. */
-	TOLD = 3,
+	FAILURES_PRINTED_MAX = 3,
 };
 
 /**
  * struct pattern - a kind of heavy day
  * @rate: questions a second, spread evenly over the nodes
- * @spoil: called before each question, to set what is wrong by then
+ * @inject: called before each question, to set what is wrong by then
  * @credit: least mean of the squared share of shards that are in by the goal
  * @failed: most questions of a hundred that end without an answer
  * @extra: most hedges and retries, in a hundred first sends
@@ -37,7 +37,7 @@
 struct pattern {
 	const char *name;
 	int rate;
-	void (*spoil)(struct sim *sim);
+	void (*inject)(struct sim *sim);
 	double credit;
 	double failed;
 	double extra;
@@ -47,21 +47,21 @@
 /* Targets are added shard by shard: of a shard, 2 i and 2 i + 1. */
 
 /* One target of each shard rejects three of five requests, health good. */
-static void shed_across(struct sim *sim)
+static void reject_at_one_target_per_shard(struct sim *sim)
 {
 	for (int i = 0; i < SIM_SHARDS; i++)
 		sim->targets[2 * i + i % 2].reject_rate = 0.6;
 }
 
 /* One target of each fourth shard takes eight times as long. */
-static void slow_across(struct sim *sim)
+static void slow_every_fourth_shard(struct sim *sim)
 {
 	for (int i = 0; i < SIM_SHARDS; i += 4)
-		sim->targets[2 * i].service_us = 8 * WORK_US;
+		sim->targets[2 * i].service_us = 8 * BASE_SERVICE_US;
 }
 
 /* Each target stands still for 150 ms each 3.6 s, at its own time. */
-static void pause_in_turn(struct sim *sim)
+static void pause_in_rotation(struct sim *sim)
 {
 	static const int64_t every = 3600000;
 	static const int64_t length = 150000;
@@ -75,25 +75,25 @@
 	}
 }
 
-static void shed_and_pause(struct sim *sim)
+static void reject_and_pause(struct sim *sim)
 {
-	shed_across(sim);
-	pause_in_turn(sim);
+	reject_at_one_target_per_shard(sim);
+	pause_in_rotation(sim);
 }
 
 /* A burst: what is left of each fourth shard is just not enough for it. */
-static void slow_in_burst(struct sim *sim)
+static void overload_every_fourth_shard(struct sim *sim)
 {
 	for (int i = 0; i < SIM_SHARDS; i += 4)
-		sim->targets[2 * i].service_us = 30 * WORK_US;
+		sim->targets[2 * i].service_us = 30 * BASE_SERVICE_US;
 }
 
 /* Both targets of two shards are so slow that there is no room for all. */
-static void short_of_room(struct sim *sim)
+static void slow_two_shards(struct sim *sim)
 {
 	for (int i = 0; i < 2 * SIM_SHARDS; i += SIM_SHARDS)
 		for (int j = 0; j < 2; j++)
-			sim->targets[i + j].service_us = 12 * WORK_US;
+			sim->targets[i + j].service_us = 12 * BASE_SERVICE_US;
 }
 
 /*
@@ -101,7 +101,7 @@
  * domain that fewer nodes are beside. What is left can bear all; a node that
  * leaves it too few of its connections has shards wait for room there.
  */
-static void dark_domain(struct sim *sim)
+static void silence_domain(struct sim *sim)
 {
 	for (int i = 0; i < 2 * SIM_SHARDS; i++)
 		if (sim->targets[i].domain == 0)
@@ -109,39 +109,42 @@
 }
 
 /* All targets run requests and lose three of ten replies. */
-static void lose_all(struct sim *sim)
+static void lose_replies(struct sim *sim)
 {
 	for (int i = 0; i < 2 * SIM_SHARDS; i++)
 		sim->targets[i].reply_loss = 0.3;
 }
 
-static void nothing(struct sim *sim)
+static void no_fault(struct sim *sim)
 {
 	(void)sim;
 }
 
 static const struct pattern patterns[] = {
-	{ "calm", 120, nothing, 0.99, 0, 1, false },
-	{ "pauses in turn", 120, pause_in_turn, 0.98, 0.5, 4, false },
-	{ "slow across", 120, slow_across, 0.99, 0, 1, false },
-	{ "slow in a burst", 190, slow_in_burst, 0.98, 0, 1, false },
-	{ "short of room", 60, short_of_room, 0, 43, 4, false },
-	{ "dark domain", 185, dark_domain, 0.99, 0, 2, false },
+	{ "calm", 120, no_fault, 0.99, 0, 1, false },
+	{ "pauses in turn", 120, pause_in_rotation, 0.98, 0.5, 4, false },
+	{ "slow across", 120, slow_every_fourth_shard, 0.99, 0, 1, false },
+	{ "slow in a burst", 190, overload_every_fourth_shard, 0.98, 0, 1,
+	  false },
+	{ "short of room", 60, slow_two_shards, 0, 43, 4, false },
+	{ "dark domain", 185, silence_domain, 0.99, 0, 2, false },
 	/* 200 a second are all that some shards bear. */
-	{ "dark domain, no room", 215, dark_domain, 0.7, 15, 5, false },
-	{ "replies lost", 10, lose_all, 0.65, 30, 60, true },
-	{ "shedding across", 120, shed_across, 0.99, 0, 1.5, false },
-	{ "shedding across, pauses", 120, shed_and_pause, 0.945, 0.5, 5,
+	{ "dark domain, no room", 215, silence_domain, 0.7, 15, 5, false },
+	{ "replies lost", 10, lose_replies, 0.65, 30, 60, true },
+	{ "shedding across", 120, reject_at_one_target_per_shard, 0.99, 0, 1.5,
+	  false },
+	{ "shedding across, pauses", 120, reject_and_pause, 0.945, 0.5, 5,
 	  false },
 };
 
 /* Why callers got nothing, to begin a search with. */
-static void tell_failed(const struct sim *sim, int from)
+static void print_failed(const struct sim *sim, int from)
 {
-	int told = 0;
+	int printed = 0;
 
-	for (int i = from; i < sim->ncalls && told < TOLD; i++)
-		if (sim->calls[i].status != 200 && ++told)
+	for (int i = from; i < sim->ncalls && printed < FAILURES_PRINTED_MAX;
+	     i++)
+		if (sim->calls[i].status != 200 && ++printed)
 			printf("  question %d: status %d after %.1f ms\n", i,
 			       sim->calls[i].status,
 			       (sim->calls[i].answered_at -
@@ -149,7 +152,7 @@
 				       1000.0);
 }
 
-static struct sim *begin(bool small, uint32_t without)
+static struct sim *setup(bool small, uint32_t without)
 {
 	struct sim *sim = sim_create(NODES, 11);
 
@@ -157,7 +160,7 @@
 	sim_add_targets(sim, "s", 2);
 	for (int i = 0; i < 2 * SIM_SHARDS; i++) {
 		sim->targets[i].slots = 2;
-		sim->targets[i].service_us = WORK_US;
+		sim->targets[i].service_us = BASE_SERVICE_US;
 	}
 	sim_configure(sim, 1);
 	for (int i = 0; small && i < NODES; i++)
@@ -169,12 +172,13 @@
 	return sim;
 }
 
-static void load(struct sim *sim, const struct pattern *pattern, int64_t length)
+static void apply_load(struct sim *sim, const struct pattern *pattern,
+		       int64_t length)
 {
 	int64_t gap = SECOND_US / pattern->rate;
 
 	for (int64_t at = 0; at < length; at += gap) {
-		pattern->spoil(sim);
+		pattern->inject(sim);
 		sim_call(sim, sim->ncalls % NODES, SIM_STRICT);
 		sim_run(sim, gap);
 	}
@@ -190,27 +194,28 @@
 	double extra;
 };
 
-static struct result judge(const struct sim *sim, int from)
+static struct result measure(const struct sim *sim, int from)
 {
 	struct result result = { 0 };
 	int count = sim->ncalls - from;
 
 	for (int i = from; i < sim->ncalls; i++) {
 		const struct sim_call *call = &sim->calls[i];
-		double share = (double)call->parts / SIM_SHARDS;
+		double fraction = (double)call->parts / SIM_SHARDS;
 
 		if (call->status != 200)
 			result.failed += 1.0 / count;
 		else if (call->answered_at - call->start <= GOAL_US)
-			result.credit += share * share / count;
+			result.credit += fraction * fraction / count;
 	}
 	return result;
 }
 
 /* Plays @pattern without some mechanisms. */
-static struct result play(const struct pattern *pattern, uint32_t without)
+static struct result run_pattern(const struct pattern *pattern,
+				 uint32_t without)
 {
-	struct sim *sim = begin(pattern->small, without);
+	struct sim *sim = setup(pattern->small, without);
 	/* The log of one question, by its number. */
 	const char *traced = getenv("TRACE");
 	struct result result;
@@ -218,17 +223,17 @@
 
 	if (traced)
 		sim->traced_call = atoi(traced);
-	load(sim, pattern, LEARN_US);
+	apply_load(sim, pattern, WARMUP_US);
 	from = sim->ncalls;
 	sim->first_sends = sim->extra_sends = 0;
-	load(sim, pattern, JUDGED_US);
+	apply_load(sim, pattern, MEASURED_US);
 	sim_run(sim, 2 * SECOND_US);
-	result = judge(sim, from);
+	result = measure(sim, from);
 	result.extra = 100.0 * sim->extra_sends / sim->first_sends;
 	printf("%-24s credit %.3f, failed %.3f, retries %.1f %%\n",
 	       pattern->name, result.credit, result.failed, result.extra);
 	if (!without)
-		tell_failed(sim, from);
+		print_failed(sim, from);
 	fflush(stdout);
 	sim_destroy(sim);
 	return result;
@@ -242,7 +247,7 @@
 START_TEST(test_pattern)
 {
 	const struct pattern *pattern = &patterns[_i];
-	struct result result = play(pattern, 0);
+	struct result result = run_pattern(pattern, 0);
 
 	ck_assert_msg(result.credit >= pattern->credit, "%s: credit %.3f",
 		      pattern->name, result.credit);
@@ -253,13 +258,13 @@
 }
 END_TEST
 
-/** struct need - a pattern that is not borne without a mechanism */
-struct need {
+/** struct requirement - a pattern that is not borne without a mechanism */
+struct requirement {
 	const char *pattern;
 	enum mechanism mechanism;
 };
 
-static const struct need needs[] = {
+static const struct requirement requirements[] = {
 	{ "pauses in turn", MECHANISM_HEDGES },
 	{ "slow across", MECHANISM_SLOWNESS },
 	{ "dark domain, no room", MECHANISM_LINE },
@@ -278,17 +283,18 @@
 
 /* The same loads with one mechanism off: callers are served worse than asked.
  */
-START_TEST(test_needed)
+START_TEST(test_mechanism_is_required)
 {
-	const struct need *need = &needs[_i];
-	const struct pattern *pattern = find_pattern(need->pattern);
-	struct result result = play(pattern, 1U << need->mechanism);
+	const struct requirement *requirement = &requirements[_i];
+	const struct pattern *pattern = find_pattern(requirement->pattern);
+	struct result result =
+		run_pattern(pattern, 1U << requirement->mechanism);
 
 	ck_assert_msg(result.credit < pattern->credit ||
 			      100 * result.failed > pattern->failed ||
 			      result.extra > pattern->extra,
-		      "%s is borne without %s", need->pattern,
-		      mechanism_info(need->mechanism)->name);
+		      "%s is borne without %s", requirement->pattern,
+		      mechanism_info(requirement->mechanism)->name);
 }
 END_TEST
 
@@ -296,8 +302,8 @@
 {
 	tcase_add_loop_test(tcase, test_pattern, 0,
 			    sizeof(patterns) / sizeof(*patterns));
-	tcase_add_loop_test(tcase, test_needed, 0,
-			    sizeof(needs) / sizeof(*needs));
+	tcase_add_loop_test(tcase, test_mechanism_is_required, 0,
+			    sizeof(requirements) / sizeof(*requirements));
 }
 
 int main(void)
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -22,17 +22,17 @@
 enum {
 	SECOND_US = 1000000,
 	/* What a reply of a target in these cases usually takes. */
-	USUAL_US = 10000,
+	BASELINE_US = 10000,
 };
 
 static apr_pool_t *pool;
 
-static void make_pool(void)
+static void create_pool(void)
 {
 	apr_pool_create(&pool, NULL);
 }
 
-static void drop_pool(void)
+static void destroy_pool(void)
 {
 	apr_pool_destroy(pool);
 }
@@ -100,7 +100,7 @@
 	int first;
 	int64_t later_us;
 	double share; /* 0: 1 / nodes */
-	int most; /* 0.8 x (0.2 x first + 50 x share) */
+	int max; /* 0.8 x (0.2 x first + 50 x share) */
 };
 
 static const struct budget_case budget_cases[] = {
@@ -127,7 +127,7 @@
 	while (taken < 1000 &&
 	       budget_take(budget, 7, c->share, SECOND_US + c->later_us))
 		taken++;
-	ck_assert_int_eq(taken, c->most);
+	ck_assert_int_eq(taken, c->max);
 	ck_assert_int_eq(budget_left(budget, 8, 0, SECOND_US),
 			 (int)(0.8 * 50 / c->nodes));
 	budget_destroy(budget);
@@ -221,44 +221,44 @@
 
 /* Choice of targets: a and b, alike but for what the case says. */
 
-enum choice_fact {
+enum choose_condition {
 	FAR_B = 1, /* b is in another failure domain */
 	BUSY_A = 2, /* a has two requests under way */
-	STUCK_A = 4, /* a's reply is overdue */
+	OVERDUE_A = 4, /* a's reply is overdue */
 	SLOW_A = 8, /* a has been slow */
-	SHEDS_A = 16, /* a rejects what it gets */
+	REJECTS_A = 16, /* a rejects what it gets */
 	DOWN_A = 32, /* a takes no connections */
 	LEAVING_A = 64, /* a's entry says so */
 	GONE_A = 128, /* a's entry is gone */
-	LAPSED_A = 256, /* the same, while the store was away */
+	GONE_IN_STORE_OUTAGE_A = 256, /* the same, while the store was away */
 	OUT_A = 512, /* a's domain is taken out */
 	TRIED_A = 1024,
 	TRIED_B = 2048,
 	SLOW_LONG_AGO_A = 4096,
 };
 
-struct choice_case {
-	int facts;
+struct choose_case {
+	int conditions;
 	const char *want; /* of "a", "b", "" for none */
 };
 
-static const struct choice_case choice_cases[] = {
+static const struct choose_case choose_cases[] = {
 	{ FAR_B, "a" },
 	{ FAR_B | BUSY_A, "a" },
 	{ BUSY_A, "b" },
-	{ FAR_B | STUCK_A, "b" },
+	{ FAR_B | OVERDUE_A, "b" },
 	{ FAR_B | SLOW_A, "b" },
 	{ FAR_B | SLOW_LONG_AGO_A, "a" },
-	{ FAR_B | SHEDS_A, "b" },
+	{ FAR_B | REJECTS_A, "b" },
 	{ FAR_B | DOWN_A, "b" },
 	{ FAR_B | LEAVING_A, "b" },
 	{ FAR_B | GONE_A, "b" },
-	{ FAR_B | LAPSED_A, "a" },
+	{ FAR_B | GONE_IN_STORE_OUTAGE_A, "a" },
 	{ FAR_B | OUT_A, "b" },
 	{ FAR_B | TRIED_A, "b" },
 	{ FAR_B | TRIED_A | TRIED_B, "" },
 	{ FAR_B | TRIED_B | DOWN_A, "" },
-	{ FAR_B | TRIED_B | SHEDS_A, "a" },
+	{ FAR_B | TRIED_B | REJECTS_A, "a" },
 	{ FAR_B | TRIED_B | LEAVING_A, "" },
 };
 
@@ -286,61 +286,64 @@
 	struct live_target *a = find(balancer, "a");
 
 	for (int i = 0; i < 5; i++) {
-		target_health_on_send(a, USUAL_US, now - us);
-		balancer_on_reply(balancer, a, what, USUAL_US, now - us, now);
+		target_health_on_send(a, BASELINE_US, now - us);
+		balancer_on_reply(balancer, a, what, BASELINE_US, now - us,
+				  now);
 	}
 }
 
-static void apply(struct balancer *balancer, int facts, int64_t now)
+static void apply_conditions(struct balancer *balancer, int conditions,
+			     int64_t now)
 {
 	struct target_entry leaving = entry("a", "here");
 
 	leaving.leaving = true;
-	if (facts & BUSY_A) {
-		target_health_on_send(find(balancer, "a"), USUAL_US, now);
-		target_health_on_send(find(balancer, "a"), USUAL_US, now);
+	if (conditions & BUSY_A) {
+		target_health_on_send(find(balancer, "a"), BASELINE_US, now);
+		target_health_on_send(find(balancer, "a"), BASELINE_US, now);
 	}
-	if (facts & STUCK_A)
-		target_health_on_send(find(balancer, "a"), USUAL_US,
+	if (conditions & OVERDUE_A)
+		target_health_on_send(find(balancer, "a"), BASELINE_US,
 				      now - 50000);
-	if (facts & SLOW_A)
+	if (conditions & SLOW_A)
 		reply(balancer, REPLY_GOOD, 200000, now);
-	if (facts & SLOW_LONG_AGO_A)
+	if (conditions & SLOW_LONG_AGO_A)
 		reply(balancer, REPLY_GOOD, 200000, now - 6 * SECOND_US);
-	if (facts & SHEDS_A)
+	if (conditions & REJECTS_A)
 		reply(balancer, REPLY_REJECTED, 1000, now - 20000);
-	if (facts & DOWN_A)
+	if (conditions & DOWN_A)
 		reply(balancer, REPLY_DOWN, 1000, now);
-	if (facts & LEAVING_A)
+	if (conditions & LEAVING_A)
 		balancer_put(balancer, &leaving, now);
-	if (facts & LAPSED_A)
+	if (conditions & GONE_IN_STORE_OUTAGE_A)
 		balancer_on_store_lost(balancer, now - SECOND_US);
-	if (facts & (GONE_A | LAPSED_A))
+	if (conditions & (GONE_A | GONE_IN_STORE_OUTAGE_A))
 		balancer_unpublish(balancer, STR("a"), now - SECOND_US / 2);
-	if (facts & OUT_A)
+	if (conditions & OUT_A)
 		balancer_set_domain(balancer, STR("here"), true);
 }
 
-START_TEST(test_choice)
+START_TEST(test_choose)
 {
-	const struct choice_case *c = &choice_cases[_i];
+	const struct choose_case *c = &choose_cases[_i];
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
-	struct target_entry b = entry("b", c->facts & FAR_B ? "there" : "here");
+	struct target_entry b =
+		entry("b", c->conditions & FAR_B ? "there" : "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	uint64_t tried[2];
 	struct target_query target_query = { .service = 5,
 					     .excluded = tried,
-					     .baseline_us = USUAL_US,
+					     .baseline_us = BASELINE_US,
 					     .now = now };
 	struct live_target *got;
 
 	balancer_put(balancer, &a, now - 20 * SECOND_US);
 	balancer_put(balancer, &b, now - 20 * SECOND_US);
-	apply(balancer, c->facts, now);
-	if (c->facts & TRIED_A)
+	apply_conditions(balancer, c->conditions, now);
+	if (c->conditions & TRIED_A)
 		tried[target_query.nexcluded++] = str_hash(STR("a"));
-	if (c->facts & TRIED_B)
+	if (c->conditions & TRIED_B)
 		tried[target_query.nexcluded++] = str_hash(STR("b"));
 	got = balancer_choose(balancer, &target_query);
 	if (*c->want) {
@@ -357,7 +360,7 @@
  * A target starts again under its id: what was known of the process before
  * says nothing of the new one.
  */
-START_TEST(test_target_starts_again)
+START_TEST(test_target_restart)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
@@ -391,20 +394,20 @@
 	struct target_entry b = entry("b", "there");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct target_query target_query = { .service = 5,
-					     .baseline_us = USUAL_US };
+					     .baseline_us = BASELINE_US };
 	struct live_target *target;
 
 	balancer_put(balancer, &a, now);
 	balancer_put(balancer, &b, now);
 	target = find(balancer, "a");
 	for (int i = 0; i < 3; i++) {
-		target_health_on_send(target, USUAL_US, now);
+		target_health_on_send(target, BASELINE_US, now);
 		now += 150000;
 		target_query.now = now;
 		ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
 				 find(balancer, "b"));
-		balancer_on_reply(balancer, target, REPLY_CANCELLED, USUAL_US,
-				  now - 150000, now);
+		balancer_on_reply(balancer, target, REPLY_CANCELLED,
+				  BASELINE_US, now - 150000, now);
 	}
 	target_query.now = now + 500000;
 	ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
@@ -412,9 +415,9 @@
 	target_query.now = now + 10 * (int64_t)SECOND_US;
 	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
 	for (int i = 0; i < 10; i++) {
-		target_health_on_send(target, USUAL_US, now);
-		balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
-				  now + 9000);
+		target_health_on_send(target, BASELINE_US, now);
+		balancer_on_reply(balancer, target, REPLY_GOOD, BASELINE_US,
+				  now, now + 9000);
 	}
 	target_query.now = now + 9000;
 	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
@@ -427,7 +430,7 @@
  * is slow is as slow for both: a caller of the short kind must not have its
  * request taken for late, or kept from a target, by times of the long kind.
  */
-START_TEST(test_two_kinds)
+START_TEST(test_two_request_kinds)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
@@ -437,27 +440,28 @@
 	balancer_put(balancer, &a, now);
 	target = find(balancer, "a");
 	for (int i = 0; i < 30; i++) {
-		target_health_on_send(target, 3 * USUAL_US, now);
-		now += 6 * USUAL_US;
-		balancer_on_reply(balancer, target, REPLY_GOOD, 3 * USUAL_US,
-				  now - 6 * USUAL_US, now);
+		target_health_on_send(target, 3 * BASELINE_US, now);
+		now += 6 * BASELINE_US;
+		balancer_on_reply(balancer, target, REPLY_GOOD, 3 * BASELINE_US,
+				  now - 6 * BASELINE_US, now);
 	}
-	ck_assert_double_eq_tol(target_health_expected_us(target, 3 * USUAL_US),
-				6 * USUAL_US, USUAL_US / 10.0);
-	ck_assert_double_eq_tol(target_health_expected_us(target, USUAL_US),
-				2 * USUAL_US, USUAL_US / 10.0);
+	ck_assert_double_eq_tol(
+		target_health_expected_us(target, 3 * BASELINE_US),
+		6 * BASELINE_US, BASELINE_US / 10.0);
+	ck_assert_double_eq_tol(target_health_expected_us(target, BASELINE_US),
+				2 * BASELINE_US, BASELINE_US / 10.0);
 	balancer_destroy(balancer);
 }
 END_TEST
 
-/** struct usual_case - replies by turns, and what is usual after them */
-struct usual_case {
+/** struct baseline_case - replies by turns, and what is usual after them */
+struct baseline_case {
 	int64_t replies[10];
-	double least;
-	double most;
+	double min;
+	double max;
 };
 
-static const struct usual_case usual_cases[] = {
+static const struct baseline_case baseline_cases[] = {
 	{ { 20000 }, 18000, 22000 },
 	/* One of ten is stuck in a pause: a mean would be 34,000. */
 	{ { 10000, 11000, 9000, 10000, 250000, 10000, 9500, 10500, 11000,
@@ -467,29 +471,29 @@
 };
 
 /* The first reply counts in full; afterwards long ones do not move it much. */
-START_TEST(test_usual)
+START_TEST(test_baseline)
 {
-	const struct usual_case *c = &usual_cases[_i];
+	const struct baseline_case *c = &baseline_cases[_i];
 	struct baseline baseline = { .us = 500 };
 
 	for (int i = 0; i < 100; i++)
 		if (c->replies[i % 10])
 			baseline_add(&baseline, c->replies[i % 10]);
-	ck_assert_double_ge(baseline.us, c->least);
-	ck_assert_double_le(baseline.us, c->most);
+	ck_assert_double_ge(baseline.us, c->min);
+	ck_assert_double_le(baseline.us, c->max);
 }
 END_TEST
 
-static void tell_nobody(void *ctx, const struct msg *msg, bool near)
+static void discard_msg(void *ctx, const struct msg *msg, bool near)
 {
 	(void)ctx;
 	(void)msg;
 	(void)near;
 }
 
-static void leave_it(struct calls *calls, struct call *call,
-		     const struct attempt *attempt,
-		     const struct flow_reply *reply)
+static void ignore_reply(struct calls *calls, struct call *call,
+			 const struct attempt *attempt,
+			 const struct flow_reply *reply)
 {
 	(void)calls;
 	(void)call;
@@ -504,11 +508,11 @@
  * still good, a second target would be asked at once, and with those that the
  * other node asks the route's bound on targets be broken.
  */
-START_TEST(test_no_place_after_a_send)
+START_TEST(test_queue_place_lost_after_send)
 {
 	static const struct call_kind kind = { .name = "test",
 					       .may_queue = true,
-					       .replied = leave_it };
+					       .replied = ignore_reply };
 	static const struct route route = { .max_attempts = 3,
 					    .goal_us = 100000 };
 	struct flow_reply failed = { .result = FETCH_BROKEN };
@@ -520,7 +524,7 @@
 	struct decision_log dlog = { .fx = &fx };
 	struct poison poison;
 	struct poison_sync news = { .poison = &poison,
-				    .transport = { tell_nobody, NULL, NULL },
+				    .transport = { discard_msg, NULL, NULL },
 				    .pool = pool };
 	struct calls calls;
 	struct call *call;
@@ -556,14 +560,15 @@
 }
 END_TEST
 
-/** struct merged_case - an entry of a peer, to a node that knows revision 50 */
-struct merged_case {
+/** struct peer_item_case - an entry of a peer, to a node that knows revision 50
+ */
+struct peer_item_case {
 	const char *name;
 	uint64_t revision;
 	bool taken;
 };
 
-static const struct merged_case merged_cases[] = {
+static const struct peer_item_case peer_item_cases[] = {
 	{ "it went before this node read the store", 10, false },
 	{ "the same, just before", 50, false },
 	{ "it came since", 51, true },
@@ -574,9 +579,9 @@
  * the store then sends the entries of targets that went meanwhile. Callers are
  * refused if the node asks these.
  */
-START_TEST(test_old_items_of_a_peer)
+START_TEST(test_stale_items_from_peer)
 {
-	const struct merged_case *c = &merged_cases[_i];
+	const struct peer_item_case *c = &peer_item_cases[_i];
 	struct store_item item = {
 		.key = STR("servers/i-1"),
 		.value = STR("{\"service\":\"s\",\"addr\":\"10.0.0.1:80\","
@@ -601,14 +606,14 @@
 }
 END_TEST
 
-/** struct turn_case - two that wait for the same place */
-struct turn_case {
+/** struct priority_case - two that wait for the same place */
+struct priority_case {
 	struct wait_priority a;
 	struct wait_priority b;
 	bool a_first;
 };
 
-static const struct turn_case turn_cases[] = {
+static const struct priority_case priority_cases[] = {
 	/* Both in time: less time left goes first. */
 	{ { true, 100, 0 }, { true, 90, 10 }, false },
 	{ { true, 90, 10 }, { true, 100, 0 }, true },
@@ -623,9 +628,9 @@
  * More questions come than some shards bear. Were the one that waits longest
  * always next, each would be served just too late, and no caller in time.
  */
-START_TEST(test_turn)
+START_TEST(test_wait_priority)
 {
-	const struct turn_case *c = &turn_cases[_i];
+	const struct priority_case *c = &priority_cases[_i];
 
 	ck_assert_int_eq(wait_queue_precedes(&c->a, &c->b), c->a_first);
 }
@@ -635,7 +640,7 @@
  * Another target answers at its address. Its entry is written once more, by
  * whoever; it gets nothing all the same, until it starts on another address.
  */
-START_TEST(test_address_of_another)
+START_TEST(test_address_reused)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
@@ -660,7 +665,7 @@
  * A target's entry goes. It is forgotten after half a minute, but not while a
  * request to it is under way.
  */
-START_TEST(test_gone_target_is_forgotten)
+START_TEST(test_unpublished_target_is_removed)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct target_entry a = entry("a", "here");
@@ -669,11 +674,11 @@
 
 	balancer_put(balancer, &a, now);
 	target = find(balancer, "a");
-	target_health_on_send(target, USUAL_US, now);
+	target_health_on_send(target, BASELINE_US, now);
 	balancer_unpublish(balancer, STR("a"), now);
 	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 1);
-	balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
+	balancer_on_reply(balancer, target, REPLY_GOOD, BASELINE_US, now,
 			  now + 1000);
 	balancer_remove_expired(balancer, now + SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 1);
@@ -701,7 +706,7 @@
 	for (int i = 0; i < 2; i++) {
 		ck_assert_int_eq(balancer_availability(balancer, target, now),
 				 AVAIL_OK);
-		target_health_on_send(target, USUAL_US, now);
+		target_health_on_send(target, BASELINE_US, now);
 	}
 	ck_assert_int_eq(balancer_availability(balancer, target, now),
 			 AVAIL_COLD);
@@ -715,14 +720,14 @@
 }
 END_TEST
 
-/** struct fleet_case - nodes, how many beside a target, its connections */
-struct fleet_case {
+/** struct conn_limit_case - nodes, how many beside a target, its connections */
+struct conn_limit_case {
 	int nodes;
 	int near;
 	int max_conns;
 };
 
-static const struct fleet_case fleet_cases[] = {
+static const struct conn_limit_case conn_limit_cases[] = {
 	{ 6, 2, 25 },  { 6, 2, 34 },   { 9, 3, 26 },   { 9, 3, 110 },
 	{ 2, 1, 400 }, { 1, 1, 1000 }, { 12, 3, 430 },
 };
@@ -733,9 +738,9 @@
  * the new ones for as long as it keeps idle ones. Nor is most of the bound left
  * unused, while requests wait for room at the target.
  */
-START_TEST(test_connections_twice)
+START_TEST(test_conn_limits_allow_twice)
 {
-	const struct fleet_case *c = &fleet_cases[_i];
+	const struct conn_limit_case *c = &conn_limit_cases[_i];
 	int far = c->nodes - c->near;
 	struct conn_limit bound =
 		directory_conn_limits(c->max_conns, c->near, far);
@@ -841,27 +846,27 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_checked_fixture(tcase, make_pool, drop_pool);
+	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_records, 0, COUNT(merge_cases));
 	tcase_add_loop_test(tcase, test_budget, 0, COUNT(budget_cases));
 	tcase_add_loop_test(tcase, test_routes, 0, COUNT(route_cases));
 	tcase_add_test(tcase, test_configuration);
-	tcase_add_loop_test(tcase, test_choice, 0, COUNT(choice_cases));
-	tcase_add_test(tcase, test_target_starts_again);
+	tcase_add_loop_test(tcase, test_choose, 0, COUNT(choose_cases));
+	tcase_add_test(tcase, test_target_restart);
 	tcase_add_test(tcase, test_silent_target);
-	tcase_add_test(tcase, test_two_kinds);
-	tcase_add_test(tcase, test_no_place_after_a_send);
-	tcase_add_loop_test(tcase, test_old_items_of_a_peer, 0,
-			    COUNT(merged_cases));
-	tcase_add_loop_test(tcase, test_turn, 0,
-			    sizeof(turn_cases) / sizeof(*turn_cases));
-	tcase_add_loop_test(tcase, test_usual, 0,
-			    sizeof(usual_cases) / sizeof(*usual_cases));
-	tcase_add_test(tcase, test_address_of_another);
-	tcase_add_test(tcase, test_gone_target_is_forgotten);
+	tcase_add_test(tcase, test_two_request_kinds);
+	tcase_add_test(tcase, test_queue_place_lost_after_send);
+	tcase_add_loop_test(tcase, test_stale_items_from_peer, 0,
+			    COUNT(peer_item_cases));
+	tcase_add_loop_test(tcase, test_wait_priority, 0,
+			    sizeof(priority_cases) / sizeof(*priority_cases));
+	tcase_add_loop_test(tcase, test_baseline, 0,
+			    sizeof(baseline_cases) / sizeof(*baseline_cases));
+	tcase_add_test(tcase, test_address_reused);
+	tcase_add_test(tcase, test_unpublished_target_is_removed);
 	tcase_add_test(tcase, test_cold_target);
-	tcase_add_loop_test(tcase, test_connections_twice, 0,
-			    COUNT(fleet_cases));
+	tcase_add_loop_test(tcase, test_conn_limits_allow_twice, 0,
+			    COUNT(conn_limit_cases));
 	tcase_add_loop_test(tcase, test_reply_head, 0, COUNT(reply_cases));
 	tcase_add_loop_test(tcase, test_kept_headers, 0, COUNT(keep_cases));
 	tcase_add_loop_test(tcase, test_time_left, 0, COUNT(time_cases));
--- a/tests/check_peer.c
+++ b/tests/check_peer.c
@@ -18,15 +18,15 @@
 	/* The kernel keeps one more than it is told to. */
 	FILLERS = 2,
 	/* A lost first packet is sent again after a second. */
-	SOON_US = 800000,
-	DEAD_US = 300000,
+	DELIVERED_US = 800000,
+	PEER_DOWN_US = 300000,
 	STEP_US = 50000,
 	MIB = 1024 * 1024,
 	ROUND_US = 2000000,
 };
 
-/** struct scene - a node, and a socket that stands for another one */
-struct scene {
+/** struct fixture - a node, and a socket that stands for another one */
+struct fixture {
 	apr_pool_t *pool;
 	struct loop *loop;
 	struct peers *peers;
@@ -34,39 +34,39 @@
 	int fillers[FILLERS];
 	char addr[32];
 	char own[32];
-	int lost;
-	int bad;
-	size_t came;
+	int peers_lost;
+	int bad_frames;
+	size_t received;
 };
 
 static void on_frame(void *ctx, const struct frame *frame)
 {
-	struct scene *scene = ctx;
+	struct fixture *fixture = ctx;
 
-	scene->came += frame->count;
+	fixture->received += frame->count;
 }
 
 static void on_lost(void *ctx, struct str addr)
 {
-	struct scene *scene = ctx;
+	struct fixture *fixture = ctx;
 
 	(void)addr;
-	scene->lost++;
+	fixture->peers_lost++;
 }
 
 static void on_bad(void *ctx, const struct error *err)
 {
-	struct scene *scene = ctx;
+	struct fixture *fixture = ctx;
 
 	(void)err;
-	scene->bad++;
+	fixture->bad_frames++;
 }
 
 static void on_round(void *ctx)
 {
-	struct scene *scene = ctx;
+	struct fixture *fixture = ctx;
 
-	peers_flush(scene->peers);
+	peers_flush(fixture->peers);
 }
 
 static int64_t wait_us(void *ctx)
@@ -89,70 +89,71 @@
 	close(fd);
 }
 
-static void begin(struct scene *scene)
+static void setup(struct fixture *fixture)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	struct error err = { 0 };
 	socklen_t len = sizeof(sin);
 
-	*scene = (struct scene){ 0 };
-	apr_pool_create(&scene->pool, NULL);
-	scene->loop = loop_create(scene->pool);
-	free_addr(scene->own, sizeof(scene->own));
-	scene->peers = peers_create(
-		scene->loop, str_of(scene->own), 7,
-		(struct peer_handler){ on_frame, on_lost, on_bad, scene },
+	*fixture = (struct fixture){ 0 };
+	apr_pool_create(&fixture->pool, NULL);
+	fixture->loop = loop_create(fixture->pool);
+	free_addr(fixture->own, sizeof(fixture->own));
+	fixture->peers = peers_create(
+		fixture->loop, str_of(fixture->own), 7,
+		(struct peer_handler){ on_frame, on_lost, on_bad, fixture },
 		&err);
-	ck_assert_ptr_nonnull(scene->peers);
-	loop_hook(scene->loop, (struct loop_hook){ on_round, wait_us, scene });
-	scene->fd = socket(AF_INET, SOCK_STREAM, 0);
+	ck_assert_ptr_nonnull(fixture->peers);
+	loop_hook(fixture->loop,
+		  (struct loop_hook){ on_round, wait_us, fixture });
+	fixture->fd = socket(AF_INET, SOCK_STREAM, 0);
 	inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
-	ck_assert(!bind(scene->fd, (struct sockaddr *)&sin, sizeof(sin)));
-	ck_assert(!listen(scene->fd, FILLERS - 1));
-	getsockname(scene->fd, (struct sockaddr *)&sin, &len);
-	snprintf(scene->addr, sizeof(scene->addr), "127.0.0.1:%d",
+	ck_assert(!bind(fixture->fd, (struct sockaddr *)&sin, sizeof(sin)));
+	ck_assert(!listen(fixture->fd, FILLERS - 1));
+	getsockname(fixture->fd, (struct sockaddr *)&sin, &len);
+	snprintf(fixture->addr, sizeof(fixture->addr), "127.0.0.1:%d",
 		 ntohs(sin.sin_port));
 	for (int i = 0; i < FILLERS; i++) {
-		scene->fillers[i] = socket(AF_INET, SOCK_STREAM, 0);
-		ck_assert(!connect(scene->fillers[i], (struct sockaddr *)&sin,
+		fixture->fillers[i] = socket(AF_INET, SOCK_STREAM, 0);
+		ck_assert(!connect(fixture->fillers[i], (struct sockaddr *)&sin,
 				   sizeof(sin)));
 	}
 }
 
-static void end(struct scene *scene)
+static void teardown(struct fixture *fixture)
 {
-	peers_destroy(scene->peers);
-	loop_destroy(scene->loop);
-	close(scene->fd);
+	peers_destroy(fixture->peers);
+	loop_destroy(fixture->loop);
+	close(fixture->fd);
 	for (int i = 0; i < FILLERS; i++)
-		close(scene->fillers[i]);
-	apr_pool_destroy(scene->pool);
+		close(fixture->fillers[i]);
+	apr_pool_destroy(fixture->pool);
 }
 
-static void run(struct scene *scene, int64_t us)
+static void run(struct fixture *fixture, int64_t us)
 {
 	int64_t until = loop_now() + us;
 
 	while (loop_now() < until)
-		loop_step(scene->loop);
+		loop_step(fixture->loop);
 }
 
-static void tell(struct scene *scene)
+static void send_msg(struct fixture *fixture)
 {
 	struct msg msg = { .kind = MSG_GOSSIP, .body = STR("beat") };
 
-	peers_send(scene->peers, str_of(scene->addr), 0, &msg);
-	peers_flush(scene->peers);
+	peers_send(fixture->peers, str_of(fixture->addr), 0, &msg);
+	peers_flush(fixture->peers);
 }
 
 /* Return: bytes of what is the first frame to come in, 0 for none. */
-static ssize_t take_frame(struct scene *scene)
+static ssize_t receive_frame(struct fixture *fixture)
 {
 	char bytes[256];
 	ssize_t got = 0;
 
 	for (int fd; got <= 0;) {
-		fd = accept4(scene->fd, NULL, NULL, SOCK_NONBLOCK);
+		fd = accept4(fixture->fd, NULL, NULL, SOCK_NONBLOCK);
 		if (fd < 0)
 			return 0;
 		got = recv(fd, bytes, sizeof(bytes), 0);
@@ -167,38 +168,38 @@
  * other one comes up a third of a second later; the next word must not wait for
  * that second, nor be thrown away with the old connection.
  */
-START_TEST(test_other_comes_up)
+START_TEST(test_peer_comes_up)
 {
-	struct scene scene;
+	struct fixture fixture;
 	ssize_t got = 0;
 	int64_t until;
 
-	begin(&scene);
-	tell(&scene);
-	run(&scene, DEAD_US);
+	setup(&fixture);
+	send_msg(&fixture);
+	run(&fixture, PEER_DOWN_US);
 	/* The other one takes connections from now on. */
 	for (int i = 0; i < FILLERS; i++)
-		close(accept(scene.fd, NULL, NULL));
-	fcntl(scene.fd, F_SETFL, O_NONBLOCK);
-	until = loop_now() + SOON_US - DEAD_US;
+		close(accept(fixture.fd, NULL, NULL));
+	fcntl(fixture.fd, F_SETFL, O_NONBLOCK);
+	until = loop_now() + DELIVERED_US - PEER_DOWN_US;
 	while (!got && loop_now() < until) {
-		tell(&scene);
-		run(&scene, STEP_US);
-		got = take_frame(&scene);
+		send_msg(&fixture);
+		run(&fixture, STEP_US);
+		got = receive_frame(&fixture);
 	}
 	ck_assert_int_gt(got, 0);
-	ck_assert_int_eq(scene.lost, 1);
-	end(&scene);
+	ck_assert_int_eq(fixture.peers_lost, 1);
+	teardown(&fixture);
 }
 END_TEST
 
-/** struct round - what one node has for another at once */
-struct round {
+/** struct burst - what one node has for another at once */
+struct burst {
 	size_t size; /* bytes of a message */
 	size_t count;
 };
 
-static const struct round rounds[] = {
+static const struct burst bursts[] = {
 	{ 1, 70000 },
 	{ MIB / 4, 96 },
 	{ MIB, 24 },
@@ -210,33 +211,34 @@
  * requests with bodies. Each message is taken by itself; in one frame they were
  * over what the other one reads, which closed the connection, and all was lost.
  */
-START_TEST(test_much_in_one_round)
+START_TEST(test_burst_in_one_round)
 {
-	size_t size = rounds[_i].size;
-	size_t count = rounds[_i].count;
+	size_t size = bursts[_i].size;
+	size_t count = bursts[_i].count;
 	char *bytes = calloc(1, size);
 	struct msg msg = { .kind = MSG_GOSSIP, .body = { bytes, size } };
-	struct scene scene;
+	struct fixture fixture;
 	int64_t until = loop_now() + ROUND_US;
 
-	begin(&scene);
+	setup(&fixture);
 	for (size_t i = 0; i < count; i++)
-		peers_send(scene.peers, str_of(scene.own), 0, &msg);
-	while (scene.came < count && !scene.bad && loop_now() < until)
-		loop_step(scene.loop);
-	ck_assert_int_eq(scene.bad, 0);
-	ck_assert_int_eq(scene.lost, 0);
-	ck_assert_uint_eq(scene.came, count);
-	end(&scene);
+		peers_send(fixture.peers, str_of(fixture.own), 0, &msg);
+	while (fixture.received < count && !fixture.bad_frames &&
+	       loop_now() < until)
+		loop_step(fixture.loop);
+	ck_assert_int_eq(fixture.bad_frames, 0);
+	ck_assert_int_eq(fixture.peers_lost, 0);
+	ck_assert_uint_eq(fixture.received, count);
+	teardown(&fixture);
 	free(bytes);
 }
 END_TEST
 
 static void add(TCase *tcase)
 {
-	tcase_add_loop_test(tcase, test_much_in_one_round, 0,
-			    (int)(sizeof(rounds) / sizeof(*rounds)));
-	tcase_add_test(tcase, test_other_comes_up);
+	tcase_add_loop_test(tcase, test_burst_in_one_round, 0,
+			    (int)(sizeof(bursts) / sizeof(*bursts)));
+	tcase_add_test(tcase, test_peer_comes_up);
 }
 
 int main(void)
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -18,12 +18,12 @@
 
 static apr_pool_t *pool;
 
-static void make_pool(void)
+static void create_pool(void)
 {
 	apr_pool_create(&pool, NULL);
 }
 
-static void drop_pool(void)
+static void destroy_pool(void)
 {
 	apr_pool_destroy(pool);
 }
@@ -238,7 +238,7 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_checked_fixture(tcase, make_pool, drop_pool);
+	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_settings, 0, COUNT(settings));
 	tcase_add_loop_test(tcase, test_pages, 0, COUNT(pages));
 	tcase_add_test(tcase, test_changes);
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -15,15 +15,16 @@
 
 #define COUNT(table) (int)(sizeof(table) / sizeof(*(table)))
 
-/** struct print_case - a request beside the one that it is compared with */
-struct print_case {
+/** struct fingerprint_case - a request beside the one that it is compared with
+ */
+struct fingerprint_case {
 	const char *name;
 	struct flow_request request;
 	bool same_content;
 	bool same_caller;
 };
 
-static const struct flow_request compared = {
+static const struct flow_request reference = {
 	.method = { "GET", 3 },
 	.host = { "a.example", 9 },
 	.uri = { "/x/1?n=2", 8 },
@@ -32,7 +33,7 @@
 	.caller = { "10.0.0.1", 8 },
 };
 
-static const struct print_case print_cases[] = {
+static const struct fingerprint_case fingerprint_cases[] = {
 	{ "a retry of it",
 	  { .method = { "GET", 3 },
 	    .host = { "a.example", 9 },
@@ -88,8 +89,8 @@
 /* A request is known again under another id, and no other is taken for it. */
 START_TEST(test_fingerprint)
 {
-	const struct print_case *c = &print_cases[_i];
-	struct fingerprint a = flow_fingerprint(&compared);
+	const struct fingerprint_case *c = &fingerprint_cases[_i];
+	struct fingerprint a = flow_fingerprint(&reference);
 	struct fingerprint b = flow_fingerprint(&c->request);
 
 	ck_assert_msg(!memcmp(a.content, b.content, sizeof(a.content)) ==
@@ -107,13 +108,13 @@
 /** enum step_kind - what happens to a request */
 enum step_kind {
 	STEP_END,
-	STEP_BROKE, /* at a target, in the round that follows from what is known
+	STEP_BREAK, /* at a target, in the round that follows from what is known
 		     */
-	STEP_BESIDE, /* the same, but sent in the first round */
-	STEP_SERVED,
-	STEP_PASS, /* @target seconds pass */
-	STEP_GONE, /* the target's entry goes */
-	STEP_SETTLE, /* the table is compared with the store */
+	STEP_BREAK_IN_FIRST_ROUND, /* the same, but sent in the first round */
+	STEP_ANSWER,
+	STEP_WAIT, /* @target seconds pass */
+	STEP_UNPUBLISH, /* the target's entry goes */
+	STEP_SWEEP, /* the table is compared with the store */
 };
 
 /** struct step - @caller: 0 or 1; @target: index */
@@ -134,111 +135,111 @@
 };
 
 static const struct verdict_case verdict_cases[] = {
-	{ "one break", { { STEP_BROKE, 0, 0 } }, { POISON_NONE, POISON_NONE } },
+	{ "one break", { { STEP_BREAK, 0, 0 } }, { POISON_NONE, POISON_NONE } },
 	{ "twice at the same target",
-	  { { STEP_BROKE, 0, 0 }, { STEP_BROKE, 0, 0 } },
+	  { { STEP_BREAK, 0, 0 }, { STEP_BREAK, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
 	{ "two targets",
-	  { { STEP_BROKE, 0, 0 }, { STEP_BROKE, 0, 1 } },
+	  { { STEP_BREAK, 0, 0 }, { STEP_BREAK, 0, 1 } },
 	  { POISON_SUSPECT, POISON_SUSPECT } },
 	{ "many at once: others under way there look the same",
-	  { { STEP_BESIDE, 0, 0 },
-	    { STEP_BESIDE, 0, 1 },
-	    { STEP_BESIDE, 0, 2 },
-	    { STEP_BESIDE, 0, 3 },
-	    { STEP_BESIDE, 0, 4 } },
+	  { { STEP_BREAK_IN_FIRST_ROUND, 0, 0 },
+	    { STEP_BREAK_IN_FIRST_ROUND, 0, 1 },
+	    { STEP_BREAK_IN_FIRST_ROUND, 0, 2 },
+	    { STEP_BREAK_IN_FIRST_ROUND, 0, 3 },
+	    { STEP_BREAK_IN_FIRST_ROUND, 0, 4 } },
 	  { POISON_SUSPECT, POISON_SUSPECT } },
 	{ "many at once, and at the next target",
-	  { { STEP_BESIDE, 0, 0 },
-	    { STEP_BESIDE, 0, 1 },
-	    { STEP_BESIDE, 0, 2 },
-	    { STEP_BROKE, 0, 3 } },
+	  { { STEP_BREAK_IN_FIRST_ROUND, 0, 0 },
+	    { STEP_BREAK_IN_FIRST_ROUND, 0, 1 },
+	    { STEP_BREAK_IN_FIRST_ROUND, 0, 2 },
+	    { STEP_BREAK, 0, 3 } },
 	  { POISON_SUSPECT, POISON_SUSPECT } },
 	{ "one after the other",
-	  { { STEP_BROKE, 0, 0 }, { STEP_BROKE, 0, 1 }, { STEP_BROKE, 0, 2 } },
+	  { { STEP_BREAK, 0, 0 }, { STEP_BREAK, 0, 1 }, { STEP_BREAK, 0, 2 } },
 	  { POISON_BLOCKED, POISON_SUSPECT } },
 	{ "answered in between",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_SERVED, 0, 0 },
-	    { STEP_PASS, 0, 11 },
-	    { STEP_BROKE, 0, 2 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_ANSWER, 0, 0 },
+	    { STEP_WAIT, 0, 11 },
+	    { STEP_BREAK, 0, 2 } },
 	  { POISON_NONE, POISON_NONE } },
 	{ "answered just before",
-	  { { STEP_SERVED, 0, 0 },
-	    { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 } },
+	  { { STEP_ANSWER, 0, 0 },
+	    { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 } },
 	  { POISON_NONE, POISON_NONE } },
 	{ "answered long before",
-	  { { STEP_SERVED, 0, 0 },
-	    { STEP_PASS, 0, 11 },
-	    { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 } },
+	  { { STEP_ANSWER, 0, 0 },
+	    { STEP_WAIT, 0, 11 },
+	    { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 } },
 	  { POISON_BLOCKED, POISON_SUSPECT } },
 	{ "harmless from another caller",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 },
-	    { STEP_SERVED, 1, 3 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 },
+	    { STEP_ANSWER, 1, 3 } },
 	  { POISON_BLOCKED, POISON_NONE } },
 	{ "from two callers",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 },
-	    { STEP_BROKE, 1, 3 },
-	    { STEP_BROKE, 1, 4 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 },
+	    { STEP_BREAK, 1, 3 },
+	    { STEP_BREAK, 1, 4 } },
 	  { POISON_BLOCKED, POISON_BLOCKED } },
 	{ "the targets never ended",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 },
-	    { STEP_PASS, 0, 11 },
-	    { STEP_SETTLE, 0, 0 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 },
+	    { STEP_WAIT, 0, 11 },
+	    { STEP_SWEEP, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
 	{ "one of them ended",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 },
-	    { STEP_GONE, 0, 1 },
-	    { STEP_PASS, 0, 11 },
-	    { STEP_SETTLE, 0, 0 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 },
+	    { STEP_UNPUBLISH, 0, 1 },
+	    { STEP_WAIT, 0, 11 },
+	    { STEP_SWEEP, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
 	{ "all of them ended",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_BROKE, 0, 2 },
-	    { STEP_GONE, 0, 0 },
-	    { STEP_GONE, 0, 1 },
-	    { STEP_GONE, 0, 2 },
-	    { STEP_PASS, 0, 4000 },
-	    { STEP_SETTLE, 0, 0 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_BREAK, 0, 2 },
+	    { STEP_UNPUBLISH, 0, 0 },
+	    { STEP_UNPUBLISH, 0, 1 },
+	    { STEP_UNPUBLISH, 0, 2 },
+	    { STEP_WAIT, 0, 4000 },
+	    { STEP_SWEEP, 0, 0 } },
 	  { POISON_BLOCKED, POISON_SUSPECT } },
 	{ "two broke long ago",
-	  { { STEP_BROKE, 0, 0 },
-	    { STEP_BROKE, 0, 1 },
-	    { STEP_GONE, 0, 0 },
-	    { STEP_GONE, 0, 1 },
-	    { STEP_PASS, 0, 4000 },
-	    { STEP_SETTLE, 0, 0 } },
+	  { { STEP_BREAK, 0, 0 },
+	    { STEP_BREAK, 0, 1 },
+	    { STEP_UNPUBLISH, 0, 0 },
+	    { STEP_UNPUBLISH, 0, 1 },
+	    { STEP_WAIT, 0, 4000 },
+	    { STEP_SWEEP, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
 };
 
-/** struct scene - a book of evidence, and the table of targets beside it */
-struct scene {
+/** struct fixture - a book of evidence, and the table of targets beside it */
+struct fixture {
 	apr_pool_t *pool;
 	struct balancer *balancer;
 	struct poison poison;
 	int64_t now;
 };
 
-static struct str target_id(struct scene *scene, int target)
+static struct str target_id(struct fixture *fixture, int target)
 {
 	char id[16];
 	int len = snprintf(id, sizeof(id), "t%d", target);
 
-	return str_dup(scene->pool, (struct str){ id, (size_t)len });
+	return str_dup(fixture->pool, (struct str){ id, (size_t)len });
 }
 
 static bool is_live(const void *ctx, const struct poison_crash *crash)
@@ -246,71 +247,75 @@
 	return balancer_is_published(ctx, crash->key, crash->born_ms);
 }
 
-static void scene_init(struct scene *scene)
+static void fixture_init(struct fixture *fixture)
 {
-	apr_pool_create(&scene->pool, NULL);
-	scene->now = 100 * (int64_t)SECOND_US;
-	scene->balancer = balancer_create(scene->pool, STR("here"), 0);
-	poison_init(&scene->poison, scene->pool,
-		    (struct poison_targets){ is_live, scene->balancer });
+	apr_pool_create(&fixture->pool, NULL);
+	fixture->now = 100 * (int64_t)SECOND_US;
+	fixture->balancer = balancer_create(fixture->pool, STR("here"), 0);
+	poison_init(&fixture->poison, fixture->pool,
+		    (struct poison_targets){ is_live, fixture->balancer });
 	for (int i = 0; i < POISON_TARGETS_MAX; i++) {
-		struct target_entry entry = { .id = target_id(scene, i),
+		struct target_entry entry = { .id = target_id(fixture, i),
 					      .service = 1,
 					      .addr = STR("10.0.0.1:80"),
 					      .domain = STR("here") };
 
-		balancer_put(scene->balancer, &entry, scene->now);
+		balancer_put(fixture->balancer, &entry, fixture->now);
 	}
 }
 
-static void scene_destroy(struct scene *scene)
+static void fixture_destroy(struct fixture *fixture)
 {
-	poison_destroy(&scene->poison);
-	balancer_destroy(scene->balancer);
-	apr_pool_destroy(scene->pool);
+	poison_destroy(&fixture->poison);
+	balancer_destroy(fixture->balancer);
+	apr_pool_destroy(fixture->pool);
 }
 
-static struct fingerprint print_of(int content, int caller)
+static struct fingerprint make_fingerprint(int content, int caller)
 {
 	return (struct fingerprint){ { 7, (uint64_t)content },
 				     (uint64_t)caller + 1 };
 }
 
-static void broke(struct scene *scene, const struct fingerprint *print,
-		  int round, int target)
+static void break_connection(struct fixture *fixture,
+			     const struct fingerprint *fp, int round,
+			     int target)
 {
-	struct poison_crash crash = { .key = str_hash(target_id(scene, target)),
-				      .at = scene->now };
+	struct poison_crash crash = {
+		.key = str_hash(target_id(fixture, target)), .at = fixture->now
+	};
 
-	poison_crashed(&scene->poison, print, round, &crash);
+	poison_crashed(&fixture->poison, fp, round, &crash);
 }
 
-static void take_step(struct scene *scene, const struct step *step)
+static void apply_step(struct fixture *fixture, const struct step *step)
 {
-	struct fingerprint print = print_of(0, step->caller);
+	struct fingerprint fp = make_fingerprint(0, step->caller);
 
 	switch (step->kind) {
 	case STEP_END:
 		break;
-	case STEP_BROKE:
-		broke(scene, &print, poison_round(&scene->poison, &print),
-		      step->target);
+	case STEP_BREAK:
+		break_connection(fixture, &fp,
+				 poison_round(&fixture->poison, &fp),
+				 step->target);
 		break;
-	case STEP_BESIDE:
-		broke(scene, &print, 1, step->target);
+	case STEP_BREAK_IN_FIRST_ROUND:
+		break_connection(fixture, &fp, 1, step->target);
 		break;
-	case STEP_SERVED:
-		poison_answered(&scene->poison, &print, scene->now);
+	case STEP_ANSWER:
+		poison_answered(&fixture->poison, &fp, fixture->now);
 		break;
-	case STEP_PASS:
-		scene->now += step->target * (int64_t)SECOND_US;
+	case STEP_WAIT:
+		fixture->now += step->target * (int64_t)SECOND_US;
 		break;
-	case STEP_GONE:
-		balancer_unpublish(scene->balancer,
-				   target_id(scene, step->target), scene->now);
+	case STEP_UNPUBLISH:
+		balancer_unpublish(fixture->balancer,
+				   target_id(fixture, step->target),
+				   fixture->now);
 		break;
-	case STEP_SETTLE:
-		poison_sweep(&scene->poison, true, scene->now);
+	case STEP_SWEEP:
+		poison_sweep(&fixture->poison, true, fixture->now);
 		break;
 	}
 }
@@ -319,20 +324,20 @@
 START_TEST(test_verdict)
 {
 	const struct verdict_case *c = &verdict_cases[_i];
-	struct scene scene;
+	struct fixture fixture;
 
-	scene_init(&scene);
+	fixture_init(&fixture);
 	for (int i = 0; i < STEPS_MAX && c->steps[i].kind; i++)
-		take_step(&scene, &c->steps[i]);
+		apply_step(&fixture, &c->steps[i]);
 	for (int caller = 0; caller < 2; caller++) {
-		struct fingerprint print = print_of(0, caller);
+		struct fingerprint fp = make_fingerprint(0, caller);
 
-		ck_assert_msg(poison_verdict(&scene.poison, &print) ==
+		ck_assert_msg(poison_verdict(&fixture.poison, &fp) ==
 				      c->verdicts[caller],
 			      "%s: caller %d: verdict %d", c->name, caller,
-			      poison_verdict(&scene.poison, &print));
+			      poison_verdict(&fixture.poison, &fp));
 	}
-	scene_destroy(&scene);
+	fixture_destroy(&fixture);
 }
 END_TEST
 
@@ -343,40 +348,41 @@
 	struct poison_entry *list[POISON_TARGETS_MAX];
 	struct poison_entry *got;
 	struct buf body = { 0 };
-	struct scene scene;
-	struct scene other;
+	struct fixture fixture;
+	struct fixture other;
 	size_t count = 0;
 
-	scene_init(&scene);
-	scene_init(&other);
+	fixture_init(&fixture);
+	fixture_init(&other);
 	for (int i = 0; i < STEPS_MAX && c->steps[i].kind; i++) {
-		take_step(&scene, &c->steps[i]);
-		if (c->steps[i].kind == STEP_GONE)
-			take_step(&other, &c->steps[i]);
+		apply_step(&fixture, &c->steps[i]);
+		if (c->steps[i].kind == STEP_UNPUBLISH)
+			apply_step(&other, &c->steps[i]);
 	}
-	for (apr_hash_index_t *it = apr_hash_first(NULL, scene.poison.entries);
+	for (apr_hash_index_t *it =
+		     apr_hash_first(NULL, fixture.poison.entries);
 	     it; it = apr_hash_next(it))
 		for (list[count] = hash_value(it); list[count];
 		     list[count] = list[count - 1]->next)
 			count++;
-	payload_encode_suspects(list, count, scene.now, &body);
+	payload_encode_suspects(list, count, fixture.now, &body);
 	ck_assert(!payload_decode_suspects(buf_str(&body), other.now,
 					   other.pool, &got, &count));
 	for (size_t i = 0; i < count; i++)
 		poison_merge(&other.poison, &got[i], false, true, other.now);
 	for (int caller = 0; caller < 2; caller++) {
-		struct fingerprint print = print_of(0, caller);
+		struct fingerprint fp = make_fingerprint(0, caller);
 
-		ck_assert_msg(poison_verdict(&other.poison, &print) ==
+		ck_assert_msg(poison_verdict(&other.poison, &fp) ==
 				      c->verdicts[caller],
 			      "%s: caller %d", c->name, caller);
 	}
 	ck_assert_uint_eq(
-		poison_digest(&scene.poison, scene.now + 4 * SECOND_US),
-		poison_digest(&other.poison, scene.now + 4 * SECOND_US));
+		poison_digest(&fixture.poison, fixture.now + 4 * SECOND_US),
+		poison_digest(&other.poison, fixture.now + 4 * SECOND_US));
 	buf_free(&body);
-	scene_destroy(&scene);
-	scene_destroy(&other);
+	fixture_destroy(&fixture);
+	fixture_destroy(&other);
 }
 END_TEST
 
@@ -384,46 +390,47 @@
  */
 START_TEST(test_many_suspects)
 {
-	struct fingerprint guilty = print_of(0, 0);
-	struct scene scene;
+	struct fingerprint deadly = make_fingerprint(0, 0);
+	struct fixture fixture;
 
-	scene_init(&scene);
+	fixture_init(&fixture);
 	for (int i = 0; i < 3; i++)
-		broke(&scene, &guilty, i + 1, i);
+		break_connection(&fixture, &deadly, i + 1, i);
 	for (int i = 1; i < 3 * POISON_ENTRIES_MAX; i++) {
-		struct fingerprint print = print_of(i, 0);
+		struct fingerprint fp = make_fingerprint(i, 0);
 
-		scene.now += SECOND_US / 1000;
-		broke(&scene, &print, 1, 0);
-		broke(&scene, &print, 1, 1);
+		fixture.now += SECOND_US / 1000;
+		break_connection(&fixture, &fp, 1, 0);
+		break_connection(&fixture, &fp, 1, 1);
 	}
-	ck_assert_uint_le(scene.poison.count, POISON_ENTRIES_MAX);
-	ck_assert_int_eq(poison_verdict(&scene.poison, &guilty),
+	ck_assert_uint_le(fixture.poison.count, POISON_ENTRIES_MAX);
+	ck_assert_int_eq(poison_verdict(&fixture.poison, &deadly),
 			 POISON_BLOCKED);
-	scene_destroy(&scene);
+	fixture_destroy(&fixture);
 }
 END_TEST
 
 /* Repeats that come to several nodes at once crash one target, not one each. */
 START_TEST(test_one_trial_at_a_time)
 {
-	struct fingerprint print = print_of(0, 0);
-	struct fingerprint other = print_of(0, 1);
-	struct scene scene;
-
-	scene_init(&scene);
-	ck_assert(poison_lease(&scene.poison, &print, scene.now));
-	ck_assert(!poison_lease(&scene.poison, &print, scene.now));
-	ck_assert(!poison_lease(&scene.poison, &other, scene.now));
-	scene.now += 2 * SECOND_US;
-	ck_assert(poison_lease(&scene.poison, &other, scene.now));
-	scene_destroy(&scene);
+	struct fingerprint fp = make_fingerprint(0, 0);
+	struct fingerprint other = make_fingerprint(0, 1);
+	struct fixture fixture;
+
+	fixture_init(&fixture);
+	ck_assert(poison_lease(&fixture.poison, &fp, fixture.now));
+	ck_assert(!poison_lease(&fixture.poison, &fp, fixture.now));
+	ck_assert(!poison_lease(&fixture.poison, &other, fixture.now));
+	fixture.now += 2 * SECOND_US;
+	ck_assert(poison_lease(&fixture.poison, &other, fixture.now));
+	fixture_destroy(&fixture);
 }
 END_TEST
 
 static void add(TCase *tcase)
 {
-	tcase_add_loop_test(tcase, test_fingerprint, 0, COUNT(print_cases));
+	tcase_add_loop_test(tcase, test_fingerprint, 0,
+			    COUNT(fingerprint_cases));
 	tcase_add_loop_test(tcase, test_verdict, 0, COUNT(verdict_cases));
 	tcase_add_loop_test(tcase, test_verdict_of_another_node, 0,
 			    COUNT(verdict_cases));
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -15,12 +15,12 @@
 	GOAL_US = 100000,
 	SECOND_US = 1000000,
 	NODES = 6,
-	NINE = 9,
-	MANY = SIM_NODES_MAX,
-	FULL = SIM_SHARDS,
+	SMALL_FLEET = 9,
+	LARGE_FLEET = SIM_NODES_MAX,
+	ALL_SHARDS = SIM_SHARDS,
 };
 
-static struct sim *begin(int nodes)
+static struct sim *setup(int nodes)
 {
 	struct sim *sim = sim_create(nodes, 7);
 
@@ -42,43 +42,43 @@
 	sim_run(sim, SECOND_US);
 }
 
-static int64_t took(const struct sim_call *call)
+static int64_t elapsed_us(const struct sim_call *call)
 {
 	return call->answered_at - call->start;
 }
 
-static int most_targets_of_a_shard(const struct sim_call *call)
+static int max_targets_per_shard(const struct sim_call *call)
 {
-	int most = 0;
+	int max = 0;
 
 	for (int i = 0; i < 2 * SIM_SHARDS; i++)
-		if (call->targets_of_shard[i] > most)
-			most = call->targets_of_shard[i];
-	return most;
+		if (call->targets_of_shard[i] > max)
+			max = call->targets_of_shard[i];
+	return max;
 }
 
 static void check_merged(const struct sim_call *call, size_t parts)
 {
 	ck_assert_int_eq(call->status, 200);
 	ck_assert_uint_eq(call->parts, parts);
-	ck_assert_uint_eq(call->missing, FULL - parts);
+	ck_assert_uint_eq(call->missing, ALL_SHARDS - parts);
 	ck_assert(!call->duplicate_part);
 	ck_assert(!call->foreign_part);
 	ck_assert(!call->unsorted);
-	ck_assert_int_le(most_targets_of_a_shard(call), 2);
+	ck_assert_int_le(max_targets_per_shard(call), 2);
 }
 
 /* Nothing fails: each node answers each kind, whole and in time. */
-START_TEST(test_calm)
+START_TEST(test_no_faults)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int merged = sim_call(sim, _i, SIM_MERGED);
 	int single = sim_call(sim, _i, SIM_SINGLE);
 	int once = sim_call(sim, _i, SIM_ONCE);
 
 	sim_run(sim, SECOND_US);
-	check_merged(&sim->calls[merged], FULL);
-	ck_assert_int_le(took(&sim->calls[merged]), GOAL_US / 2);
+	check_merged(&sim->calls[merged], ALL_SHARDS);
+	ck_assert_int_le(elapsed_us(&sim->calls[merged]), GOAL_US / 2);
 	ck_assert_int_eq(sim->calls[single].status, 200);
 	ck_assert_int_eq(sim->calls[once].status, 200);
 	ck_assert_int_eq(sim->calls[once].runs, 1);
@@ -93,33 +93,33 @@
  */
 START_TEST(test_paused_targets)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int first;
 	int second;
 
-	for (int i = 0; i < 2 * FULL; i += 6)
+	for (int i = 0; i < 2 * ALL_SHARDS; i += 6)
 		sim->targets[i].paused_until = sim->now + 3 * GOAL_US;
 	first = sim_call(sim, 0, SIM_MERGED);
 	sim_run(sim, GOAL_US);
 	second = sim_call(sim, 0, SIM_MERGED);
 	sim_run(sim, SECOND_US);
-	check_merged(&sim->calls[first], FULL);
-	check_merged(&sim->calls[second], FULL);
-	ck_assert_int_le(took(&sim->calls[first]), GOAL_US);
-	ck_assert_int_le(took(&sim->calls[second]), GOAL_US / 2);
+	check_merged(&sim->calls[first], ALL_SHARDS);
+	check_merged(&sim->calls[second], ALL_SHARDS);
+	ck_assert_int_le(elapsed_us(&sim->calls[first]), GOAL_US);
+	ck_assert_int_le(elapsed_us(&sim->calls[second]), GOAL_US / 2);
 	sim_destroy(sim);
 }
 END_TEST
 
-/** struct gap - shards without a working target, and what comes of it */
-struct gap {
+/** struct outage - shards without a working target, and what comes of it */
+struct outage {
 	int shards;
 	bool silent; /* they take requests, and do not refuse connections */
 	int status;
 	bool in_time;
 };
 
-static const struct gap gaps[] = {
+static const struct outage outages[] = {
 	{ 1, true, 200, true },	  { 3, true, 200, true },
 	{ 1, false, 200, true },  { 3, false, 200, true },
 	{ 6, true, 504, false },  { 6, false, 503, true },
@@ -133,29 +133,29 @@
  */
 START_TEST(test_missing_shards)
 {
-	const struct gap *gap = &gaps[_i];
-	struct sim *sim = begin(NODES);
+	const struct outage *outage = &outages[_i];
+	struct sim *sim = setup(NODES);
 	struct sim_call *call;
-	int warm;
+	int previous;
 	int index;
 
-	for (int i = 0; i < 2 * gap->shards; i++) {
-		sim->targets[i].silent = gap->silent;
-		sim->targets[i].up = gap->silent;
+	for (int i = 0; i < 2 * outage->shards; i++) {
+		sim->targets[i].silent = outage->silent;
+		sim->targets[i].up = outage->silent;
 	}
 	/* What is refused once is known to be down for the next. */
-	warm = sim_call(sim, 2, SIM_MERGED);
+	previous = sim_call(sim, 2, SIM_MERGED);
 	sim_run(sim, GOAL_US / 4);
 	index = sim_call(sim, 2, SIM_MERGED);
 	sim_run(sim, 3 * SECOND_US);
 	call = &sim->calls[index];
-	ck_assert_int_ne(sim->calls[warm].status, 0);
-	ck_assert_int_eq(call->status, gap->status);
-	if (gap->status == 200)
-		check_merged(call, (size_t)(FULL - gap->shards));
-	if (gap->in_time)
-		ck_assert_int_le(took(call), GOAL_US);
-	if (gap->status == 503) {
+	ck_assert_int_ne(sim->calls[previous].status, 0);
+	ck_assert_int_eq(call->status, outage->status);
+	if (outage->status == 200)
+		check_merged(call, (size_t)(ALL_SHARDS - outage->shards));
+	if (outage->in_time)
+		ck_assert_int_le(elapsed_us(call), GOAL_US);
+	if (outage->status == 503) {
 		ck_assert_int_gt(call->retry_after_us, 0);
 		ck_assert_int_eq(call->runs, 0);
 	}
@@ -186,10 +186,10 @@
 START_TEST(test_once)
 {
 	const struct once_case *c = &once_cases[_i];
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	for (int i = 2 * FULL; i < sim->ntargets; i++) {
+	for (int i = 2 * ALL_SHARDS; i < sim->ntargets; i++) {
 		sim->targets[i].reject_rate = c->reject_rate;
 		sim->targets[i].reply_loss = c->reply_loss;
 		sim->targets[i].up = !c->down;
@@ -208,12 +208,12 @@
  * One target rejects the request as not run; it goes to another one, and the
  * caller notices nothing.
  */
-START_TEST(test_once_goes_on)
+START_TEST(test_once_rerouted)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int served = 0;
 
-	for (int i = 2 * FULL; i < sim->ntargets - 1; i++)
+	for (int i = 2 * ALL_SHARDS; i < sim->ntargets - 1; i++)
 		sim->targets[i].reject_rate = 0.4;
 	for (int i = 0; i < 20; i++) {
 		int index = sim_call(sim, 1, SIM_ONCE);
@@ -242,9 +242,9 @@
 };
 
 /* Each shard has a third target, so that three could be asked. */
-static struct sim *begin_with_three(void)
+static struct sim *setup_three_per_shard(void)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 
 	for (int i = 0; i < SIM_SHARDS; i++) {
 		char service[16];
@@ -256,7 +256,8 @@
 	return sim;
 }
 
-static void strike(struct sim *sim, const struct node_fault *fault, int node)
+static void inject_fault(struct sim *sim, const struct node_fault *fault,
+			 int node)
 {
 	if (fault->kill)
 		sim_kill_node(sim, node);
@@ -273,7 +274,7 @@
  */
 START_TEST(test_merging_node_lost)
 {
-	struct sim *sim = begin_with_three();
+	struct sim *sim = setup_three_per_shard();
 	int index = sim_call(sim, 0, SIM_MERGED);
 	int next;
 
@@ -282,17 +283,17 @@
 		sim->targets[i].service_us = 30000;
 	sim_run(sim, 1200);
 	for (int i = 1; i < NODES; i++)
-		strike(sim, &node_faults[_i], i);
+		inject_fault(sim, &node_faults[_i], i);
 	sim_run(sim, SECOND_US / 2);
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].service_us = 8000;
 	next = sim_call(sim, 0, SIM_MERGED);
 	sim_run(sim, SECOND_US);
 	ck_assert_int_eq(sim->calls[index].status, 200);
-	ck_assert_int_le(took(&sim->calls[index]), 3 * GOAL_US / 2);
-	ck_assert_int_le(most_targets_of_a_shard(&sim->calls[index]), 2);
-	check_merged(&sim->calls[next], FULL);
-	ck_assert_int_le(took(&sim->calls[next]), GOAL_US);
+	ck_assert_int_le(elapsed_us(&sim->calls[index]), 3 * GOAL_US / 2);
+	ck_assert_int_le(max_targets_per_shard(&sim->calls[index]), 2);
+	check_merged(&sim->calls[next], ALL_SHARDS);
+	ck_assert_int_le(elapsed_us(&sim->calls[next]), GOAL_US);
 	sim_destroy(sim);
 }
 END_TEST
@@ -304,7 +305,7 @@
  * nodes name shards as the route does, not as the part of it that they were
  * given.
  */
-START_TEST(test_rest_handed_on)
+START_TEST(test_late_shards_reassigned)
 {
 	struct sim *sim = sim_create(NODES, 7);
 	struct sim_call *call;
@@ -316,7 +317,7 @@
 	for (int i = 0; i < NODES; i++)
 		sim_start_node(sim, i);
 	sim_settle(sim);
-	for (int i = FULL; i < 2 * FULL; i++)
+	for (int i = ALL_SHARDS; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].paused_until = sim->now + 60000;
 	index = sim_call(sim, 5, SIM_STRICT);
 	sim_run(sim, 45000);
@@ -327,7 +328,7 @@
 	ck_assert(!call->duplicate_part);
 	ck_assert(!call->foreign_part);
 	ck_assert(!call->unsorted);
-	ck_assert_int_ge(call->parts, FULL - 1);
+	ck_assert_int_ge(call->parts, ALL_SHARDS - 1);
 	sim_destroy(sim);
 }
 END_TEST
@@ -338,7 +339,7 @@
  */
 START_TEST(test_stale_batch)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 	int sent;
 
@@ -360,7 +361,7 @@
  */
 START_TEST(test_reshard)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int calls[60];
 
 	sim_add_targets(sim, "r", 2);
@@ -373,12 +374,12 @@
 	}
 	sim_run(sim, SECOND_US);
 	for (int i = 0; i < 60; i++)
-		check_merged(&sim->calls[calls[i]], FULL);
+		check_merged(&sim->calls[calls[i]], ALL_SHARDS);
 	sim_destroy(sim);
 }
 END_TEST
 
-static void keep_asking(struct sim *sim, int64_t us)
+static void call_repeatedly(struct sim *sim, int64_t us)
 {
 	for (int64_t passed = 0; passed < us; passed += 20000) {
 		sim_call(sim, (int)(passed / 20000) % sim->nnodes, SIM_MERGED);
@@ -392,16 +393,16 @@
  */
 START_TEST(test_domain_out)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	keep_asking(sim, SECOND_US);
+	call_repeatedly(sim, SECOND_US);
 	sim_set_domain_out(sim, 1, true);
-	keep_asking(sim, 7 * SECOND_US);
+	call_repeatedly(sim, 7 * SECOND_US);
 	ck_assert_int_eq(sim->late_to_out_domain, 0);
 	index = sim_call(sim, 1, SIM_MERGED);
 	sim_run(sim, SECOND_US);
-	check_merged(&sim->calls[index], FULL);
+	check_merged(&sim->calls[index], ALL_SHARDS);
 	sim_destroy(sim);
 }
 END_TEST
@@ -412,17 +413,17 @@
  */
 START_TEST(test_leaving)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 
 	for (int i = 0; i < NODES; i += 2)
 		sim->nodes[i].store_cut = true;
-	keep_asking(sim, SECOND_US);
+	call_repeatedly(sim, SECOND_US);
 	sim->targets[0].leaving = true;
 	sim->targets[0].leaving_since = sim->now;
 	sim_publish_target(sim, 0);
 	sim->targets[3].leaving_since = sim->now;
 	sim_unpublish_target(sim, 3);
-	keep_asking(sim, 5 * SECOND_US);
+	call_repeatedly(sim, 5 * SECOND_US);
 	ck_assert_int_eq(sim->late_to_leaving, 0);
 	sim_destroy(sim);
 }
@@ -434,7 +435,7 @@
  */
 START_TEST(test_configuration_from_peers)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
 	sim_add_targets(sim, "r", 2);
@@ -443,11 +444,11 @@
 	sim_run(sim, SECOND_US / 2);
 	sim_configure(sim, 11);
 	sim_run(sim, 3 * SECOND_US);
-	for (int i = 0; i < 2 * FULL; i++)
+	for (int i = 0; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].up = false;
 	index = sim_call(sim, 4, SIM_MERGED);
 	sim_run(sim, SECOND_US);
-	check_merged(&sim->calls[index], FULL);
+	check_merged(&sim->calls[index], ALL_SHARDS);
 	sim_destroy(sim);
 }
 END_TEST
@@ -456,7 +457,7 @@
  * A node starts while it reaches neither the store nor another node. It knows
  * no route, and says "not run, come back" rather than "no such path".
  */
-START_TEST(test_start_alone)
+START_TEST(test_start_isolated)
 {
 	struct sim *sim = sim_create(1, 3);
 	int index;
@@ -483,7 +484,7 @@
  */
 START_TEST(test_all_restart)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
 	sim_add_targets(sim, "r", 2);
@@ -495,7 +496,7 @@
 	sim_run(sim, 2 * SECOND_US);
 	index = sim_call(sim, 5, SIM_MERGED);
 	sim_run(sim, SECOND_US);
-	check_merged(&sim->calls[index], FULL);
+	check_merged(&sim->calls[index], ALL_SHARDS);
 	ck_assert_int_eq(sim->calls[index].targets_of_shard[0], 0);
 	sim_destroy(sim);
 }
@@ -507,9 +508,9 @@
  * refused, so each is ready within a tenth of a second of its own start, the
  * ones that are no seeds too: they do not wait for a seed that starts later.
  */
-START_TEST(test_quick_return)
+START_TEST(test_ready_soon_after_power_loss)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	bool ready;
 
 	lose_power(sim, NODES);
@@ -527,8 +528,8 @@
 struct start {
 	bool store_down;
 	int64_t after_us;
-	int64_t least_us;
-	int64_t most_us;
+	int64_t min_us;
+	int64_t max_us;
 };
 
 static const struct start starts[] = {
@@ -553,8 +554,8 @@
 	sim_run(sim, start->after_us);
 	call = &sim->calls[sim_call(sim, 0, SIM_MERGED)];
 	ck_assert_int_eq(call->status, 503);
-	ck_assert_int_ge(call->retry_after_us, start->least_us);
-	ck_assert_int_le(call->retry_after_us, start->most_us);
+	ck_assert_int_ge(call->retry_after_us, start->min_us);
+	ck_assert_int_le(call->retry_after_us, start->max_us);
 	sim_destroy(sim);
 }
 END_TEST
@@ -582,9 +583,9 @@
  * may be missing. The question cannot be answered, and its caller learns it at
  * once, with the time to come back, instead of waiting until its deadline.
  */
-START_TEST(test_hopeless_question)
+START_TEST(test_unanswerable_question_fails_early)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	const struct sim_call *call;
 
 	for (int i = 0; i < 4; i++)
@@ -592,7 +593,7 @@
 	call = &sim->calls[sim_call(sim, 0, SIM_STRICT)];
 	sim_run(sim, 2 * SECOND_US);
 	ck_assert_int_ne(call->status, 200);
-	ck_assert_int_le(took(call), GOAL_US);
+	ck_assert_int_le(elapsed_us(call), GOAL_US);
 	ck_assert_int_gt(call->retry_after_us, 0);
 	sim_destroy(sim);
 }
@@ -603,9 +604,9 @@
  * waits for a target of the shard until it ends, and no reply of one wakes
  * those that wait; they must not pile up, which would use up the node's memory.
  */
-START_TEST(test_waiters_do_not_pile_up)
+START_TEST(test_wait_queue_is_bounded)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 
 	sim_unpublish_target(sim, 0);
 	sim_unpublish_target(sim, 1);
@@ -617,7 +618,7 @@
 		int waiting = gauge(sim, i, "waiting");
 
 		ck_assert_int_ge(waiting, 0);
-		ck_assert_int_le(waiting, 2 * FULL);
+		ck_assert_int_le(waiting, 2 * ALL_SHARDS);
 	}
 	sim_destroy(sim);
 }
@@ -629,18 +630,18 @@
  * requests to cold targets. So all know of all well within a second of the last
  * start.
  */
-START_TEST(test_nodes_meet_quickly)
+START_TEST(test_membership_converges_quickly)
 {
-	struct sim *sim = begin(NINE);
+	struct sim *sim = setup(SMALL_FLEET);
 
-	lose_power(sim, NINE);
-	for (int i = NINE - 1; i >= 0; i--) {
+	lose_power(sim, SMALL_FLEET);
+	for (int i = SMALL_FLEET - 1; i >= 0; i--) {
 		sim_start_node(sim, i);
 		sim_run(sim, SECOND_US / 20);
 	}
 	sim_run(sim, SECOND_US * 8 / 10);
-	for (int i = 0; i < NINE; i++)
-		ck_assert_int_eq(gauge(sim, i, "nodes"), NINE);
+	for (int i = 0; i < SMALL_FLEET; i++)
+		ck_assert_int_eq(gauge(sim, i, "nodes"), SMALL_FLEET);
 	sim_destroy(sim);
 }
 END_TEST
@@ -652,7 +653,7 @@
  */
 START_TEST(test_planned_stop)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
 	sim_stop_node(sim, 3);
@@ -660,7 +661,7 @@
 	sim_run(sim, 100000);
 	index = sim_call(sim, 3, SIM_MERGED);
 	sim_run(sim, 2 * SECOND_US);
-	check_merged(&sim->calls[index], FULL);
+	check_merged(&sim->calls[index], ALL_SHARDS);
 	ck_assert(!sim->nodes[3].exited);
 	sim_run(sim, 2 * SECOND_US);
 	ck_assert(sim->nodes[3].exited);
@@ -672,18 +673,19 @@
  * Most targets reject two of three requests. Callers are served as far as the
  * retry bound lets, and the bound holds over all nodes together.
  */
-START_TEST(test_shared_retry_bound)
+START_TEST(test_shared_retry_budget)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 
-	for (int i = 0; i < 2 * FULL; i++)
+	for (int i = 0; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].reject_rate = i % 5 ? 0.66 : 0;
 	for (int i = 0; i < 500; i++) {
 		sim_call(sim, i % NODES, SIM_MERGED);
 		sim_run(sim, 20000);
 	}
 	ck_assert_int_gt(sim->first_sends, 0);
-	ck_assert_int_le(sim->extra_sends, sim->first_sends / 5 + 60 * FULL);
+	ck_assert_int_le(sim->extra_sends,
+			 sim->first_sends / 5 + 60 * ALL_SHARDS);
 	sim_destroy(sim);
 }
 END_TEST
@@ -693,20 +695,20 @@
  * the whole table at once, the store's link would be busy for seconds, and all
  * callers refused as long. The first ones read, the others are told.
  */
-START_TEST(test_many_start_anew)
+START_TEST(test_large_fleet_restart)
 {
-	struct sim *sim = begin(MANY);
+	struct sim *sim = setup(LARGE_FLEET);
 	uint64_t before;
 
-	lose_power(sim, MANY);
+	lose_power(sim, LARGE_FLEET);
 	before = sim->store_calls;
-	for (int i = 0; i < MANY; i++) {
+	for (int i = 0; i < LARGE_FLEET; i++) {
 		sim_start_node(sim, i);
-		sim_run(sim, SECOND_US / 3 / MANY);
+		sim_run(sim, SECOND_US / 3 / LARGE_FLEET);
 	}
 	ck_assert_uint_le(sim->store_calls - before, 4 * SIM_DOMAINS);
 	sim_run(sim, SECOND_US);
-	for (int i = 0; i < MANY; i++)
+	for (int i = 0; i < LARGE_FLEET; i++)
 		ck_assert_msg(sim->nodes[i].ready, "node %d", i);
 	sim_destroy(sim);
 }
@@ -718,28 +720,29 @@
  * most of it. The first nodes that serve know of few others, or of some that do
  * not serve yet: they must not take the others' parts.
  */
-START_TEST(test_retry_bound_after_start)
+START_TEST(test_retry_budget_after_restart)
 {
-	struct sim *sim = begin(NINE);
+	struct sim *sim = setup(SMALL_FLEET);
 
-	for (int i = 0; i < 2 * FULL; i++)
+	for (int i = 0; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].reject_rate = 0.5;
-	for (int i = 0; i < NINE; i++) {
+	for (int i = 0; i < SMALL_FLEET; i++) {
 		sim_kill_node(sim, i);
 		sim->nodes[i].settings.core = i < 3 ? 0.25 : 0.05;
 	}
 	sim_run(sim, SECOND_US);
-	for (int i = NINE - 1; i >= 0; i--) {
+	for (int i = SMALL_FLEET - 1; i >= 0; i--) {
 		sim_start_node(sim, i);
 		sim_run(sim, GOAL_US);
 	}
 	sim->first_sends = sim->extra_sends = 0;
 	for (int i = 0; i < 300; i++) {
-		sim_call(sim, i % NINE, SIM_MERGED);
+		sim_call(sim, i % SMALL_FLEET, SIM_MERGED);
 		sim_run(sim, 30000);
 	}
 	ck_assert_int_gt(sim->first_sends, 0);
-	ck_assert_int_le(sim->extra_sends, sim->first_sends / 5 + 60 * FULL);
+	ck_assert_int_le(sim->extra_sends,
+			 sim->first_sends / 5 + 60 * ALL_SHARDS);
 	sim_destroy(sim);
 }
 END_TEST
@@ -750,7 +753,7 @@
  */
 START_TEST(test_store_calls)
 {
-	struct sim *sim = begin(9);
+	struct sim *sim = setup(9);
 	uint64_t before = sim->store_calls;
 
 	sim_run(sim, 60 * SECOND_US);
@@ -764,28 +767,28 @@
  * The store is away for ten seconds and entries lapse meanwhile, though their
  * targets live. Callers are served all the while and after.
  */
-START_TEST(test_store_away)
+START_TEST(test_store_outage)
 {
-	struct sim *sim = begin(NODES);
+	struct sim *sim = setup(NODES);
 
 	sim->store_down = true;
 	for (int i = 0; i < 10; i++) {
 		int index = sim_call(sim, i % NODES, SIM_MERGED);
 
 		sim_run(sim, SECOND_US);
-		check_merged(&sim->calls[index], FULL);
+		check_merged(&sim->calls[index], ALL_SHARDS);
 	}
-	for (int i = 0; i < 2 * FULL; i += 2)
+	for (int i = 0; i < 2 * ALL_SHARDS; i += 2)
 		sim_unpublish_target(sim, i);
 	sim->store_down = false;
 	sim_run(sim, SECOND_US);
-	for (int i = 0; i < 2 * FULL; i += 2)
+	for (int i = 0; i < 2 * ALL_SHARDS; i += 2)
 		sim_publish_target(sim, i);
 	sim_run(sim, SECOND_US / 2);
 	int index = sim_call(sim, 1, SIM_MERGED);
 
 	sim_run(sim, SECOND_US);
-	check_merged(&sim->calls[index], FULL);
+	check_merged(&sim->calls[index], ALL_SHARDS);
 	sim_destroy(sim);
 }
 END_TEST
@@ -794,33 +797,33 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_loop_test(tcase, test_calm, 0, NODES);
+	tcase_add_loop_test(tcase, test_no_faults, 0, NODES);
 	tcase_add_test(tcase, test_paused_targets);
-	tcase_add_loop_test(tcase, test_missing_shards, 0, COUNT(gaps));
+	tcase_add_loop_test(tcase, test_missing_shards, 0, COUNT(outages));
 	tcase_add_loop_test(tcase, test_once, 0, COUNT(once_cases));
-	tcase_add_test(tcase, test_once_goes_on);
+	tcase_add_test(tcase, test_once_rerouted);
 	tcase_add_loop_test(tcase, test_merging_node_lost, 0,
 			    COUNT(node_faults));
-	tcase_add_test(tcase, test_rest_handed_on);
+	tcase_add_test(tcase, test_late_shards_reassigned);
 	tcase_add_test(tcase, test_stale_batch);
 	tcase_add_test(tcase, test_reshard);
 	tcase_add_test(tcase, test_domain_out);
 	tcase_add_test(tcase, test_leaving);
 	tcase_add_test(tcase, test_configuration_from_peers);
-	tcase_add_test(tcase, test_start_alone);
+	tcase_add_test(tcase, test_start_isolated);
 	tcase_add_test(tcase, test_all_restart);
-	tcase_add_test(tcase, test_quick_return);
-	tcase_add_test(tcase, test_nodes_meet_quickly);
+	tcase_add_test(tcase, test_ready_soon_after_power_loss);
+	tcase_add_test(tcase, test_membership_converges_quickly);
 	tcase_add_loop_test(tcase, test_refused_at_start, 0,
 			    sizeof(starts) / sizeof(*starts));
 	tcase_add_test(tcase, test_planned_stop);
-	tcase_add_test(tcase, test_shared_retry_bound);
-	tcase_add_test(tcase, test_many_start_anew);
-	tcase_add_test(tcase, test_retry_bound_after_start);
+	tcase_add_test(tcase, test_shared_retry_budget);
+	tcase_add_test(tcase, test_large_fleet_restart);
+	tcase_add_test(tcase, test_retry_budget_after_restart);
 	tcase_add_test(tcase, test_store_calls);
-	tcase_add_test(tcase, test_hopeless_question);
-	tcase_add_test(tcase, test_waiters_do_not_pile_up);
-	tcase_add_test(tcase, test_store_away);
+	tcase_add_test(tcase, test_unanswerable_question_fails_early);
+	tcase_add_test(tcase, test_wait_queue_is_bounded);
+	tcase_add_test(tcase, test_store_outage);
 }
 
 int main(void)
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -85,13 +85,14 @@
 	  false, false, FETCH_OK, 200, "one", false, "two", true, 0 },
 };
 
-/** struct pieces - a reply that comes a byte at a time, and what becomes of it
+/** struct slow_reply - a reply that comes a byte at a time, and what becomes of
+ * it
  */
-struct pieces {
+struct slow_reply {
 	int gap_us; /* between its bytes */
 	int count; /* bytes that come; the head states as many */
 	int stop_after; /* no more come then, 0: all come */
-	bool may_take_long; /* asked for with a pause and a whole time */
+	bool slow_allowed; /* asked for with a pause and a whole time */
 	enum fetch_result result;
 };
 
@@ -100,7 +101,7 @@
 	WHOLE_US = 1200000,
 };
 
-static const struct pieces piece_cases[] = {
+static const struct slow_reply slow_reply_cases[] = {
 	{ 60000, 3, 0, false, FETCH_OK },
 	{ 60000, 12, 0, false, FETCH_TIMEOUT },
 	{ 60000, 12, 0, true, FETCH_OK },
@@ -113,7 +114,7 @@
 /** struct server - accepts, and answers requests in turn */
 struct server {
 	const struct script *script;
-	const struct pieces *pieces;
+	const struct slow_reply *slow_reply;
 	apr_pool_t *pool;
 	struct loop *loop;
 	struct upstream *up;
@@ -134,14 +135,14 @@
 	struct peer_conn *next;
 };
 
-static void drop(struct peer_conn *conn)
+static void free_conn(struct peer_conn *conn)
 {
 	loop_del(conn->watch);
 	close(conn->fd);
 	free(conn);
 }
 
-static void end(struct peer_conn *conn, bool reset)
+static void close_conn(struct peer_conn *conn, bool reset)
 {
 	struct peer_conn **at = &conn->server->conns;
 	struct linger now = { 1, 0 };
@@ -151,15 +152,15 @@
 	*at = conn->next;
 	if (reset)
 		setsockopt(conn->fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
-	drop(conn);
+	free_conn(conn);
 }
 
-static void drop_all(struct peer_conn *conn)
+static void free_conns(struct peer_conn *conn)
 {
 	while (conn) {
 		struct peer_conn *next = conn->next;
 
-		drop(conn);
+		free_conn(conn);
 		conn = next;
 	}
 }
@@ -174,17 +175,17 @@
 
 	(void)events;
 	if (recv(conn->fd, bytes, sizeof(bytes), 0) <= 0) {
-		end(conn, false);
+		close_conn(conn, false);
 		return;
 	}
-	if (server->pieces) {
+	if (server->slow_reply) {
 		int len = snprintf(bytes, sizeof(bytes),
 				   "HTTP/1.1 200 OK\r\nContent-Length: %d"
 				   "\r\n\r\n",
-				   server->pieces->count);
+				   server->slow_reply->count);
 
 		ck_assert_int_eq(send(conn->fd, bytes, (size_t)len, 0), len);
-		conn->next_at = loop_now() + server->pieces->gap_us;
+		conn->next_at = loop_now() + server->slow_reply->gap_us;
 		return;
 	}
 	first = !server->requests++;
@@ -193,30 +194,32 @@
 		ck_assert_int_gt(send(conn->fd, text, strlen(text), 0), 0);
 	if (first && server->script->reset_after_first) {
 		usleep(20000);
-		end(conn, true);
+		close_conn(conn, true);
 	} else if (first && server->script->close_after_first) {
-		end(conn, false);
+		close_conn(conn, false);
 	}
 }
 
-static void send_piece(void *ctx)
+static void send_byte(void *ctx)
 {
 	struct server *server = ctx;
 	struct peer_conn *conn = server->conns;
-	const struct pieces *pieces = server->pieces;
-	int most;
+	const struct slow_reply *slow_reply = server->slow_reply;
+	int max;
 
-	if (!conn || !pieces || !conn->next_at || loop_now() < conn->next_at)
+	if (!conn || !slow_reply || !conn->next_at ||
+	    loop_now() < conn->next_at)
 		return;
-	most = pieces->stop_after ? pieces->stop_after : pieces->count;
-	if (conn->sent == most)
+	max = slow_reply->stop_after ? slow_reply->stop_after
+				     : slow_reply->count;
+	if (conn->sent == max)
 		return;
 	conn->sent++;
-	conn->next_at += pieces->gap_us;
+	conn->next_at += slow_reply->gap_us;
 	send(conn->fd, "x", 1, MSG_NOSIGNAL);
 }
 
-static int64_t piece_wait(void *ctx)
+static int64_t send_byte_wait(void *ctx)
 {
 	(void)ctx;
 	return 5000;
@@ -274,7 +277,7 @@
 }
 
 /* A server as the case says, and a client of it. */
-static void begin(struct server *server)
+static void setup(struct server *server)
 {
 	apr_pool_create(&server->pool, NULL);
 	server->loop = loop_create(server->pool);
@@ -282,7 +285,7 @@
 	server->watch =
 		loop_add(server->loop, server->fd, APR_POLLIN, on_conn, server);
 	loop_hook(server->loop,
-		  (struct loop_hook){ send_piece, piece_wait, server });
+		  (struct loop_hook){ send_byte, send_byte_wait, server });
 	server->up = upstream_create(
 		server->loop, (struct upstream_handler){ on_done, NULL });
 }
@@ -296,11 +299,11 @@
 	server->watch = NULL;
 }
 
-static void finish(struct server *server)
+static void teardown(struct server *server)
 {
 	upstream_destroy(server->up);
 	loop_unhook(server->loop, server);
-	drop_all(server->conns);
+	free_conns(server->conns);
 	stop_listening(server);
 	loop_destroy(server->loop);
 	apr_pool_destroy(server->pool);
@@ -320,8 +323,8 @@
 	};
 }
 
-static void ask_for(struct server *server,
-		    const struct upstream_request *request)
+static void send_and_wait(struct server *server,
+			  const struct upstream_request *request)
 {
 	int64_t until = loop_now() + WAIT_US;
 	struct outcome *out = &outcomes[request->id];
@@ -339,22 +342,22 @@
 	struct server server = { .script = script };
 	struct upstream_request request;
 
-	begin(&server);
+	setup(&server);
 	request = request_of(server.addr, 1, STR("r1"));
 	request.reply_max = script->reply_max;
-	ask_for(&server, &request);
+	send_and_wait(&server, &request);
 	ck_assert_msg(outcomes[1].result == script->result, "%s: result %d",
 		      script->name, (int)outcomes[1].result);
 	ck_assert_int_eq(outcomes[1].status, script->status);
 	ck_assert_str_eq(outcomes[1].body, script->body);
 	request = request_of(server.addr, 2,
 			     script->same_id ? STR("r1") : STR("r2"));
-	ask_for(&server, &request);
+	send_and_wait(&server, &request);
 	ck_assert_int_eq(outcomes[2].result, FETCH_OK);
 	ck_assert_str_eq(outcomes[2].body, script->second_body);
 	ck_assert_msg(outcomes[2].opened != script->reused, "%s: reuse",
 		      script->name);
-	finish(&server);
+	teardown(&server);
 }
 END_TEST
 
@@ -363,21 +366,21 @@
  * wait for an answer: given up each time, it was never read. Bytes that keep
  * coming are waited for; a reply that stops, or never ends, is not.
  */
-START_TEST(test_reply_in_pieces)
+START_TEST(test_slow_reply)
 {
-	const struct pieces *pieces = &piece_cases[_i];
-	struct server server = { .pieces = pieces };
+	const struct slow_reply *slow_reply = &slow_reply_cases[_i];
+	struct server server = { .slow_reply = slow_reply };
 	struct upstream_request request;
 
-	begin(&server);
+	setup(&server);
 	request = request_of(server.addr, 1, (struct str){ 0 });
-	if (pieces->may_take_long) {
+	if (slow_reply->slow_allowed) {
 		request.pause_us = PAUSE_US;
 		request.whole_us = WHOLE_US;
 	}
-	ask_for(&server, &request);
-	ck_assert_int_eq(outcomes[1].result, pieces->result);
-	finish(&server);
+	send_and_wait(&server, &request);
+	ck_assert_int_eq(outcomes[1].result, slow_reply->result);
+	teardown(&server);
 }
 END_TEST
 
@@ -387,16 +390,16 @@
 	struct server server = { 0 };
 	struct upstream_request request;
 
-	begin(&server);
+	setup(&server);
 	stop_listening(&server);
 	request = request_of(server.addr, 1, STR("r1"));
-	ask_for(&server, &request);
+	send_and_wait(&server, &request);
 	ck_assert_int_eq(outcomes[1].result, FETCH_REFUSED);
-	finish(&server);
+	teardown(&server);
 }
 END_TEST
 
-static void nothing(void *ctx, int events)
+static void ignore_events(void *ctx, int events)
 {
 	(void)ctx;
 	(void)events;
@@ -418,7 +421,7 @@
 	loop = loop_create(pool);
 	ck_assert_int_eq(pipe(ends), 0);
 	ck_assert_int_eq(write(ends[1], "x", 1), 1);
-	watch = loop_add(loop, ends[0], APR_POLLIN, nothing, NULL);
+	watch = loop_add(loop, ends[0], APR_POLLIN, ignore_events, NULL);
 	loop_step(loop);
 	ck_assert_int_eq(loop_held_us(loop), 0);
 	usleep(700000);
@@ -441,8 +444,9 @@
 {
 	tcase_add_loop_test(tcase, test_script, 0,
 			    (int)(sizeof(scripts) / sizeof(*scripts)));
-	tcase_add_loop_test(tcase, test_reply_in_pieces, 0,
-			    (int)(sizeof(piece_cases) / sizeof(*piece_cases)));
+	tcase_add_loop_test(
+		tcase, test_slow_reply, 0,
+		(int)(sizeof(slow_reply_cases) / sizeof(*slow_reply_cases)));
 	tcase_add_test(tcase, test_refused);
 	tcase_add_test(tcase, test_pause_is_noticed);
 }
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -1,7 +1,7 @@
 /*
  * Stateful fuzzing of the tier: series of faults that overlap, drawn from a
  * seed, on several nodes in virtual time. The books that the targets and the
- * callers keep are the oracle; see judge().
+ * callers keep are the oracle; see find_violation().
  *
  *     fuzz-tier FIRST COUNT            seeds FIRST to FIRST + COUNT - 1
  *     fuzz-tier FIRST COUNT deadly     with a request that crashes its targets
@@ -18,7 +18,7 @@
 	STEPS = 250,
 	STEP_US = 40000,
 	/* What a request may take beyond the time that its caller waits. */
-	LATE_US = 500000,
+	ANSWER_GRACE_US = 500000,
 	TIMEOUT_US = 1000000,
 	SHARD_TARGETS = 2 * SIM_SHARDS,
 	RESTART_US = 1500000,
@@ -27,68 +27,71 @@
 	 * A deadly request comes each so many steps, over a longer time with
 	 * fewer faults: only nodes that are in order are judged by it.
 	 */
-	DEADLY_EACH = 30,
+	DEADLY_INTERVAL_STEPS = 30,
 	DEADLY_STEPS = 750,
 	DEADLY_FAULT_STEPS = 16,
-	DEADLY_LATE_MOST = 3,
+	DEADLY_LATE_RUNS_MAX = 3,
 };
 
-/** struct trial - one seed: the stage, and what is under way */
-struct trial {
+/** struct scenario - one seed: the stage, and what is under way */
+struct scenario {
 	struct sim *sim;
 	uint64_t version;
 	int64_t down_until[SIM_NODES_MAX];
 	int64_t heal_at;
 	bool resharded;
-	const char *fault;
+	const char *violation;
 };
 
-static uint64_t below(struct trial *trial, uint64_t bound)
+static uint64_t random_below(struct scenario *scenario, uint64_t bound)
 {
-	return rng_below(&trial->sim->rng, bound);
+	return rng_below(&scenario->sim->rng, bound);
 }
 
-static struct sim_target *any_target(struct trial *trial)
+static struct sim_target *random_target(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
+	struct sim *sim = scenario->sim;
 
-	return &sim->targets[below(trial, (uint64_t)sim->ntargets)];
+	return &sim->targets[random_below(scenario, (uint64_t)sim->ntargets)];
 }
 
 /* Faults. */
 
-static void pause_target(struct trial *trial)
+static void pause_target(struct scenario *scenario)
 {
-	any_target(trial)->paused_until = trial->sim->now + 150000;
+	random_target(scenario)->paused_until = scenario->sim->now + 150000;
 }
 
-static void slow_target(struct trial *trial)
+static void slow_target(struct scenario *scenario)
 {
-	any_target(trial)->service_us = 8000 * (1 + (int64_t)below(trial, 12));
+	random_target(scenario)->service_us =
+		8000 * (1 + (int64_t)random_below(scenario, 12));
 }
 
-static void shed_target(struct trial *trial)
+static void shed_target(struct scenario *scenario)
 {
-	any_target(trial)->reject_rate = (double)below(trial, 10) / 10;
+	random_target(scenario)->reject_rate =
+		(double)random_below(scenario, 10) / 10;
 }
 
-static void lose_replies(struct trial *trial)
+static void lose_replies(struct scenario *scenario)
 {
-	any_target(trial)->reply_loss = (double)below(trial, 5) / 10;
+	random_target(scenario)->reply_loss =
+		(double)random_below(scenario, 5) / 10;
 }
 
-static void crash_target(struct trial *trial)
+static void crash_target(struct scenario *scenario)
 {
-	struct sim_target *target = any_target(trial);
+	struct sim_target *target = random_target(scenario);
 
 	if (!target->restarting)
 		target->up = !target->up;
 }
 
-static void drain_target(struct trial *trial)
+static void drain_target(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
-	int index = (int)below(trial, (uint64_t)sim->ntargets);
+	struct sim *sim = scenario->sim;
+	int index = (int)random_below(scenario, (uint64_t)sim->ntargets);
 	struct sim_target *target = &sim->targets[index];
 
 	if (target->leaving_since || sim->store_down)
@@ -100,68 +103,70 @@
 		sim_add_target(sim, target->service, target->domain);
 }
 
-static void kill_node(struct trial *trial)
+static void kill_node(struct scenario *scenario)
 {
-	int node = (int)below(trial, (uint64_t)trial->sim->nnodes);
+	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	if (!trial->sim->nodes[node].up)
+	if (!scenario->sim->nodes[node].up)
 		return;
-	trial->sim->nodes[node].fault_at = trial->sim->now;
-	sim_kill_node(trial->sim, node);
-	trial->down_until[node] = trial->sim->now + RESTART_US;
+	scenario->sim->nodes[node].fault_at = scenario->sim->now;
+	sim_kill_node(scenario->sim, node);
+	scenario->down_until[node] = scenario->sim->now + RESTART_US;
 }
 
-static void freeze_node(struct trial *trial)
+static void freeze_node(struct scenario *scenario)
 {
-	int node = (int)below(trial, (uint64_t)trial->sim->nnodes);
+	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	trial->sim->nodes[node].frozen_until =
-		trial->sim->now + 1000 * (int64_t)below(trial, 2000);
-	trial->sim->nodes[node].fault_at = trial->sim->nodes[node].frozen_until;
+	scenario->sim->nodes[node].frozen_until =
+		scenario->sim->now +
+		1000 * (int64_t)random_below(scenario, 2000);
+	scenario->sim->nodes[node].fault_at =
+		scenario->sim->nodes[node].frozen_until;
 }
 
-static void cut_link(struct trial *trial)
+static void cut_link(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
-	int a = (int)below(trial, (uint64_t)sim->nnodes);
-	int b = (int)below(trial, (uint64_t)sim->nnodes);
+	struct sim *sim = scenario->sim;
+	int a = (int)random_below(scenario, (uint64_t)sim->nnodes);
+	int b = (int)random_below(scenario, (uint64_t)sim->nnodes);
 
 	sim->nodes[a].fault_at = INT64_MAX / 2;
 	sim->nodes[b].fault_at = INT64_MAX / 2;
 	sim->links_cut[a][b] = true;
-	if (below(trial, 2))
+	if (random_below(scenario, 2))
 		sim->links_cut[b][a] = true;
 }
 
-static void cut_store(struct trial *trial)
+static void cut_store(struct scenario *scenario)
 {
-	int node = (int)below(trial, (uint64_t)trial->sim->nnodes);
+	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	trial->sim->nodes[node].store_cut = true;
+	scenario->sim->nodes[node].store_cut = true;
 }
 
-static void store_away(struct trial *trial)
+static void fail_store(struct scenario *scenario)
 {
-	trial->sim->store_down = true;
+	scenario->sim->store_down = true;
 }
 
-static void configure(struct trial *trial)
+static void configure(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
+	struct sim *sim = scenario->sim;
 
 	if (sim->store_down)
 		return;
-	if (!trial->resharded && below(trial, 3) == 0) {
+	if (!scenario->resharded && random_below(scenario, 3) == 0) {
 		sim_add_targets(sim, "r", 2);
-		trial->resharded = true;
-		trial->version = 10;
+		scenario->resharded = true;
+		scenario->version = 10;
 	}
-	sim_configure(sim, ++trial->version);
+	sim_configure(sim, ++scenario->version);
 }
 
-static void heal(struct trial *trial)
+static void heal(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
+	struct sim *sim = scenario->sim;
 
 	memset(sim->links_cut, 0, sizeof(sim->links_cut));
 	sim->store_down = false;
@@ -176,15 +181,15 @@
 	}
 }
 
-static void (*const faults[])(struct trial *) = {
+static void (*const faults[])(struct scenario *) = {
 	pause_target, pause_target, slow_target, shed_target, lose_replies,
 	crash_target, drain_target, kill_node,	 freeze_node, cut_link,
-	cut_store,    store_away,   configure,	 heal,
+	cut_store,    fail_store,   configure,	 heal,
 };
 
 /* Judgement. */
 
-static const char *judge_call(const struct sim_call *call)
+static const char *find_call_violation(const struct sim_call *call)
 {
 	if (call->duplicate_part)
 		return "a shard counted twice";
@@ -202,32 +207,32 @@
 	if (call->status == 404)
 		return "a route that exists was not found";
 	if (call->answered_at &&
-	    call->answered_at - call->start > TIMEOUT_US + LATE_US)
+	    call->answered_at - call->start > TIMEOUT_US + ANSWER_GRACE_US)
 		return "held past its time";
 	return NULL;
 }
 
-static const char *judge(struct trial *trial)
+static const char *find_violation(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
-	int over_asked = 0;
+	struct sim *sim = scenario->sim;
+	int over_limit = 0;
 
 	for (int i = 0; i < sim->ncalls; i++) {
 		const struct sim_call *call = &sim->calls[i];
-		const char *fault = judge_call(call);
-		int most = 0;
+		const char *violation = find_call_violation(call);
+		int max = 0;
 
-		if (fault)
-			return fault;
+		if (violation)
+			return violation;
 		for (int j = 0; j < 2 * SIM_SHARDS; j++)
-			if (call->targets_of_shard[j] > most)
-				most = call->targets_of_shard[j];
-		over_asked += most > 2;
+			if (call->targets_of_shard[j] > max)
+				max = call->targets_of_shard[j];
+		over_limit += max > 2;
 	}
 	for (int i = 1; i < SIM_DEADLY_MAX; i++)
-		if (sim->deadly[i].late > DEADLY_LATE_MOST)
+		if (sim->deadly[i].late > DEADLY_LATE_RUNS_MAX)
 			return "a deadly request was sent to ever more targets";
-	if (over_asked > 3)
+	if (over_limit > 3)
 		return "shards asked at more targets than the route allows";
 	if (sim->extra_sends > sim->first_sends / 5 + 2 * SIM_SHARDS * 60 * 2)
 		return "retries beyond the shared bound";
@@ -235,40 +240,41 @@
 }
 
 /* A node that was frozen answers late for that reason. */
-static void forgive_frozen(struct sim *sim)
+static void excuse_frozen_nodes(struct sim *sim)
 {
 	for (int i = 0; i < sim->ncalls; i++)
 		if (sim->calls[i].answered_at - sim->calls[i].start >
-		    TIMEOUT_US + LATE_US)
+		    TIMEOUT_US + ANSWER_GRACE_US)
 			sim->calls[i].answered_at =
 				sim->calls[i].start + TIMEOUT_US;
 }
 
-static void restart_nodes(struct trial *trial)
+static void restart_nodes(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
+	struct sim *sim = scenario->sim;
 
 	for (int i = 0; i < sim->nnodes; i++)
-		if (!sim->nodes[i].up && sim->now >= trial->down_until[i]) {
+		if (!sim->nodes[i].up && sim->now >= scenario->down_until[i]) {
 			sim->nodes[i].fault_at = sim->now;
 			sim_start_node(sim, i);
 		}
 }
 
 /* At a node that takes callers; one of each kind, each with its books. */
-static void ask_deadly(struct trial *trial)
+static void send_deadly(struct scenario *scenario)
 {
-	struct sim *sim = trial->sim;
+	struct sim *sim = scenario->sim;
 	struct sim_request_spec spec = { "deadly", "10.1.0.1", 0 };
-	int node = (int)below(trial, (uint64_t)sim->nnodes);
-	enum sim_request_kind kind = (enum sim_request_kind)below(trial, 3);
+	int node = (int)random_below(scenario, (uint64_t)sim->nnodes);
+	enum sim_request_kind kind =
+		(enum sim_request_kind)random_below(scenario, 3);
 
 	spec.deadly = (int)kind + 1;
 	if (sim->nodes[node].up && sim->nodes[node].ready)
 		sim_call_with(sim, node, kind, &spec);
 }
 
-static int served_at_last(struct sim *sim)
+static int count_served_after_heal(struct sim *sim)
 {
 	int first = sim->ncalls;
 	int served = 0;
@@ -285,13 +291,13 @@
 
 static const char *run_seed(uint64_t seed, bool deadly)
 {
-	struct trial trial = { .version = 1 };
+	struct scenario scenario = { .version = 1 };
 	struct sim *sim = sim_create(6, seed);
 	int steps = deadly ? DEADLY_STEPS : STEPS;
 	uint64_t fault_steps = deadly ? DEADLY_FAULT_STEPS : FAULT_STEPS;
-	const char *fault;
+	const char *violation;
 
-	trial.sim = sim;
+	scenario.sim = sim;
 	sim_add_targets(sim, "s", 2);
 	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
 		sim_add_target(sim, "single", i % SIM_DOMAINS);
@@ -300,31 +306,33 @@
 		sim_start_node(sim, i);
 	sim_settle(sim);
 	for (int step = 0; step < steps; step++) {
-		int node = (int)below(&trial, (uint64_t)sim->nnodes);
-
-		if (below(&trial, fault_steps) == 0)
-			faults[below(&trial, sizeof(faults) / sizeof(*faults))](
-				&trial);
-		restart_nodes(&trial);
-		if (deadly && step % DEADLY_EACH == 0)
-			ask_deadly(&trial);
+		int node = (int)random_below(&scenario, (uint64_t)sim->nnodes);
+
+		if (random_below(&scenario, fault_steps) == 0)
+			faults[random_below(&scenario,
+					    sizeof(faults) / sizeof(*faults))](
+				&scenario);
+		restart_nodes(&scenario);
+		if (deadly && step % DEADLY_INTERVAL_STEPS == 0)
+			send_deadly(&scenario);
 		if (sim->nodes[node].up && sim->nodes[node].ready)
 			sim_call(sim, node,
-				 (enum sim_request_kind)below(&trial, 3));
+				 (enum sim_request_kind)random_below(&scenario,
+								     3));
 		sim_run(sim, STEP_US);
 	}
-	heal(&trial);
+	heal(&scenario);
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].up = true;
 	sim_run(sim, RESTART_US);
-	restart_nodes(&trial);
+	restart_nodes(&scenario);
 	sim_run(sim, 6000000);
-	forgive_frozen(sim);
-	fault = judge(&trial);
-	if (!fault && served_at_last(sim) < sim->nnodes)
-		fault = "not served after all faults were healed";
+	excuse_frozen_nodes(sim);
+	violation = find_violation(&scenario);
+	if (!violation && count_served_after_heal(sim) < sim->nnodes)
+		violation = "not served after all faults were healed";
 	sim_destroy(sim);
-	return fault;
+	return violation;
 }
 
 int main(int argc, char **argv)
@@ -336,11 +344,11 @@
 
 	apr_initialize();
 	for (uint64_t seed = first; seed < first + count; seed++) {
-		const char *fault = run_seed(seed, deadly);
+		const char *violation = run_seed(seed, deadly);
 
-		if (!fault)
+		if (!violation)
 			continue;
-		printf("seed %llu: %s\n", (unsigned long long)seed, fault);
+		printf("seed %llu: %s\n", (unsigned long long)seed, violation);
 		failed++;
 	}
 	printf("%llu seeds, %d failed\n", (unsigned long long)count, failed);
