--- a/tests/sim.c
+++ b/tests/sim.c
@@ -75,7 +75,7 @@
 	return us + (int64_t)rng_below(&sim->rng, 200);
 }
 
-/* Nodes talk over connections, which keep the order of what is sent. */
+/* Messages between two nodes share a connection, so they arrive in order. */
 static int64_t ordered_delay_us(struct sim *sim, int from, int to,
 				int64_t after)
 {
@@ -186,7 +186,7 @@
 		seen[shard] = true;
 		call->parts++;
 	}
-	/* All from one version: either the first shards, or the second. */
+	/* Parts must be of one version: first or second shards. */
 	for (int i = 0; i < SIM_SHARDS; i++)
 		for (int j = SIM_SHARDS; j < 2 * SIM_SHARDS; j++)
 			if (seen[i] && seen[j])
@@ -212,7 +212,7 @@
 			call->unsorted = true;
 }
 
-/* The log of one question, when a test's result is to be traced. */
+/* Prints the log lines of the traced call. */
 static void print_log(const struct sim *sim, int node,
 		      const struct flow_effect *fx)
 {
@@ -347,7 +347,7 @@
 	free(sim);
 }
 
-/* What happens. */
+/* Events. */
 
 static void dispatch(struct sim *sim, struct sim_event *event)
 {
@@ -414,7 +414,7 @@
 	return sim->nodes[node].frozen_until;
 }
 
-/* Index of what happens first; what meets a frozen node waits for it. */
+/* Index of the next event; events at a frozen node wait until it runs. */
 static size_t earliest_event(struct sim *sim)
 {
 	struct sim_queue *queue = sim->queue;
@@ -497,7 +497,7 @@
 			break;
 		sim_run(sim, 100000);
 	}
-	/* Word of each other goes round in a few periods. */
+	/* Gossip reaches all nodes within a few periods. */
 	sim_run(sim, 3000000);
 }
 
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -4,11 +4,11 @@
 #include "../tier.h"
 
 /**
- * DOC: a stage of nodes in virtual time
+ * DOC: discrete-event simulation of a tier
  *
- * Several reducers of the tier, with fakes of the store, of targets and of
- * callers around them. No sockets and no clock: one queue of what happens when.
- * The stage keeps its own books of what ran, which the tests judge.
+ * Runs several tier reducers against fakes of the store, the targets and the
+ * callers, in virtual time: no sockets and no clock, but one queue of events.
+ * The simulation records independently what ran; the tests check that record.
  */
 
 enum {
@@ -22,22 +22,22 @@
 	SIM_CONVERGENCE_US = 4000000,
 };
 
-/** enum sim_request_kind - kinds of requests, one route each */
+/** enum sim_request_kind - kinds of requests, each with a route of its own */
 enum sim_request_kind {
-	SIM_MERGED, /* over all shards, 0.7 of them at least */
-	SIM_STRICT, /* over all shards, one may be missing; three targets each
-		     */
-	SIM_SINGLE, /* may run more than once */
-	SIM_ONCE, /* may run once only */
+	SIM_MERGED, /* merged over all shards, coverage of at least 0.7 */
+	/* Merged, at most one shard missing, up to three targets per shard. */
+	SIM_STRICT,
+	SIM_SINGLE, /* to one target, idempotent */
+	SIM_ONCE, /* to one target, not idempotent */
 };
 
 /**
- * struct sim_target - a fake target; faults are set by the tests
- * @slots: requests that run at a time, others wait for their turn; 0: any
- * @slot_free_at: when each slot has done all that it was given
- * @restarts: times that it came back from a crash
- * @restarting: it crashed, and is not back yet
- * @keeps_id: it comes back under the id that it had
+ *  * struct sim_target - a fake target; faults are set by the tests
+ * @slots: requests that run concurrently, others queue; 0: no limit
+ * @slot_free_at: when each slot has finished its queue
+ * @restarts: number of restarts after a crash
+ * @restarting: crashed and not restarted yet
+ * @keeps_id: it keeps its id over a restart
  */
 struct sim_target {
 	char id[24];
@@ -45,13 +45,13 @@
 	char service[16];
 	int domain;
 	bool up;
-	bool silent; /* takes requests and never answers */
+	bool silent; /* accepts requests and never replies */
 	bool leaving;
 	int64_t leaving_since;
 	int64_t paused_until;
 	int64_t service_us;
-	double reject_rate; /* share of requests that it rejects as not run */
-	double reply_loss; /* share of replies that are lost after the run */
+	double reject_rate; /* fraction of requests rejected as not executed */
+	double reply_loss; /* fraction of replies lost after execution */
 	int arrivals;
 	int slots;
 	int64_t slot_free_at[SIM_SLOTS_MAX];
@@ -61,10 +61,11 @@
 };
 
 /**
- * struct sim_request_spec - what a caller asks, and who it is
+ *  * struct sim_request_spec - a request and its caller
  * @query: end of the path
- * @deadly: each target that runs it crashes; the number of the request in the
- *          stage's books, 0 for a harmless one
+ * @caller: address of the caller
+ * @deadly: index in sim.deadly of a request that crashes each target that runs
+ *          it, 0 for a harmless one
  */
 struct sim_request_spec {
 	const char *query;
@@ -73,11 +74,10 @@
 };
 
 /**
- * struct sim_deadly - books of a deadly request
- * @crashes: targets that ended under it
- * @third_crash_at: when the third of them did
- * @late: times that it was asked and reached targets over SIM_CONVERGENCE_US
- * later
+ *  * struct sim_deadly - effects of a deadly request
+ * @crashes: targets that it has crashed
+ * @third_crash_at: time of the third crash
+ * @late: calls that reached targets more than SIM_CONVERGENCE_US after that
  */
 struct sim_deadly {
 	int crashes;
@@ -85,7 +85,7 @@
 	int late;
 };
 
-/** struct sim_call - a caller's request, and what came of it */
+/** struct sim_call - a caller's request and its outcome */
 struct sim_call {
 	enum sim_request_kind kind;
 	int64_t start;
@@ -99,7 +99,7 @@
 	bool unsorted;
 	int runs;
 	int targets_of_shard[2 * SIM_SHARDS];
-	/* Bits of the targets that a shard was asked at. */
+	/* Bit set of the targets that received the request, per shard. */
 	uint64_t sent_to[2 * SIM_SHARDS][SIM_TARGETS_MAX / 64];
 	uint64_t version;
 	int deadly;
@@ -107,8 +107,10 @@
 };
 
 /**
- * struct sim_node - @fault_at: a fault of its own began or ended; its
- * tries of a deadly request do not count for SIM_CONVERGENCE_US after that
+ *  * struct sim_node - a node of the tier
+ * @fault_at: when a fault of this node last began or ended; runs of a deadly
+ *            request that it sends within SIM_CONVERGENCE_US of that are not
+ *            counted as late
  */
 struct sim_node {
 	struct tier *tier;
@@ -140,45 +142,44 @@
 	uint64_t version;
 	bool store_down;
 	bool links_cut[SIM_NODES_MAX][SIM_NODES_MAX];
-	int64_t last_arrival_at[SIM_NODES_MAX]
-			       [SIM_NODES_MAX]; /* the last message */
+	/* Arrival of the last message, by sender and receiver. */
+	int64_t last_arrival_at[SIM_NODES_MAX][SIM_NODES_MAX];
 	int64_t out_since[SIM_DOMAINS];
 	int late_to_out_domain;
 	int late_to_leaving;
 	struct sim_deadly deadly[SIM_DEADLY_MAX];
-	int64_t deadly_run_us; /* a deadly request runs so long; 0: as others */
+	int64_t deadly_run_us; /* time to the crash; 0: usual service time */
 	int extra_sends;
 	int first_sends;
 	uint64_t store_calls;
-	uint32_t without; /* mechanisms that are off in nodes started later */
-	int traced_call; /* question whose log is printed, -1: none */
+	uint32_t without; /* mechanisms disabled in nodes started later */
+	int traced_call; /* call whose log lines are printed, -1: none */
 	struct sim_store *store;
 	struct sim_queue *queue;
 };
 
 struct sim *sim_create(int nnodes, uint64_t seed);
 void sim_destroy(struct sim *sim);
-/** sim_add_targets() - @each targets for each shard, and single ones. */
+/** sim_add_targets() - add @each targets for each shard */
 void sim_add_targets(struct sim *sim, const char *prefix, int each);
 int sim_add_target(struct sim *sim, const char *service, int domain);
-/** sim_publish_target() - write the entry of a target as it is now. */
+/** sim_publish_target() - write a target's current entry to the store */
 void sim_publish_target(struct sim *sim, int target);
 void sim_unpublish_target(struct sim *sim, int target);
-/** sim_configure() - publish a version; from 10 on with other shards. */
+/** sim_configure() - publish a version; from 10 on it has other shards */
 void sim_configure(struct sim *sim, uint64_t version);
 void sim_set_domain_out(struct sim *sim, int domain, bool out);
 void sim_start_node(struct sim *sim, int node);
-/** sim_kill_node() - without a word; others see their connections break. */
+/** sim_kill_node() - stop a node abruptly; peers lose their connections */
 void sim_kill_node(struct sim *sim, int node);
 void sim_stop_node(struct sim *sim, int node);
-/** sim_call() - a caller asks @node now; returns the call's index. */
+/** sim_call() - send a request to @node now; returns the call's index */
 int sim_call(struct sim *sim, int node, enum sim_request_kind kind);
 int sim_call_with(struct sim *sim, int node, enum sim_request_kind kind,
 		  const struct sim_request_spec *spec);
-/** sim_crash_target() - a target ends with all that it works on, and comes
- * back. */
+/** sim_crash_target() - crash a target with all its requests; it restarts */
 void sim_crash_target(struct sim *sim, int target);
-/** sim_run() - let @us pass. */
+/** sim_run() - advance virtual time by @us */
 void sim_run(struct sim *sim, int64_t us);
-/** sim_settle() - until all nodes are ready, at most ten seconds. */
+/** sim_settle() - run until all nodes are ready, at most ten seconds */
 void sim_settle(struct sim *sim);
--- a/tests/sim_dialect.h
+++ b/tests/sim_dialect.h
@@ -3,18 +3,18 @@
 #include "../dialect.h"
 
 /**
- * DOC: what the virtual platform says
+ * DOC: dialect of the simulated platform
  *
- * A dialect of the tests' own: keys, entries and configurations in a few words,
- * which shows that the reducer does not depend on the platform's.
+ * A minimal format of keys, entries and configurations for the tests. It also
+ * shows that the reducer does not depend on the real platform's dialect.
  */
 
 enum {
-	/* Longest wait of all routes. */
+	/* Timeout of all routes. */
 	TIMEOUT_US = 1000000,
 };
 
 extern const struct dialect sim_dialect;
 
-/** sim_format() - @fmt with one number, in @pool. */
+/** sim_format() - format one number; the text is allocated in @pool */
 struct str sim_format(apr_pool_t *pool, const char *fmt, int number);
--- a/tests/sim_internal.h
+++ b/tests/sim_internal.h
@@ -3,10 +3,10 @@
 #include "sim.h"
 
 /**
- * DOC: what the parts of the stage share
+ * DOC: internal interface of the simulation
  *
- * sim.c has the nodes and the time, sim_targets.c the store and the
- * targets.
+ * sim.c simulates the nodes and runs the event queue, sim_targets.c simulates
+ * the store and the targets.
  */
 
 enum {
@@ -23,12 +23,12 @@
 	SIM_EVENT_MSG,
 	SIM_EVENT_PEER_LOST,
 	SIM_EVENT_STORE_REPLY,
-	SIM_EVENT_ARRIVAL,
+	SIM_EVENT_ARRIVAL, /* of a request at a target */
 	SIM_EVENT_RESTART, /* of a target that crashed */
-	SIM_EVENT_ENTRY_EXPIRED, /* of its entry: expected */
+	SIM_EVENT_ENTRY_EXPIRED, /* id of the target in @expected */
 };
 
-/** struct sim_event - one thing that will happen; strings on the heap */
+/** struct sim_event - a scheduled event; owns its strings */
 struct sim_event {
 	int64_t when;
 	uint64_t order;
@@ -41,7 +41,7 @@
 	struct flow_reply reply;
 	struct msg msg;
 	int target;
-	int call_id; /* of a reply whose target crashes with it */
+	int call_id; /* call of a reply that crashes its target */
 	bool crash;
 	int64_t sent_us;
 	enum store_call call;
@@ -73,18 +73,18 @@
 	int nkeys;
 };
 
-/** sim_schedule() - something will happen @after microseconds from now. */
+/** sim_schedule() - add an event @after microseconds from now */
 struct sim_event *sim_schedule(struct sim *sim, int64_t after,
 			       enum sim_event_type type, int node);
-/** sim_deliver() - hand an event to @node, and carry out what it does. */
+/** sim_deliver() - pass an event to the reducer of @node, apply its effects */
 void sim_deliver(struct sim *sim, int node, struct flow_event input);
-/** sim_store_replied() - a call of a node to the store is answered. */
+/** sim_store_replied() - deliver the store's reply to a node */
 void sim_store_replied(struct sim *sim, const struct sim_event *event);
-/** sim_request_arrived() - a request has come to its target. */
+/** sim_request_arrived() - process a request at its target */
 void sim_request_arrived(struct sim *sim, const struct sim_event *event);
-/** sim_deadly_run_ended() - a deadly request has ended its target. */
+/** sim_deadly_run_ended() - crash the target that ran a deadly request */
 void sim_deadly_run_ended(struct sim *sim, const struct sim_event *event);
-/** sim_target_restarted() - a target is back after a crash. */
+/** sim_target_restarted() - bring a target up again after a crash */
 void sim_target_restarted(struct sim *sim, int target);
-/** sim_delete_entry() - the entry of a target that is gone goes. */
+/** sim_delete_entry() - delete the entry of target @id from the store */
 void sim_delete_entry(struct sim *sim, struct str id);
--- a/tests/sim_targets.c
+++ b/tests/sim_targets.c
@@ -8,12 +8,13 @@
 enum {
 	SERVICE_US = 8000,
 	RECORDS_PER_REPLY = 3,
-	/* A target that crashed is back after this time, or up to half more. */
+	/* A crashed target restarts after this time, plus up to half of it. */
 	RESTART_DELAY_US = 1200000,
-	/* Its entry goes after this time of silence. */
+	/* The entry of a crashed target expires after this time. */
 	ENTRY_EXPIRY_US = 3600000,
 	DOMAIN_OUT_GRACE_US = 5000000,
 };
+
 static double random_fraction(struct sim *sim)
 {
 	return (double)rng_below(&sim->rng, 1000000) / 1e6;
@@ -33,7 +34,7 @@
 	return &store->keys[store->nkeys++];
 }
 
-/* Calls that wait for a change are answered by it. */
+/* A change completes the pending watch calls. */
 static void wake_watches(struct sim *sim)
 {
 	for (size_t i = 0; i < sim->queue->count; i++) {
@@ -157,7 +158,7 @@
 	else
 		sim->first_sends++;
 	sent_to = &call->sent_to[shard][target_index / 64];
-	/* The same target once more is an extra send, but no further target. */
+	/* A repeat at a target is an extra send, but not a new target. */
 	if (*sent_to & bit)
 		return;
 	*sent_to |= bit;
@@ -191,7 +192,7 @@
 	return event;
 }
 
-/* All that it works on breaks with it. */
+/* All requests that run at the target lose their connections. */
 static void crash(struct sim *sim, int target, int deadly)
 {
 	struct sim_target *t = &sim->targets[target];
@@ -260,7 +261,7 @@
 	record->late++;
 }
 
-/* Return: when a request that takes @run_us ends; holds a slot until then. */
+/* Occupies a slot for @run_us. Return: the time at which the run ends. */
 static int64_t run_end(const struct sim *sim, struct sim_target *t,
 		       int64_t run_us)
 {
@@ -317,7 +318,10 @@
 	if (sim->calls[call_id - 1].deadly) {
 		count_late_run(sim, &sim->calls[call_id - 1], event->node);
 		reply.result = FETCH_BROKEN;
-		/* All at the same time, so that others lose all connections. */
+		/*
+		 * The same run time at each target: they crash together, so
+		 * that other requests lose all their connections at once.
+		 */
 		run_us =
 			sim->deadly_run_us ? sim->deadly_run_us : t->service_us;
 		crash_event = schedule_reply(sim, event, run_us, reply);
