--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -1,6 +1,6 @@
 /*
- * Nodes of the tier in virtual time, against fakes of store, targets and
- * callers: what a caller gets, and what targets see, when things fail.
+ * Tests of whole nodes in the simulation: replies to callers and requests to
+ * targets under faults of nodes, targets, links and the store.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -34,7 +34,7 @@
 	return sim;
 }
 
-/* All nodes are without power for a second; the test starts them anew. */
+/* Stops all nodes abruptly for a second; the test restarts them. */
 static void lose_power(struct sim *sim, int nodes)
 {
 	for (int i = 0; i < nodes; i++)
@@ -68,7 +68,7 @@
 	ck_assert_int_le(max_targets_per_shard(call), 2);
 }
 
-/* Nothing fails: each node answers each kind, whole and in time. */
+/* Without faults each node answers each kind completely and in time. */
 START_TEST(test_no_faults)
 {
 	struct sim *sim = setup(NODES);
@@ -87,9 +87,9 @@
 END_TEST
 
 /*
- * The caller gets a whole answer in time though a target of each third shard
- * stands still for longer than the goal: the other target of the shard is
- * asked once the reply is late, and the still one gets no more meanwhile.
+ * One target of every third shard is paused for longer than the latency goal.
+ * Late requests are hedged at the other target of the shard, and the paused one
+ * gets no new requests meanwhile, so answers are complete and in time.
  */
 START_TEST(test_paused_targets)
 {
@@ -111,10 +111,10 @@
 }
 END_TEST
 
-/** struct outage - shards without a working target, and what comes of it */
+/** struct outage - shards without a working target, and the expected answer */
 struct outage {
 	int shards;
-	bool silent; /* they take requests, and do not refuse connections */
+	bool silent; /* requests get no reply, connections are accepted */
 	int status;
 	bool in_time;
 };
@@ -127,9 +127,9 @@
 };
 
 /*
- * Both targets of some shards are gone. While enough is left the caller gets
- * an answer that says what is missing, by its goal; else it hears at once that
- * nothing can be had, with the time to come back.
+ * Both targets of some shards are down. With sufficient coverage the caller
+ * gets a partial answer that lists the missing shards, by its goal. Otherwise,
+ * if connections are refused, it is rejected at once with a retry time.
  */
 START_TEST(test_missing_shards)
 {
@@ -143,7 +143,7 @@
 		sim->targets[i].silent = outage->silent;
 		sim->targets[i].up = outage->silent;
 	}
-	/* What is refused once is known to be down for the next. */
+	/* Refused connections mark the targets as down for the next call. */
 	previous = sim_call(sim, 2, SIM_MERGED);
 	sim_run(sim, GOAL_US / 4);
 	index = sim_call(sim, 2, SIM_MERGED);
@@ -163,7 +163,7 @@
 }
 END_TEST
 
-/** struct once_case - what the targets do, and what the caller may hear */
+/** struct once_case - faults of the targets, expected status and runs */
 struct once_case {
 	const char *name;
 	double reject_rate;
@@ -180,8 +180,8 @@
 };
 
 /*
- * A request that may run once only. The reply is lost, or no target takes it:
- * the caller is told "not run" only where nothing ran, and it never runs twice.
+ * A request that is not idempotent, whose reply is lost or which no target
+ * accepts: it never runs twice, and "not run" is reported only if it did not.
  */
 START_TEST(test_once)
 {
@@ -205,8 +205,8 @@
 END_TEST
 
 /*
- * One target rejects the request as not run; it goes to another one, and the
- * caller notices nothing.
+ * Targets reject a request that is not idempotent as not executed: it is sent
+ * to another target, and most callers are served.
  */
 START_TEST(test_once_rerouted)
 {
@@ -227,7 +227,7 @@
 }
 END_TEST
 
-/** struct node_fault - what happens to nodes that merge for others */
+/** struct node_fault - a fault of a merging node */
 struct node_fault {
 	const char *name;
 	bool kill;
@@ -241,7 +241,7 @@
 	{ "cut off", false, false, true },
 };
 
-/* Each shard has a third target, so that three could be asked. */
+/* Adds a third target to each shard, so that a limit of two can be exceeded. */
 static struct sim *setup_three_per_shard(void)
 {
 	struct sim *sim = setup(NODES);
@@ -268,9 +268,9 @@
 }
 
 /*
- * All nodes but the caller's own die, freeze or are cut off just after they
- * were handed shards. The caller gets its answer from the targets directly, by
- * its goal or soon after, and no shard is asked at more targets than allowed.
+ * All other nodes are killed, frozen or cut off just after they received
+ * shards. The caller's node falls back to the targets, answers by the goal or
+ * soon after, and sends no shard to more targets than the route allows.
  */
 START_TEST(test_merging_node_lost)
 {
@@ -278,7 +278,7 @@
 	int index = sim_call(sim, 0, SIM_MERGED);
 	int next;
 
-	/* Long enough for the first sends of the others to be late. */
+	/* Slow enough for the first requests of the other nodes to be late. */
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].service_us = 30000;
 	sim_run(sim, 1200);
@@ -299,11 +299,11 @@
 END_TEST
 
 /*
- * A small VM hands a question to a merging node, which tells most of it and
- * dies while four shards are late. These go to another merging node, which
- * hands on the ones that are far from it. Each shard is in the answer once:
- * nodes name shards as the route does, not as the part of it that they were
- * given.
+ * A small VM forwards a question to a merging node, which returns most shards
+ * and dies while four are late. These are reassigned to another merging node,
+ * which forwards those far from it. The answer must contain each shard once:
+ * nodes identify shards by their index in the route, not by their position in
+ * the batch that they received.
  */
 START_TEST(test_late_shards_reassigned)
 {
@@ -334,8 +334,9 @@
 END_TEST
 
 /*
- * A node freezes just as it is handed shards, for longer than the caller waits.
- * When it wakes the question is over, and no target gets its shards any more.
+ * A node freezes as it receives shards, for longer than the caller waits. When
+ * it runs again the question has ended, and it must not send its shards to
+ * targets any more.
  */
 START_TEST(test_stale_batch)
 {
@@ -356,8 +357,8 @@
 END_TEST
 
 /*
- * The index is cut into other shards while questions are under way: each
- * answer holds parts of one version only, whichever nodes have which.
+ * The index is resharded while questions are in flight: each answer must hold
+ * parts of one version only, whichever version each node has.
  */
 START_TEST(test_reshard)
 {
@@ -388,8 +389,8 @@
 }
 
 /*
- * A failure domain is taken out: after five seconds no target there gets a
- * request, from no node, and callers are served by the others.
+ * A failure domain is taken out of service: after five seconds no node sends
+ * requests to its targets, and the other targets serve all callers.
  */
 START_TEST(test_domain_out)
 {
@@ -408,8 +409,8 @@
 END_TEST
 
 /*
- * A target says that it leaves, or its entry goes: three seconds later it gets
- * nothing more, though the store is cut off from half of the nodes.
+ * A target is marked as leaving, or its entry is deleted: after three seconds
+ * it gets no requests, even though half of the nodes cannot reach the store.
  */
 START_TEST(test_leaving)
 {
@@ -430,8 +431,8 @@
 END_TEST
 
 /*
- * The store turns a node away; a new version is published. The node learns of
- * it from the others and answers by it within three seconds.
+ * A node is cut off from the store while a new version is published. It
+ * receives the version from its peers and applies it within three seconds.
  */
 START_TEST(test_configuration_from_peers)
 {
@@ -454,8 +455,8 @@
 END_TEST
 
 /*
- * A node starts while it reaches neither the store nor another node. It knows
- * no route, and says "not run, come back" rather than "no such path".
+ * A node starts without access to the store or to another node. It has no
+ * routes, and must answer 503 with a retry time rather than 404.
  */
 START_TEST(test_start_isolated)
 {
@@ -478,9 +479,8 @@
 END_TEST
 
 /*
- * All nodes lose power at once, just after a new version was published. Within
- * two seconds of their return they answer by that version: the store alone
- * remembers it.
+ * All nodes lose power just after a new version was published, which only the
+ * store has kept. Within two seconds of the restart they apply that version.
  */
 START_TEST(test_all_restart)
 {
@@ -503,10 +503,10 @@
 END_TEST
 
 /*
- * All nodes lose power and come back, each a little later than the one before;
- * callers are there all the while. Until a node has a configuration they are
- * refused, so each is ready within a tenth of a second of its own start, the
- * ones that are no seeds too: they do not wait for a seed that starts later.
+ * All nodes lose power and restart one after the other, seeds last. Callers are
+ * refused until a node has a configuration, so each must be ready within a
+ * tenth of a second of its start: a node must not wait for a seed that starts
+ * later.
  */
 START_TEST(test_ready_soon_after_power_loss)
 {
@@ -524,7 +524,7 @@
 }
 END_TEST
 
-/** struct start - a node that has just started, and when callers may return */
+/** struct start - a node that is starting, and its range of retry times */
 struct start {
 	bool store_down;
 	int64_t after_us;
@@ -539,9 +539,9 @@
 };
 
 /*
- * A caller asks a node that has no configuration yet. It is refused at once,
- * and told to come back: soon while the node is starting as usual, later once
- * the store is known to be away, so that it is not refused a second time.
+ * A request to a node without a configuration is refused at once with a retry
+ * time: a short one during a normal start, a longer one once the store is known
+ * to be unreachable, so that the retry is not refused again.
  */
 START_TEST(test_refused_at_start)
 {
@@ -560,7 +560,7 @@
 }
 END_TEST
 
-/* Value of the gauge @name of a node. */
+/* Return: the value of the gauge @name of a node, -1 if it has none. */
 static int gauge(const struct sim *sim, int node, const char *name)
 {
 	struct buf text = { 0 };
@@ -579,9 +579,9 @@
 }
 
 /*
- * Targets of two shards end while their entries still stand, and one shard only
- * may be missing. The question cannot be answered, and its caller learns it at
- * once, with the time to come back, instead of waiting until its deadline.
+ * The targets of two shards are down while their entries are still published,
+ * and the route tolerates one missing shard. The question cannot be answered:
+ * it must fail early, with a retry time, instead of waiting for its deadline.
  */
 START_TEST(test_unanswerable_question_fails_early)
 {
@@ -600,9 +600,9 @@
 END_TEST
 
 /*
- * Both targets of a shard are gone. Callers get the rest in time. Each question
- * waits for a target of the shard until it ends, and no reply of one wakes
- * those that wait; they must not pile up, which would use up the node's memory.
+ * Both targets of a shard are unpublished. Each question queues for a target of
+ * that shard until it ends, and no reply ever wakes the queue. Its entries must
+ * be removed with their questions, or they would exhaust the node's memory.
  */
 START_TEST(test_wait_queue_is_bounded)
 {
@@ -625,10 +625,10 @@
 END_TEST
 
 /*
- * All nodes start anew, seeds last. Until a node knows of the others it takes
- * too large a part of what all may do together: hedges and retries, and
- * requests to cold targets. So all know of all well within a second of the last
- * start.
+ * All nodes restart, seeds last. Until a node has discovered its peers it takes
+ * too large a share of the limits for the whole fleet: hedges and retries, and
+ * requests to cold targets. So membership must be complete well within a second
+ * of the last start.
  */
 START_TEST(test_membership_converges_quickly)
 {
@@ -647,9 +647,9 @@
 END_TEST
 
 /*
- * A node is told to stop: it says at once that it is not ready, serves the
- * callers that it still has, gets no more shards from others, and ends only
- * when it holds no request.
+ * Planned stop: the node reports not ready at once, serves its remaining
+ * callers, gets no more shards from peers, and exits only when it holds no
+ * requests.
  */
 START_TEST(test_planned_stop)
 {
@@ -670,8 +670,8 @@
 END_TEST
 
 /*
- * Most targets reject two of three requests. Callers are served as far as the
- * retry bound lets, and the bound holds over all nodes together.
+ * Most targets reject two of three requests: the retries of all nodes together
+ * must stay within the shared retry budget.
  */
 START_TEST(test_shared_retry_budget)
 {
@@ -691,9 +691,9 @@
 END_TEST
 
 /*
- * Many nodes lose power and come back within a third of a second. If each read
- * the whole table at once, the store's link would be busy for seconds, and all
- * callers refused as long. The first ones read, the others are told.
+ * Many nodes restart within a third of a second. If each read the whole table
+ * at once, the store's link would be saturated for seconds, and all callers
+ * refused meanwhile. Only the first nodes read it, the others get it from them.
  */
 START_TEST(test_large_fleet_restart)
 {
@@ -709,16 +709,16 @@
 	ck_assert_uint_le(sim->store_calls - before, 4 * SIM_DOMAINS);
 	sim_run(sim, SECOND_US);
 	for (int i = 0; i < LARGE_FLEET; i++)
-		ck_assert_msg(sim->nodes[i].ready, "node %d", i);
+		ck_assert_msg(sim->nodes[i].ready, "node %d is not ready", i);
 	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * All nodes start anew, one after the other, while all targets reject half of
- * their requests, and few questions come, so that the free part of the bound is
- * most of it. The first nodes that serve know of few others, or of some that do
- * not serve yet: they must not take the others' parts.
+ * All nodes restart one after the other while all targets reject half of their
+ * requests. There are few questions, so most of the retry budget is its fixed
+ * part. The first nodes see few peers, or peers that do not serve yet, and must
+ * not take their shares of it.
  */
 START_TEST(test_retry_budget_after_restart)
 {
@@ -748,8 +748,8 @@
 END_TEST
 
 /*
- * Nine nodes for a minute, nothing changes: one node a failure domain waits at
- * the store, the others hear from it.
+ * Nine nodes run for a minute without changes: one node per failure domain
+ * watches the store, and the others get its data from that node.
  */
 START_TEST(test_store_calls)
 {
@@ -764,8 +764,8 @@
 END_TEST
 
 /*
- * The store is away for ten seconds and entries lapse meanwhile, though their
- * targets live. Callers are served all the while and after.
+ * The store is unreachable for ten seconds, and entries of live targets expire
+ * meanwhile. Callers are served during the outage and after it.
  */
 START_TEST(test_store_outage)
 {
