--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -1,8 +1,8 @@
 /*
- * Heavy days in virtual time: a load of questions, a pattern of trouble at the
- * targets, and how many callers still get a whole answer by their goal. Each
- * pattern names what it stands for; its figures are those of the small sites:
- * two targets a shard with two slots each, 100 ms to answer.
+ * Load tests in the simulation: a rate of questions, a pattern of faults at the
+ * targets, and how many callers still get a complete answer by their latency
+ * goal. The dimensions are those of the small sites: two targets per shard with
+ * two slots each, and a goal of 100 ms.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,21 +18,21 @@
 	NODES = 6,
 	GOAL_US = 100000,
 	SECOND_US = 1000000,
-	/* Until nodes have seen what is wrong; not judged. */
+	/* Until nodes have adapted to the faults; not measured. */
 	WARMUP_US = 2 * SECOND_US,
 	MEASURED_US = 8 * SECOND_US,
 	BASE_SERVICE_US = 10000,
-	/* Failed questions that are told of. */
 	FAILURES_PRINTED_MAX = 3,
 };
 
 /**
- * struct pattern - a kind of heavy day
- * @rate: questions a second, spread evenly over the nodes
- * @inject: called before each question, to set what is wrong by then
- * @credit: least mean of the squared share of shards that are in by the goal
- * @failed: most questions of a hundred that end without an answer
- * @extra: most hedges and retries, in a hundred first sends
+ *  * struct pattern - load, faults, and limits of the result
+ * @rate: questions per second, distributed evenly over the nodes
+ * @inject: called before each question, to set the faults at that time
+ * @credit: minimum mean of the squared coverage by the goal
+ * @failed: maximum percentage of questions without an answer
+ * @extra: maximum hedges and retries, in percent of the first sends
+ * @small: two of three VMs are too small to merge
  */
 struct pattern {
 	const char *name;
@@ -41,26 +41,26 @@
 	double credit;
 	double failed;
 	double extra;
-	bool small; /* two of three VMs are too small to merge */
+	bool small;
 };
 
-/* Targets are added shard by shard: of a shard, 2 i and 2 i + 1. */
+/* The targets of shard i are those with the indexes 2 i and 2 i + 1. */
 
-/* One target of each shard rejects three of five requests, health good. */
+/* One target of each shard rejects three of five requests but is healthy. */
 static void reject_at_one_target_per_shard(struct sim *sim)
 {
 	for (int i = 0; i < SIM_SHARDS; i++)
 		sim->targets[2 * i + i % 2].reject_rate = 0.6;
 }
 
-/* One target of each fourth shard takes eight times as long. */
+/* One target of every fourth shard takes eight times as long. */
 static void slow_every_fourth_shard(struct sim *sim)
 {
 	for (int i = 0; i < SIM_SHARDS; i += 4)
 		sim->targets[2 * i].service_us = 8 * BASE_SERVICE_US;
 }
 
-/* Each target stands still for 150 ms each 3.6 s, at its own time. */
+/* Each target is paused for 150 ms every 3.6 s, at different times. */
 static void pause_in_rotation(struct sim *sim)
 {
 	static const int64_t every = 3600000;
@@ -81,14 +81,14 @@
 	pause_in_rotation(sim);
 }
 
-/* A burst: what is left of each fourth shard is just not enough for it. */
+/* A burst: the remaining capacity of every fourth shard just falls short. */
 static void overload_every_fourth_shard(struct sim *sim)
 {
 	for (int i = 0; i < SIM_SHARDS; i += 4)
 		sim->targets[2 * i].service_us = 30 * BASE_SERVICE_US;
 }
 
-/* Both targets of two shards are so slow that there is no room for all. */
+/* Both targets of two shards are too slow to serve all questions. */
 static void slow_two_shards(struct sim *sim)
 {
 	for (int i = 0; i < 2 * SIM_SHARDS; i += SIM_SHARDS)
@@ -97,9 +97,9 @@
 }
 
 /*
- * One failure domain is dark: a third of the shards have one target left, in a
- * domain that fewer nodes are beside. What is left can bear all; a node that
- * leaves it too few of its connections has shards wait for room there.
+ * One failure domain does not reply. Its shards have one target left, in a
+ * domain with fewer nearby nodes. The capacity left is sufficient; a node that
+ * uses too few of its connections there makes shards queue for the target.
  */
 static void silence_domain(struct sim *sim)
 {
@@ -108,7 +108,7 @@
 			sim->targets[i].silent = true;
 }
 
-/* All targets run requests and lose three of ten replies. */
+/* All targets lose three of ten replies after execution. */
 static void lose_replies(struct sim *sim)
 {
 	for (int i = 0; i < 2 * SIM_SHARDS; i++)
@@ -128,7 +128,7 @@
 	  false },
 	{ "short of room", 60, slow_two_shards, 0, 43, 4, false },
 	{ "dark domain", 185, silence_domain, 0.99, 0, 2, false },
-	/* 200 a second are all that some shards bear. */
+	/* The capacity of some shards is 200 per second. */
 	{ "dark domain, no room", 215, silence_domain, 0.7, 15, 5, false },
 	{ "replies lost", 10, lose_replies, 0.65, 30, 60, true },
 	{ "shedding across", 120, reject_at_one_target_per_shard, 0.99, 0, 1.5,
@@ -137,7 +137,7 @@
 	  false },
 };
 
-/* Why callers got nothing, to begin a search with. */
+/* Prints the first failed questions, as a starting point for debugging. */
 static void print_failed(const struct sim *sim, int from)
 {
 	int printed = 0;
@@ -185,8 +185,10 @@
 }
 
 /**
- * struct result - what callers got, each a share of the questions
- * @extra: hedges and retries, in a hundred first sends
+ *  * struct result - measured results
+ * @credit: mean of the squared coverage by the goal
+ * @failed: fraction of questions without an answer
+ * @extra: hedges and retries, in percent of the first sends
  */
 struct result {
 	double credit;
@@ -211,12 +213,12 @@
 	return result;
 }
 
-/* Plays @pattern without some mechanisms. */
+/* Runs @pattern; @without is the bit set of disabled mechanisms. */
 static struct result run_pattern(const struct pattern *pattern,
 				 uint32_t without)
 {
 	struct sim *sim = setup(pattern->small, without);
-	/* The log of one question, by its number. */
+	/* Number of the question whose log lines are printed. */
 	const char *traced = getenv("TRACE");
 	struct result result;
 	int from;
@@ -240,9 +242,9 @@
 }
 
 /*
- * Callers ask all the while. What goes wrong at the targets reaches them as a
- * late or partial answer; a node that knows of it asks the other target of the
- * shard first, and keeps hedges for what it could not know.
+ * Faults of targets under continuous load make answers late or partial. Nodes
+ * must prefer the other target of a shard where a fault is already known, and
+ * use hedges only for faults that they could not know of.
  */
 START_TEST(test_pattern)
 {
@@ -258,7 +260,7 @@
 }
 END_TEST
 
-/** struct requirement - a pattern that is not borne without a mechanism */
+/** struct requirement - a pattern that fails without a mechanism */
 struct requirement {
 	const char *pattern;
 	enum mechanism mechanism;
@@ -281,8 +283,7 @@
 	return &patterns[i];
 }
 
-/* The same loads with one mechanism off: callers are served worse than asked.
- */
+/* Without the mechanism the pattern must exceed one of its limits. */
 START_TEST(test_mechanism_is_required)
 {
 	const struct requirement *requirement = &requirements[_i];
@@ -293,7 +294,7 @@
 	ck_assert_msg(result.credit < pattern->credit ||
 			      100 * result.failed > pattern->failed ||
 			      result.extra > pattern->extra,
-		      "%s is borne without %s", requirement->pattern,
+		      "%s passes without %s", requirement->pattern,
 		      mechanism_info(requirement->mechanism)->name);
 }
 END_TEST
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -1,6 +1,6 @@
 /*
- * Requests that crash the targets that run them: how they are told from others,
- * and what is done about them.
+ * Tests of the evidence against requests that crash the targets that run them:
+ * fingerprints, verdicts, merging of evidence, limits and leases of trials.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,8 +15,7 @@
 
 #define COUNT(table) (int)(sizeof(table) / sizeof(*(table)))
 
-/** struct fingerprint_case - a request beside the one that it is compared with
- */
+/** struct fingerprint_case - a request to compare with the reference */
 struct fingerprint_case {
 	const char *name;
 	struct flow_request request;
@@ -86,7 +85,7 @@
 	  true },
 };
 
-/* A request is known again under another id, and no other is taken for it. */
+/* Retries under another id have the same fingerprint, other requests do not. */
 START_TEST(test_fingerprint)
 {
 	const struct fingerprint_case *c = &fingerprint_cases[_i];
@@ -105,19 +104,19 @@
 	STEPS_MAX = 12,
 };
 
-/** enum step_kind - what happens to a request */
+/** enum step_kind - events that affect the evidence */
 enum step_kind {
 	STEP_END,
-	STEP_BREAK, /* at a target, in the round that follows from what is known
+	STEP_BREAK, /* its connection broke, in the next round of the evidence
 		     */
 	STEP_BREAK_IN_FIRST_ROUND, /* the same, but sent in the first round */
 	STEP_ANSWER,
-	STEP_WAIT, /* @target seconds pass */
-	STEP_UNPUBLISH, /* the target's entry goes */
-	STEP_SWEEP, /* the table is compared with the store */
+	STEP_WAIT, /* for @target seconds */
+	STEP_UNPUBLISH, /* the target's entry is deleted */
+	STEP_SWEEP, /* evidence is compared with the published targets */
 };
 
-/** struct step - @caller: 0 or 1; @target: index */
+/** struct step - @caller: 0 or 1; @target: index of a target, or seconds */
 struct step {
 	enum step_kind kind;
 	int caller;
@@ -125,8 +124,8 @@
 };
 
 /**
- * struct verdict_case - what comes of evidence
- * @verdicts: of the request of either caller, at the end
+ *  * struct verdict_case - a sequence of events and the resulting verdicts
+ * @verdicts: final verdicts on the request, by caller
  */
 struct verdict_case {
 	const char *name;
@@ -139,23 +138,23 @@
 	{ "twice at the same target",
 	  { { STEP_BREAK, 0, 0 }, { STEP_BREAK, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
-	{ "two targets",
+	{ "breaks at two targets",
 	  { { STEP_BREAK, 0, 0 }, { STEP_BREAK, 0, 1 } },
 	  { POISON_SUSPECT, POISON_SUSPECT } },
-	{ "many at once: others under way there look the same",
+	{ "many concurrent breaks: harmless requests in flight look the same",
 	  { { STEP_BREAK_IN_FIRST_ROUND, 0, 0 },
 	    { STEP_BREAK_IN_FIRST_ROUND, 0, 1 },
 	    { STEP_BREAK_IN_FIRST_ROUND, 0, 2 },
 	    { STEP_BREAK_IN_FIRST_ROUND, 0, 3 },
 	    { STEP_BREAK_IN_FIRST_ROUND, 0, 4 } },
 	  { POISON_SUSPECT, POISON_SUSPECT } },
-	{ "many at once, and at the next target",
+	{ "many concurrent breaks, then another target",
 	  { { STEP_BREAK_IN_FIRST_ROUND, 0, 0 },
 	    { STEP_BREAK_IN_FIRST_ROUND, 0, 1 },
 	    { STEP_BREAK_IN_FIRST_ROUND, 0, 2 },
 	    { STEP_BREAK, 0, 3 } },
 	  { POISON_SUSPECT, POISON_SUSPECT } },
-	{ "one after the other",
+	{ "breaks at one target after the other",
 	  { { STEP_BREAK, 0, 0 }, { STEP_BREAK, 0, 1 }, { STEP_BREAK, 0, 2 } },
 	  { POISON_BLOCKED, POISON_SUSPECT } },
 	{ "answered in between",
@@ -191,14 +190,14 @@
 	    { STEP_BREAK, 1, 3 },
 	    { STEP_BREAK, 1, 4 } },
 	  { POISON_BLOCKED, POISON_BLOCKED } },
-	{ "the targets never ended",
+	{ "the targets did not crash",
 	  { { STEP_BREAK, 0, 0 },
 	    { STEP_BREAK, 0, 1 },
 	    { STEP_BREAK, 0, 2 },
 	    { STEP_WAIT, 0, 11 },
 	    { STEP_SWEEP, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
-	{ "one of them ended",
+	{ "one of them crashed",
 	  { { STEP_BREAK, 0, 0 },
 	    { STEP_BREAK, 0, 1 },
 	    { STEP_BREAK, 0, 2 },
@@ -206,7 +205,7 @@
 	    { STEP_WAIT, 0, 11 },
 	    { STEP_SWEEP, 0, 0 } },
 	  { POISON_NONE, POISON_NONE } },
-	{ "all of them ended",
+	{ "all of them crashed",
 	  { { STEP_BREAK, 0, 0 },
 	    { STEP_BREAK, 0, 1 },
 	    { STEP_BREAK, 0, 2 },
@@ -226,7 +225,7 @@
 	  { POISON_NONE, POISON_NONE } },
 };
 
-/** struct fixture - a book of evidence, and the table of targets beside it */
+/** struct fixture - a store of evidence and its table of targets */
 struct fixture {
 	apr_pool_t *pool;
 	struct balancer *balancer;
@@ -320,7 +319,7 @@
 	}
 }
 
-/* Only a request that no target answers, time after time, is blocked. */
+/* A request is blocked only if it breaks repeatedly and is never answered. */
 START_TEST(test_verdict)
 {
 	const struct verdict_case *c = &verdict_cases[_i];
@@ -341,7 +340,7 @@
 }
 END_TEST
 
-/* Another node comes to the same verdict from what it is sent. */
+/* Another node derives the same verdicts and digest from encoded evidence. */
 START_TEST(test_verdict_of_another_node)
 {
 	const struct verdict_case *c = &verdict_cases[_i];
@@ -386,7 +385,9 @@
 }
 END_TEST
 
-/* A caller who varies what it asks neither fills memory nor frees the guilty.
+/*
+ * A caller that varies its requests must neither exhaust memory nor displace
+ * the evidence against a deadly request.
  */
 START_TEST(test_many_suspects)
 {
@@ -410,7 +411,7 @@
 }
 END_TEST
 
-/* Repeats that come to several nodes at once crash one target, not one each. */
+/* Concurrent repeats at several nodes may crash one target in all, not each. */
 START_TEST(test_one_trial_at_a_time)
 {
 	struct fingerprint fp = make_fingerprint(0, 0);
