--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -1,6 +1,7 @@
 /*
- * Whole nodes, in virtual time, under requests that crash each target that runs
- * them: how many such requests still reach targets, and what becomes of others.
+ * Tests of whole nodes in the simulation, under requests that crash each target
+ * that runs them: how many of these still reach targets, and whether harmless
+ * requests are served.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,39 +18,36 @@
 	SECOND_US = 1000000,
 	NODES = 6,
 	ROUNDS = 10,
-	/* Between a failed answer and the caller's next try. */
+	/* Between a failed answer and the caller's retry. */
 	RETRY_US = 80000,
-	/* From one coming of the request to the next; targets are back by then.
-	 */
+	/* Between two rounds of the request; targets restart meanwhile. */
 	ROUND_US = 4400000,
-	/* Late tries that may reach targets, for all nodes together. */
+	/* Late calls that may reach targets, over all nodes. */
 	LATE_RUNS_MAX = 3,
-	/* Targets that such tries may end: two each, one after the other. */
+	/* Targets that these may crash: two each, one after the other. */
 	CRASHES_AFTER_FIRST_ROUND_MAX = 2 * LATE_RUNS_MAX,
 	STEP_US = 1000,
 	/* Three hops between failure domains. */
 	PROPAGATION_US = 4000,
-	/* Targets crash 8 ms after the request has come. */
+	/* Targets crash 8 ms after the request has arrived. */
 	BEFORE_CRASH_US = 7000,
-	/* From this round on others must be served all the time. */
+	/* From this round on all harmless requests must be served. */
 	SERVED_FROM_ROUND = 3,
 };
 
 /**
- * struct deadly_case - how a deadly request comes
- * @concurrent: nodes that it comes to at the same moment
- * @callers: it comes from this many addresses by turns
- * @requests: so many of them, by turns
- * @kill: a node is killed each round, and starts again, all in turn; the next
- *        round comes to that one first
+ *  * struct deadly_case - how a deadly request is sent, and other faults
+ * @concurrent: number of nodes that receive it at the same time; 0: 1
+ * @callers: number of caller addresses, used in turn; 0: 1
+ * @requests: number of different deadly requests, sent in turn; 0: 1
+ * @kill: one node is killed and restarted each round, in turn, and is the first
+ *        to receive the request in the next round
  * @power_loss_round: before this round all nodes lose power; 0: never
- * @cut: before this round a third of the nodes is cut off from the others, for
- *       a round; 0: never
- * @keeps_id: targets come back under the id that they had
- * @runs_us: time from its start to the crash
- * @nodes: 0 for NODES
- *
- * Numbers that are 0 stand for 1.
+ * @cut: for this round one failure domain, a third of the nodes, is cut off
+ *       from the others; 0: never
+ * @keeps_id: targets keep their ids over a restart
+ * @runs_us: time from its start to the crash; 0: usual service time
+ * @nodes: number of nodes; 0: NODES
  */
 struct deadly_case {
 	const char *name;
@@ -86,7 +84,7 @@
 	{ .name = "targets keep their ids",
 	  .kind = SIM_MERGED,
 	  .keeps_id = true },
-	/* Its hedges are out before the first target has crashed. */
+	/* Its hedges are sent before the first target has crashed. */
 	{ .name = "slow to crash", .kind = SIM_MERGED, .runs_us = 40000 },
 	{ .name = "slow, all nodes restart",
 	  .kind = SIM_MERGED,
@@ -138,7 +136,7 @@
 	return send_call(sim, node, c->kind, &spec);
 }
 
-/* A request that nobody asked before. */
+/* Sends a request that has not been sent before. */
 static int send_harmless(struct sim *sim, int node, enum sim_request_kind kind)
 {
 	char query[24];
@@ -148,7 +146,7 @@
 	return send_call(sim, node, kind, &spec);
 }
 
-/* It comes, and its caller tries once more where that failed. */
+/* Sends the deadly request, and retries it once where it failed. */
 static void run_round(struct sim *sim, const struct deadly_case *c, int round)
 {
 	int first = sim->ncalls;
@@ -172,7 +170,7 @@
 	sim_settle(sim);
 }
 
-/* Nodes of one failure domain reach no others, but targets and store. */
+/* Cuts one failure domain off from other nodes, not from targets or store. */
 static void cut_domain(struct sim *sim, bool cut)
 {
 	for (int i = 0; i < sim->nnodes; i++)
@@ -189,7 +187,7 @@
 	sim_start_node(sim, node);
 }
 
-/* Others ask all the while. Return: how many were not served. */
+/* Sends harmless requests for @us. Return: the number of failures. */
 static int send_harmless_calls(struct sim *sim, int64_t us)
 {
 	int first = sim->ncalls;
@@ -205,15 +203,16 @@
 	return failed;
 }
 
-/* No node has forgotten it, or has not heard of it. */
+/* True if no node loses evidence or is cut off from it. */
 static bool is_undisturbed(const struct deadly_case *c)
 {
 	return !c->kill && !c->power_loss_round && !c->cut;
 }
 
 /*
- * The request crashes all targets that run it, comes back every few seconds at
- * another node under another id, and takes the service away from all others.
+ * A request crashes all targets that run it, and is sent again every few
+ * seconds to another node under another id, which takes the service down for
+ * all callers. It must be blocked, and harmless requests must be served.
  */
 START_TEST(test_deadly_request_is_stopped)
 {
@@ -238,35 +237,37 @@
 		failed = send_harmless_calls(sim, ROUND_US);
 		if (round >= at_least_one(c->requests) * SERVED_FROM_ROUND &&
 		    round != c->power_loss_round && !c->kill)
-			ck_assert_msg(!failed, "%s: round %d: %d others failed",
-				      c->name, round, failed);
+			ck_assert_msg(
+				!failed,
+				"%s: round %d: %d harmless requests failed",
+				c->name, round, failed);
 	}
 	if (getenv("TELL"))
-		printf("%-28s late %d, ended %d, %d after the first round\n",
+		printf("%-28s late %d, crashed %d, %d after the first round\n",
 		       c->name, sim->deadly[1].late, sim->deadly[1].crashes,
 		       sim->deadly[1].crashes - first);
 	if (is_undisturbed(c))
 		ck_assert_msg(sim->deadly[1].crashes - first <=
 				      CRASHES_AFTER_FIRST_ROUND_MAX,
-			      "%s: %d targets ended after the first round",
+			      "%s: %d targets crashed after the first round",
 			      c->name, sim->deadly[1].crashes - first);
 	for (int i = 1; i <= at_least_one(c->requests); i++)
 		ck_assert_msg(sim->deadly[i].crashes >= 3 &&
 				      sim->deadly[i].late <= LATE_RUNS_MAX,
-			      "%s: %d late tries, %d targets ended", c->name,
+			      "%s: %d late calls, %d targets crashed", c->name,
 			      sim->deadly[i].late, sim->deadly[i].crashes);
 	sim_destroy(sim);
 }
 END_TEST
 
 /**
- * struct other_case - a harmless request beside a deadly one
- * @spec: what it asks, and who asks it
- * @gap_us: it is asked all the while, so often; 0: only as below
- * @since_round: it is asked from this round on
+ *  * struct other_case - a harmless request beside a deadly one
+ * @spec: the request and its caller
+ * @gap_us: interval at which it is also sent continuously; 0: never
+ * @since_round: first round in which it is sent
  *
- * In each round it is under way when the deadly request crashes its targets,
- * and is asked again when they are back.
+ * In each round it is in flight when the deadly request crashes its targets,
+ * and is sent again after their restart.
  */
 struct other_case {
 	const char *name;
@@ -277,20 +278,24 @@
 };
 
 static const struct other_case other_cases[] = {
-	{ "asked seldom", SIM_MERGED, { "other", "10.2.0.1", 0 }, 0, 0 },
-	{ "asked often", SIM_MERGED, { "other", "10.2.0.1", 0 }, 50000, 0 },
-	{ "asked seldom, one target",
+	{ "sent rarely", SIM_MERGED, { "other", "10.2.0.1", 0 }, 0, 0 },
+	{ "sent often", SIM_MERGED, { "other", "10.2.0.1", 0 }, 50000, 0 },
+	{ "sent rarely, one target",
 	  SIM_SINGLE,
 	  { "other", "10.2.0.1", 0 },
 	  0,
 	  0 },
-	{ "the same of another caller",
+	{ "the same content from another caller",
 	  SIM_MERGED,
 	  { "deadly1", "10.2.0.1", 0 },
 	  0,
 	  0 },
-	{ "the same, later", SIM_MERGED, { "deadly1", "10.2.0.1", 0 }, 0, 5 },
-	{ "another of its caller",
+	{ "the same content from another caller, later",
+	  SIM_MERGED,
+	  { "deadly1", "10.2.0.1", 0 },
+	  0,
+	  5 },
+	{ "another request of the same caller",
 	  SIM_MERGED,
 	  { "other", "10.1.0.0", 0 },
 	  0,
@@ -309,9 +314,9 @@
 }
 
 /*
- * A harmless request loses its connections each time that the deadly one comes,
- * as it is under way at the same targets. It must not be taken for the deadly
- * one: once the targets are back it is answered whole.
+ * A harmless request loses its connections whenever the deadly one arrives, as
+ * it is in flight at the same targets. It must not be mistaken for the deadly
+ * one: after the restart of the targets it gets a complete answer.
  */
 START_TEST(test_other_request_is_served)
 {
@@ -340,10 +345,12 @@
 END_TEST
 
 /**
- * struct crash_case - targets that end for reasons of their own
- * @domains: all of a failure domain at once, one domain after the other
- * @gap_us: between two such crashes
- * @kind, @call_interval_us: a harmless request is asked so often meanwhile
+ *  * struct crash_case - crashes of targets that no request has caused
+ * @domains: all targets of a failure domain crash at once, domains in turn;
+ *           otherwise single targets in turn
+ * @gap_us: interval of these crashes
+ * @kind: kind of a harmless request that is sent meanwhile
+ * @call_interval_us: interval of that request
  */
 struct crash_case {
 	const char *name;
@@ -374,8 +381,8 @@
 }
 
 /*
- * Targets crash again and again under a request that is harmless: whole failure
- * domains, or one after the other. It is never blocked for that.
+ * Targets crash repeatedly while they run a harmless request: whole failure
+ * domains, or single targets in turn. The request must never be blocked for it.
  */
 START_TEST(test_crashes_of_other_causes)
 {
@@ -396,7 +403,7 @@
 		}
 		sim_run(sim, c->call_interval_us / 2);
 	}
-	/* Targets are back, and their entries too. */
+	/* Targets have restarted and are published again. */
 	sim_run(sim, ROUND_US);
 	for (int i = 0; i < NODES; i++) {
 		index = send_call(sim, i, c->kind, &spec);
@@ -409,8 +416,8 @@
 END_TEST
 
 /*
- * All replies are lost for seconds, though no target ends. What was blocked for
- * that is served again once it is known that the targets never ended.
+ * All replies are lost for seconds, but no target crashes. Requests blocked for
+ * that must be served again once it is known that the targets did not crash.
  */
 START_TEST(test_broken_connections_are_no_crashes)
 {
@@ -464,8 +471,9 @@
 };
 
 /*
- * Its caller tries again at another node as soon as it has failed: all must
- * know of it by then, also where one node cannot tell them all.
+ * The caller of a deadly request retries at another node as soon as it has
+ * failed: the evidence must have reached all nodes by then, also in a fleet too
+ * large for one node to send it to all others.
  */
 START_TEST(test_evidence_reaches_all_nodes)
 {
