--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -1,6 +1,6 @@
 /*
- * Parts of the tier that need no network: records, budgets, routes, the choice
- * of targets, heads. A table of cases each.
+ * Unit tests of parts of the tier that need no network: records, budgets,
+ * routes, the balancer, calls and HTTP heads.
  */
 #include <math.h>
 #include <stdio.h>
@@ -21,7 +21,7 @@
 
 enum {
 	SECOND_US = 1000000,
-	/* What a reply of a target in these cases usually takes. */
+	/* Baseline latency of the targets in these cases. */
 	BASELINE_US = 10000,
 };
 
@@ -37,9 +37,9 @@
 	apr_pool_destroy(pool);
 }
 
-/* Records: the greatest, equal ones counted, remainders left. */
+/* Records: the greatest are kept, with duplicates; partial ones are dropped. */
 
-/** struct merge_case - bodies by letters, a record each; '-': half a record */
+/** struct merge_case - a letter is a record of a body, '-' half a record */
 struct merge_case {
 	size_t cap;
 	const char *bodies[3];
@@ -48,7 +48,7 @@
 
 #define TEN(letter) \
 	letter letter letter letter letter letter letter letter letter letter
-/* More than there is room for at first. */
+/* More records than the initial capacity. */
 #define MANY(letter) TEN(TEN(letter))
 
 static const struct merge_case merge_cases[] = {
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-/* Budgets: ratio and extra, shared by nodes, over a sliding window. */
+/* Budgets: ratio and free sends, shared by nodes, over a sliding window. */
 
 struct budget_case {
 	int nodes;
@@ -134,7 +134,7 @@
 }
 END_TEST
 
-/* Routes: host without case and port, the longest prefix. */
+/* Routes: host without case and port, longest prefix. */
 
 struct route_case {
 	const char *host;
@@ -219,19 +219,19 @@
 }
 END_TEST
 
-/* Choice of targets: a and b, alike but for what the case says. */
+/* Balancer: targets a and b, equal except for the conditions of the case. */
 
 enum choose_condition {
 	FAR_B = 1, /* b is in another failure domain */
-	BUSY_A = 2, /* a has two requests under way */
+	BUSY_A = 2, /* a has two requests in flight */
 	OVERDUE_A = 4, /* a's reply is overdue */
 	SLOW_A = 8, /* a has been slow */
-	REJECTS_A = 16, /* a rejects what it gets */
-	DOWN_A = 32, /* a takes no connections */
-	LEAVING_A = 64, /* a's entry says so */
-	GONE_A = 128, /* a's entry is gone */
-	GONE_IN_STORE_OUTAGE_A = 256, /* the same, while the store was away */
-	OUT_A = 512, /* a's domain is taken out */
+	REJECTS_A = 16, /* a rejects its requests */
+	DOWN_A = 32, /* a refuses connections */
+	LEAVING_A = 64, /* a's entry is marked as leaving */
+	GONE_A = 128, /* a's entry is deleted */
+	GONE_IN_STORE_OUTAGE_A = 256, /* deleted while the store was lost */
+	OUT_A = 512, /* a's domain is taken out of service */
 	TRIED_A = 1024,
 	TRIED_B = 2048,
 	SLOW_LONG_AGO_A = 4096,
@@ -239,7 +239,7 @@
 
 struct choose_case {
 	int conditions;
-	const char *want; /* of "a", "b", "" for none */
+	const char *want; /* "a", "b", or "" for none */
 };
 
 static const struct choose_case choose_cases[] = {
@@ -357,8 +357,8 @@
 END_TEST
 
 /*
- * A target starts again under its id: what was known of the process before
- * says nothing of the new one.
+ * A target restarts under its id: the health of the previous process must not
+ * apply to the new one.
  */
 START_TEST(test_target_restart)
 {
@@ -383,9 +383,9 @@
 END_TEST
 
 /*
- * A target takes requests and answers none, while its entry stands. The other
- * one gets the requests meanwhile; it is tried again after some seconds, and
- * first once it has answered. Were it never tried, it would be lost for good.
+ * A target accepts requests and never replies, while it is published. The other
+ * one gets the requests. The silent one is retried after some seconds, or it
+ * would never be used again, and preferred once it has replied.
  */
 START_TEST(test_silent_target)
 {
@@ -426,9 +426,9 @@
 END_TEST
 
 /*
- * Two kinds of requests, one three times the work of the other. A target that
- * is slow is as slow for both: a caller of the short kind must not have its
- * request taken for late, or kept from a target, by times of the long kind.
+ * Two kinds of requests, of which one takes three times as long. A slow target
+ * is slowed by the same factor for both: latencies of the long kind must not
+ * make requests of the short kind look late, or avoid the target.
  */
 START_TEST(test_two_request_kinds)
 {
@@ -454,7 +454,7 @@
 }
 END_TEST
 
-/** struct baseline_case - replies by turns, and what is usual after them */
+/** struct baseline_case - latencies in turn, and the range of the baseline */
 struct baseline_case {
 	int64_t replies[10];
 	double min;
@@ -463,14 +463,14 @@
 
 static const struct baseline_case baseline_cases[] = {
 	{ { 20000 }, 18000, 22000 },
-	/* One of ten is stuck in a pause: a mean would be 34,000. */
+	/* One of ten hits a pause: the mean would be 34,000. */
 	{ { 10000, 11000, 9000, 10000, 250000, 10000, 9500, 10500, 11000,
 	    9000 },
 	  8000,
 	  12500 },
 };
 
-/* The first reply counts in full; afterwards long ones do not move it much. */
+/* The first reply sets the baseline; later outliers barely move it. */
 START_TEST(test_baseline)
 {
 	const struct baseline_case *c = &baseline_cases[_i];
@@ -502,11 +502,11 @@
 }
 
 /*
- * A shard waits for a target; one comes, is asked when the call is looked at
- * again, and fails. Whether another may be asked is for the call to say, which
- * may need another node's leave for it. Were the place that it had in line
- * still good, a second target would be asked at once, and with those that the
- * other node asks the route's bound on targets be broken.
+ * A shard queues for a target; one appears, gets the request when the call is
+ * processed again, and fails. The call decides whether to use another target,
+ * and may need another node's permission for it. If the shard kept its place in
+ * the queue, it would be sent to a second target at once, which together with
+ * those of the other node would exceed the route's limit of targets.
  */
 START_TEST(test_queue_place_lost_after_send)
 {
@@ -560,8 +560,7 @@
 }
 END_TEST
 
-/** struct peer_item_case - an entry of a peer, to a node that knows revision 50
- */
+/** struct peer_item_case - a peer's entry, received at revision 50 */
 struct peer_item_case {
 	const char *name;
 	uint64_t revision;
@@ -569,15 +568,15 @@
 };
 
 static const struct peer_item_case peer_item_cases[] = {
-	{ "it went before this node read the store", 10, false },
-	{ "the same, just before", 50, false },
-	{ "it came since", 51, true },
+	{ "deleted before this node read the store", 10, false },
+	{ "deleted at the revision that was read", 50, false },
+	{ "published since", 51, true },
 };
 
 /*
- * A node reads the whole store after its start; a peer that was cut off from
- * the store then sends the entries of targets that went meanwhile. Callers are
- * refused if the node asks these.
+ * A node reads the whole store after its start; then a peer that was cut off
+ * from the store sends entries of targets deleted meanwhile. If the node sent
+ * requests to these, callers would be refused.
  */
 START_TEST(test_stale_items_from_peer)
 {
@@ -606,7 +605,7 @@
 }
 END_TEST
 
-/** struct priority_case - two that wait for the same place */
+/** struct priority_case - two requests in the same wait queue */
 struct priority_case {
 	struct wait_priority a;
 	struct wait_priority b;
@@ -614,19 +613,19 @@
 };
 
 static const struct priority_case priority_cases[] = {
-	/* Both in time: less time left goes first. */
+	/* Both can be served in time: the one with less time left is first. */
 	{ { true, 100, 0 }, { true, 90, 10 }, false },
 	{ { true, 90, 10 }, { true, 100, 0 }, true },
-	/* Too late already: after one that is not, however long it waits. */
+	/* One is too late: it comes after the other, however long it waits. */
 	{ { false, 50, 0 }, { true, 200, 100 }, false },
-	/* Both too late: the one that came last. */
+	/* Both are too late: the one that came last is first. */
 	{ { false, 50, 0 }, { false, 60, 10 }, false },
 	{ { false, 60, 10 }, { false, 50, 0 }, true },
 };
 
 /*
- * More questions come than some shards bear. Were the one that waits longest
- * always next, each would be served just too late, and no caller in time.
+ * More questions arrive than some shards can serve. In first-in first-out order
+ * each would be served just too late, and no caller in time.
  */
 START_TEST(test_wait_priority)
 {
@@ -637,8 +636,8 @@
 END_TEST
 
 /*
- * Another target answers at its address. Its entry is written once more, by
- * whoever; it gets nothing all the same, until it starts on another address.
+ * Another target replies at a target's address. Even if its entry is written
+ * again, it gets no requests until it is published at another address.
  */
 START_TEST(test_address_reused)
 {
@@ -662,8 +661,8 @@
 END_TEST
 
 /*
- * A target's entry goes. It is forgotten after half a minute, but not while a
- * request to it is under way.
+ * A target's entry is deleted. The target is removed after half a minute, but
+ * not while a request to it is in flight.
  */
 START_TEST(test_unpublished_target_is_removed)
 {
@@ -689,8 +688,8 @@
 END_TEST
 
 /*
- * A cold target bears few requests a second; this node keeps to its part of
- * them, and may use it freely once it is warm.
+ * A cold target can serve few requests per second: the node must keep to its
+ * share of them, and has no such limit once the target is warm.
  */
 START_TEST(test_cold_target)
 {
@@ -720,7 +719,7 @@
 }
 END_TEST
 
-/** struct conn_limit_case - nodes, how many beside a target, its connections */
+/** struct conn_limit_case - nodes, those near a target, its connection limit */
 struct conn_limit_case {
 	int nodes;
 	int near;
@@ -733,10 +732,10 @@
 };
 
 /*
- * All VMs lose power and come back while targets still hold the connections of
- * before: old and new ones together stay below a target's bound, else it resets
- * the new ones for as long as it keeps idle ones. Nor is most of the bound left
- * unused, while requests wait for room at the target.
+ * All VMs lose power and restart while targets still hold the old connections:
+ * old and new ones together must stay within a target's limit, or it resets the
+ * new ones until it has closed the idle ones. At least a quarter of the limit
+ * must be used, so that requests do not queue while capacity is unused.
  */
 START_TEST(test_conn_limits_allow_twice)
 {
@@ -814,7 +813,7 @@
 	{ "Target-Instance", false }, { "Upgrade", false },
 };
 
-/* What concerns one hop, or is written anew, must not go on as it came. */
+/* Hop-by-hop headers, and those that are rewritten, must not be forwarded. */
 START_TEST(test_kept_headers)
 {
 	head_dialect(&platform_dialect);
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -1,7 +1,7 @@
 /*
- * Stateful fuzzing of the tier: series of faults that overlap, drawn from a
- * seed, on several nodes in virtual time. The books that the targets and the
- * callers keep are the oracle; see find_violation().
+ * Stateful fuzzing of the tier: overlapping faults, drawn from a seed, on
+ * several nodes in the simulation. The oracle is what the simulated targets and
+ * callers have recorded; see find_violation().
  *
  *     fuzz-tier FIRST COUNT            seeds FIRST to FIRST + COUNT - 1
  *     fuzz-tier FIRST COUNT deadly     with a request that crashes its targets
@@ -17,15 +17,15 @@
 enum {
 	STEPS = 250,
 	STEP_US = 40000,
-	/* What a request may take beyond the time that its caller waits. */
+	/* An answer may come this much after the caller's timeout. */
 	ANSWER_GRACE_US = 500000,
 	TIMEOUT_US = 1000000,
 	SHARD_TARGETS = 2 * SIM_SHARDS,
 	RESTART_US = 1500000,
 	FAULT_STEPS = 4,
 	/*
-	 * A deadly request comes each so many steps, over a longer time with
-	 * fewer faults: only nodes that are in order are judged by it.
+	 * A deadly request is sent at this interval, over a longer time with
+	 * fewer faults: nodes with a recent fault are not judged by it.
 	 */
 	DEADLY_INTERVAL_STEPS = 30,
 	DEADLY_STEPS = 750,
@@ -33,7 +33,7 @@
 	DEADLY_LATE_RUNS_MAX = 3,
 };
 
-/** struct scenario - one seed: the stage, and what is under way */
+/** struct scenario - the run of one seed: simulation and active faults */
 struct scenario {
 	struct sim *sim;
 	uint64_t version;
@@ -187,28 +187,28 @@
 	cut_store,    fail_store,   configure,	 heal,
 };
 
-/* Judgement. */
+/* Invariants. */
 
 static const char *find_call_violation(const struct sim_call *call)
 {
 	if (call->duplicate_part)
-		return "a shard counted twice";
+		return "a shard is counted twice";
 	if (call->foreign_part)
-		return "a part of another request or version";
+		return "a part belongs to another request or version";
 	if (call->unsorted)
-		return "records out of order";
+		return "records are out of order";
 	if (call->kind == SIM_ONCE && call->runs > 1)
-		return "a request that may run once ran twice";
+		return "a request that is not idempotent ran twice";
 	if (call->kind == SIM_ONCE && call->status == 503 && call->runs)
-		return "\"not run\" was promised and it ran";
+		return "a request was reported as not run but ran";
 	if (call->kind == SIM_MERGED && call->status == 200 &&
 	    call->parts + call->missing != SIM_SHARDS)
-		return "parts and missing shards are not the whole";
+		return "parts and missing shards do not add up to all shards";
 	if (call->status == 404)
-		return "a route that exists was not found";
+		return "an existing route was not found";
 	if (call->answered_at &&
 	    call->answered_at - call->start > TIMEOUT_US + ANSWER_GRACE_US)
-		return "held past its time";
+		return "a request was answered after its timeout";
 	return NULL;
 }
 
@@ -231,15 +231,15 @@
 	}
 	for (int i = 1; i < SIM_DEADLY_MAX; i++)
 		if (sim->deadly[i].late > DEADLY_LATE_RUNS_MAX)
-			return "a deadly request was sent to ever more targets";
+			return "a deadly request still reached targets after it should be blocked";
 	if (over_limit > 3)
-		return "shards asked at more targets than the route allows";
+		return "shards were sent to more targets than the route allows";
 	if (sim->extra_sends > sim->first_sends / 5 + 2 * SIM_SHARDS * 60 * 2)
-		return "retries beyond the shared bound";
+		return "retries exceeded the shared budget";
 	return NULL;
 }
 
-/* A node that was frozen answers late for that reason. */
+/* Ignores late answers: a node that was frozen answers late for that reason. */
 static void excuse_frozen_nodes(struct sim *sim)
 {
 	for (int i = 0; i < sim->ncalls; i++)
@@ -260,7 +260,7 @@
 		}
 }
 
-/* At a node that takes callers; one of each kind, each with its books. */
+/* Sends a deadly request to a ready node; each kind is counted separately. */
 static void send_deadly(struct scenario *scenario)
 {
 	struct sim *sim = scenario->sim;
@@ -330,7 +330,8 @@
 	excuse_frozen_nodes(sim);
 	violation = find_violation(&scenario);
 	if (!violation && count_served_after_heal(sim) < sim->nnodes)
-		violation = "not served after all faults were healed";
+		violation =
+			"a node did not serve after all faults were removed";
 	sim_destroy(sim);
 	return violation;
 }
