--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -1,11 +1,8 @@
 /*
- * Callers were served by a version that had been replaced over five seconds
- * before, on every node. An operator had added routes three times in a day; the
- * third version came to all nodes, through the store and from node to node, and
- * each threw it away: the decoder took 4,096 routes at most, a bound that the
- * store does not have. Every node logged that reason at the same revision;
- * versions below it were in force within two seconds; without the bound the
- * third one is as well.
+ * Every configuration that the store accepts must come into force on all nodes.
+ * Callers were once served by a replaced version on every node: the decoder
+ * accepted at most 4,096 routes, a limit that the store does not have, so each
+ * node refused the new version.
  */
 #include <stdio.h>
 
@@ -19,11 +16,11 @@
 #include "suite.h"
 
 enum {
-	/* What the store takes as one value, in bytes. */
+	/* Largest value that the store accepts, in bytes. */
 	VALUE_MAX = 1024 * 1024,
 	/*
-	 * A node tells four others. On a link of 20 Mbit/s that has half a
-	 * second for it, two steps down the tree are taken within one.
+	 * A node relays to four others. If that takes at most half a second on
+	 * a link of 20 Mbit/s, two levels of the tree take one second.
 	 */
 	FRAME_MAX = 20 * 1000 * 1000 / 8 / 2 / 4,
 };
@@ -40,7 +37,7 @@
 	apr_pool_destroy(pool);
 }
 
-/** struct node_copy - a node's copy of what is published */
+/** struct node_copy - a node's copy of the published data */
 struct node_copy {
 	struct flow_effects fx;
 	struct decision_log dlog;
@@ -65,7 +62,7 @@
 	flow_effects_free(&node_copy->fx);
 }
 
-/* A configuration with @routes routes, each beginning with "r". */
+/* A configuration with @routes routes; @more is added to each of them. */
 static struct str config_text(int version, int routes, const char *more)
 {
 	struct buf text = { 0 };
@@ -96,7 +93,7 @@
 	directory_apply(&node_copy->dir, &item, 1, 1000);
 }
 
-/* One node's copy goes to another, in a frame. */
+/* Sends one node's copy to another, in a frame. */
 static void send_copy(struct node_copy *from, struct node_copy *to)
 {
 	struct buf body = { 0 };
@@ -125,7 +122,7 @@
 	buf_free(&bytes);
 }
 
-/* Routes of a version that the store has taken; the last fill its value. */
+/* Numbers of routes; the last one nearly fills a value of the store. */
 static const int route_counts[] = { 1, 1400, 2800, 4200, 8900 };
 
 START_TEST(test_published_configuration_is_in_force)
@@ -148,7 +145,7 @@
 }
 END_TEST
 
-/* What a route may say besides, all taken by the store. */
+/* Further fields of a route, all accepted by the store. */
 static const char *const route_texts[] = {
 	",\"max_attempts\":1000",
 	",\"max_attempts\":0",
@@ -164,7 +161,7 @@
 	",\"idle\":{\"unknown\":[1]}",
 };
 
-/* A number of one route is beyond what this node can use: the rest counts. */
+/* A value that this node cannot use must not prevent the rest from applying. */
 START_TEST(test_out_of_range_route_is_in_force)
 {
 	struct node_copy *node_copy = node_copy_create();
@@ -177,7 +174,7 @@
 }
 END_TEST
 
-/* Names are as long as operators like; the value bounds them. */
+/* Only the size of the store's value limits the length of names. */
 START_TEST(test_long_names)
 {
 	struct node_copy *node_copy = node_copy_create();
@@ -201,7 +198,7 @@
 }
 END_TEST
 
-/* The call that the reader makes next, a second later. */
+/* Return: the next call of the reader, a second later. */
 static struct flow_effect next_call(struct reader *reader, int64_t *now)
 {
 	reader->fx->count = 0;
@@ -241,9 +238,9 @@
 
 /*
  * While a reader was cut off, a large configuration was published several
- * times. All versions come in one reply, which is over what a node takes: asked
- * again it is the same one, and the node stays at the old version. It reads the
- * keys instead, which hold the newest only.
+ * times. The reply to the watch contains all versions and exceeds the limit of
+ * a reply; a retry would give the same reply, and the node would keep the old
+ * version. The reader must read the keys instead, which hold only the newest.
  */
 START_TEST(test_changes_too_large)
 {
@@ -269,7 +266,7 @@
 }
 END_TEST
 
-/* An older version stays away, and that is told; no operator has to act. */
+/* An older version is ignored and logged; no operator has to act. */
 START_TEST(test_older_version_is_ignored)
 {
 	struct node_copy *node_copy = node_copy_create();
@@ -285,7 +282,7 @@
 }
 END_TEST
 
-/* What cannot be read is refused in sight of the operator. */
+/* A malformed configuration is refused, logged as severe and counted. */
 START_TEST(test_refused_configuration_is_reported)
 {
 	struct node_copy *node_copy = node_copy_create();
@@ -306,10 +303,10 @@
 }
 END_TEST
 
-/** struct damage - what becomes of one byte of a packed list */
+/** struct damage - corruption of a packed list */
 struct damage {
-	int at; /* from the front, or from the end if below 0 */
-	int cut; /* bytes left out at the end */
+	int at; /* changed byte, from the end if negative; 0: none */
+	int cut; /* bytes cut off at the end */
 };
 
 static const struct damage damages[] = {
@@ -317,7 +314,7 @@
 	{ -3, 0 }, { 0, 1 }, { 0, 900 },
 };
 
-/* A list that came damaged is refused whole: half of it looks like all. */
+/* A corrupt list is refused as a whole: a part of it would look complete. */
 START_TEST(test_damaged_list_is_refused)
 {
 	const struct damage *damage = &damages[_i];
--- a/tests/check_peer.c
+++ b/tests/check_peer.c
@@ -1,6 +1,7 @@
 /*
- * Connections between nodes, over loopback: messages must arrive though the
- * node they are for takes no connections for a while.
+ * Tests of connections between nodes, over loopback: messages must arrive even
+ * if the receiver does not accept connections for a while, or if there are many
+ * at once.
  */
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -15,9 +16,9 @@
 #include "suite.h"
 
 enum {
-	/* The kernel keeps one more than it is told to. */
+	/* The kernel queues one connection more than the backlog. */
 	FILLERS = 2,
-	/* A lost first packet is sent again after a second. */
+	/* Less than a second, after which the kernel retransmits a lost SYN. */
 	DELIVERED_US = 800000,
 	PEER_DOWN_US = 300000,
 	STEP_US = 50000,
@@ -25,7 +26,7 @@
 	ROUND_US = 2000000,
 };
 
-/** struct fixture - a node, and a socket that stands for another one */
+/** struct fixture - a node, and a listening socket in place of its peer */
 struct fixture {
 	apr_pool_t *pool;
 	struct loop *loop;
@@ -75,7 +76,7 @@
 	return STEP_US / 5;
 }
 
-/* A port that was free a moment ago. */
+/* Gets an address with a port that is free now. */
 static void free_addr(char *addr, size_t size)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
@@ -146,7 +147,7 @@
 	peers_flush(fixture->peers);
 }
 
-/* Return: bytes of what is the first frame to come in, 0 for none. */
+/* Return: the number of bytes of the first frame received, 0 for none. */
 static ssize_t receive_frame(struct fixture *fixture)
 {
 	char bytes[256];
@@ -163,10 +164,10 @@
 }
 
 /*
- * A node sends word while the other one has no power: the packet that opens the
- * connection is lost, and the system sends it again after a second only. The
- * other one comes up a third of a second later; the next word must not wait for
- * that second, nor be thrown away with the old connection.
+ * A node sends a message while its peer is powered off: the SYN is lost, and
+ * the kernel retransmits it only after a second. The peer comes up a third of a
+ * second later; the next message must not wait for the retransmission, nor be
+ * discarded with the old connection.
  */
 START_TEST(test_peer_comes_up)
 {
@@ -177,7 +178,7 @@
 	setup(&fixture);
 	send_msg(&fixture);
 	run(&fixture, PEER_DOWN_US);
-	/* The other one takes connections from now on. */
+	/* The peer accepts connections from now on. */
 	for (int i = 0; i < FILLERS; i++)
 		close(accept(fixture.fd, NULL, NULL));
 	fcntl(fixture.fd, F_SETFL, O_NONBLOCK);
@@ -193,7 +194,7 @@
 }
 END_TEST
 
-/** struct burst - what one node has for another at once */
+/** struct burst - messages from one node to another in one round */
 struct burst {
 	size_t size; /* bytes of a message */
 	size_t count;
@@ -207,9 +208,10 @@
 };
 
 /*
- * A node has much to tell another in one round: replies of targets, documents,
- * requests with bodies. Each message is taken by itself; in one frame they were
- * over what the other one reads, which closed the connection, and all was lost.
+ * A node sends many or large messages to another in one round: replies of
+ * targets, documents, requests with bodies. Each of them is within the limits.
+ * In one frame together they exceeded the receiver's limit, which closed the
+ * connection, and all were lost.
  */
 START_TEST(test_burst_in_one_round)
 {
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -1,7 +1,7 @@
 /*
- * All bytes that the platform sends: settings, replies of the store, values of
- * its keys. What is malformed gets an error that names the place, and one bad
- * entry disturbs nothing else.
+ * Tests of the decoding of platform data: settings, replies of the store, and
+ * values of its keys. Malformed input must give an error that names the
+ * place, and one bad entry must not affect others.
  */
 #include <stdio.h>
 
@@ -10,7 +10,7 @@
 #include "../platform/platform.h"
 #include "suite.h"
 
-/** struct input - a text, and what its error names (NULL: accepted) */
+/** struct input - a text, and a part of its error (NULL: valid) */
 struct input {
 	const char *text;
 	const char *names;
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -1,6 +1,7 @@
 /*
- * Connections to targets, against a scripted server on loopback: what faulty
- * targets send must be told apart, and must never reach another request.
+ * Tests of connections to targets, against a scripted server on loopback:
+ * faulty replies must be classified correctly, and no reply may be given to
+ * another request.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -18,7 +19,7 @@
 	TIMEOUT_US = 300000,
 };
 
-/** struct script - what the server sends for its first and second request */
+/** struct script - what the server sends for its first two requests */
 struct script {
 	const char *name;
 	const char *first;
@@ -28,10 +29,10 @@
 	enum fetch_result result;
 	int status;
 	const char *body;
-	bool reused; /* the second request goes over the same connection */
+	bool reused; /* the second request uses the same connection */
 	const char *second_body;
-	bool same_id; /* as the first request */
-	size_t reply_max; /* bytes that are taken of the first reply */
+	bool same_id; /* the second request has the id of the first */
+	size_t reply_max; /* limit of the first reply's body, 0: default */
 };
 
 #define REPLY(id, body) \
@@ -39,7 +40,7 @@
 	"\r\nContent-Length: 3\r\n\r\n" body
 
 static const struct script scripts[] = {
-	{ "whole", REPLY("r1", "one"), REPLY("r2", "two"), false, false,
+	{ "complete", REPLY("r1", "one"), REPLY("r2", "two"), false, false,
 	  FETCH_OK, 200, "one", true, "two", false, 0 },
 	{ "chunked",
 	  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -60,11 +61,11 @@
 	  false, 0 },
 	{ "no reply, closed", "", REPLY("r2", "two"), true, false, FETCH_BROKEN,
 	  0, "", false, "two", false, 0 },
-	{ "no HTTP", "HELO there\r\n\r\n", REPLY("r2", "two"), false, false,
+	{ "not HTTP", "HELO there\r\n\r\n", REPLY("r2", "two"), false, false,
 	  FETCH_MALFORMED, 0, "", false, "two", false, 0 },
 	{ "silent", "", REPLY("r2", "two"), false, false, FETCH_TIMEOUT, 0, "",
 	  false, "two", false, 0 },
-	{ "announces its end",
+	{ "announces the close",
 	  "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none",
 	  REPLY("r2", "two"), false, false, FETCH_OK, 200, "one", false, "two",
 	  false, 0 },
@@ -74,25 +75,23 @@
 	{ "sent again before the next", REPLY("r1", "one"),
 	  REPLY("r1", "one") REPLY("r2", "two"), false, false, FETCH_OK, 200,
 	  "one", true, "two", false, 0 },
-	{ "of another request first", REPLY("r0", "old") REPLY("r1", "one"),
-	  REPLY("r2", "two"), false, false, FETCH_OK, 200, "one", true, "two",
-	  false, 0 },
-	{ "as long as is taken", REPLY("r1", "one"), REPLY("r2", "two"), false,
+	{ "reply to another request first",
+	  REPLY("r0", "old") REPLY("r1", "one"), REPLY("r2", "two"), false,
+	  false, FETCH_OK, 200, "one", true, "two", false, 0 },
+	{ "as long as the limit", REPLY("r1", "one"), REPLY("r2", "two"), false,
 	  false, FETCH_OK, 200, "one", true, "two", false, 3 },
-	{ "longer than is taken", REPLY("r1", "one"), REPLY("r2", "two"), false,
-	  false, FETCH_MALFORMED, 0, "", false, "two", false, 2 },
+	{ "longer than the limit", REPLY("r1", "one"), REPLY("r2", "two"),
+	  false, false, FETCH_MALFORMED, 0, "", false, "two", false, 2 },
 	{ "the same request again", REPLY("r1", "one"), REPLY("r1", "two"),
 	  false, false, FETCH_OK, 200, "one", false, "two", true, 0 },
 };
 
-/** struct slow_reply - a reply that comes a byte at a time, and what becomes of
- * it
- */
+/** struct slow_reply - a reply sent byte by byte, and the expected result */
 struct slow_reply {
-	int gap_us; /* between its bytes */
-	int count; /* bytes that come; the head states as many */
-	int stop_after; /* no more come then, 0: all come */
-	bool slow_allowed; /* asked for with a pause and a whole time */
+	int gap_us; /* between two bytes */
+	int count; /* Content-Length */
+	int stop_after; /* bytes sent, 0: all */
+	bool slow_allowed; /* the request sets pause_us and whole_us */
 	enum fetch_result result;
 };
 
@@ -111,7 +110,7 @@
 
 struct peer_conn;
 
-/** struct server - accepts, and answers requests in turn */
+/** struct server - a scripted server, and the client under test */
 struct server {
 	const struct script *script;
 	const struct slow_reply *slow_reply;
@@ -125,7 +124,7 @@
 	char addr[32];
 };
 
-/** struct peer_conn - a connection that the server took */
+/** struct peer_conn - a connection that the server accepted */
 struct peer_conn {
 	struct server *server;
 	int fd;
@@ -253,7 +252,7 @@
 		 ntohs(sin.sin_port));
 }
 
-/** struct outcome - a reply, copied */
+/** struct outcome - a copy of a reply */
 struct outcome {
 	bool done;
 	enum fetch_result result;
@@ -276,7 +275,7 @@
 	snprintf(out->body, sizeof(out->body), "%.*s", STR_ARG(reply->body));
 }
 
-/* A server as the case says, and a client of it. */
+/* Starts the server of the case, and a client. */
 static void setup(struct server *server)
 {
 	apr_pool_create(&server->pool, NULL);
@@ -362,9 +361,9 @@
 END_TEST
 
 /*
- * A configuration of a MiB takes a small VM's link longer than the call may
- * wait for an answer: given up each time, it was never read. Bytes that keep
- * coming are waited for; a reply that stops, or never ends, is not.
+ * On a small VM's link a configuration of 1 MiB takes longer than the timeout
+ * of a reply: every attempt was cancelled, and it was never read. A reply may
+ * take longer while bytes keep arriving, but not if it stalls or never ends.
  */
 START_TEST(test_slow_reply)
 {
@@ -384,7 +383,7 @@
 }
 END_TEST
 
-/* Nobody listens: not a byte has left, so the request has not run. */
+/* A refused connection: no byte was sent, so the request has not run. */
 START_TEST(test_refused)
 {
 	struct server server = { 0 };
@@ -406,9 +405,10 @@
 }
 
 /*
- * The process is paused for longer than a scheduler's delay. Callers' requests
- * wait in its sockets, some on connections that are accepted a round later: all
- * that is read in the first tenth of a second may be that old, nothing after.
+ * The process is paused for longer than a scheduling delay. Requests wait in
+ * its sockets meanwhile, some on connections that are accepted one round later:
+ * everything read in the first 100 ms may be as old as the pause, but nothing
+ * after that.
  */
 START_TEST(test_pause_is_noticed)
 {
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -231,7 +231,7 @@
 	}
 	for (int i = 1; i < SIM_DEADLY_MAX; i++)
 		if (sim->deadly[i].late > DEADLY_LATE_RUNS_MAX)
-			return "a deadly request still reached targets after it should be blocked";
+			return "a deadly request reached targets too often";
 	if (over_limit > 3)
 		return "shards were sent to more targets than the route allows";
 	if (sim->extra_sends > sim->first_sends / 5 + 2 * SIM_SHARDS * 60 * 2)
--- a/tests/suite.h
+++ b/tests/suite.h
@@ -7,7 +7,7 @@
 	SUITE_SECONDS = 120
 };
 
-/** suite_run() - run one case of tests; returns main()'s exit code. */
+/** suite_run() - run a suite of one test case; returns main()'s exit code */
 static inline int suite_run(const char *name, void (*add)(TCase *tcase))
 {
 	Suite *suite = suite_create(name);
