--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -303,21 +303,21 @@
 }
 END_TEST
 
-/** struct damage - corruption of a packed list */
-struct damage {
+/** struct corruption - corruption of a packed list */
+struct corruption {
 	int at; /* changed byte, from the end if negative; 0: none */
 	int cut; /* bytes cut off at the end */
 };
 
-static const struct damage damages[] = {
+static const struct corruption corruptions[] = {
 	{ 3, 0 },  { 9, 0 }, { 200, 0 }, { -8, 0 },
 	{ -3, 0 }, { 0, 1 }, { 0, 900 },
 };
 
 /* A corrupt list is refused as a whole: a part of it would look complete. */
-START_TEST(test_damaged_list_is_refused)
+START_TEST(test_corrupt_list_is_refused)
 {
-	const struct damage *damage = &damages[_i];
+	const struct corruption *corruption = &corruptions[_i];
 	struct node_copy *node_copy = node_copy_create();
 	struct buf body = { 0 };
 	struct store_item *items;
@@ -328,10 +328,11 @@
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
-	if (damage->at)
-		body.ptr[damage->at > 0 ? (size_t)damage->at
-					: body.len - (size_t)-damage->at] ^= 85;
-	body.len -= (size_t)damage->cut;
+	if (corruption->at)
+		body.ptr[corruption->at > 0
+				 ? (size_t)corruption->at
+				 : body.len - (size_t)-corruption->at] ^= 85;
+	body.len -= (size_t)corruption->cut;
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count),
 		ERR_FRAME);
@@ -354,8 +355,8 @@
 	tcase_add_test(tcase, test_changes_too_large);
 	tcase_add_test(tcase, test_older_version_is_ignored);
 	tcase_add_test(tcase, test_refused_configuration_is_reported);
-	tcase_add_loop_test(tcase, test_damaged_list_is_refused, 0,
-			    COUNT(damages));
+	tcase_add_loop_test(tcase, test_corrupt_list_is_refused, 0,
+			    COUNT(corruptions));
 }
 
 int main(void)
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -737,7 +737,7 @@
  * new ones until it has closed the idle ones. At least a quarter of the limit
  * must be used, so that requests do not queue while capacity is unused.
  */
-START_TEST(test_conn_limits_allow_twice)
+START_TEST(test_conn_limits_after_restart)
 {
 	const struct conn_limit_case *c = &conn_limit_cases[_i];
 	int far = c->nodes - c->near;
@@ -864,7 +864,7 @@
 	tcase_add_test(tcase, test_address_reused);
 	tcase_add_test(tcase, test_unpublished_target_is_removed);
 	tcase_add_test(tcase, test_cold_target);
-	tcase_add_loop_test(tcase, test_conn_limits_allow_twice, 0,
+	tcase_add_loop_test(tcase, test_conn_limits_after_restart, 0,
 			    COUNT(conn_limit_cases));
 	tcase_add_loop_test(tcase, test_reply_head, 0, COUNT(reply_cases));
 	tcase_add_loop_test(tcase, test_kept_headers, 0, COUNT(keep_cases));
--- a/tests/check_peer.c
+++ b/tests/check_peer.c
@@ -55,7 +55,7 @@
 	fixture->peers_lost++;
 }
 
-static void on_bad(void *ctx, const struct error *err)
+static void on_bad_frame(void *ctx, const struct error *err)
 {
 	struct fixture *fixture = ctx;
 
@@ -77,7 +77,7 @@
 }
 
 /* Gets an address with a port that is free now. */
-static void free_addr(char *addr, size_t size)
+static void get_free_addr(char *addr, size_t size)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	socklen_t len = sizeof(sin);
@@ -99,11 +99,12 @@
 	*fixture = (struct fixture){ 0 };
 	apr_pool_create(&fixture->pool, NULL);
 	fixture->loop = loop_create(fixture->pool);
-	free_addr(fixture->own, sizeof(fixture->own));
-	fixture->peers = peers_create(
-		fixture->loop, str_of(fixture->own), 7,
-		(struct peer_handler){ on_frame, on_lost, on_bad, fixture },
-		&err);
+	get_free_addr(fixture->own, sizeof(fixture->own));
+	fixture->peers =
+		peers_create(fixture->loop, str_of(fixture->own), 7,
+			     (struct peer_handler){ on_frame, on_lost,
+						    on_bad_frame, fixture },
+			     &err);
 	ck_assert_ptr_nonnull(fixture->peers);
 	loop_hook(fixture->loop,
 		  (struct loop_hook){ on_round, wait_us, fixture });
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -532,7 +532,7 @@
 	int64_t max_us;
 };
 
-static const struct start starts[] = {
+static const struct start start_cases[] = {
 	{ false, 0, 200000, 300000 },
 	{ true, 0, 200000, 300000 },
 	{ true, 2 * SECOND_US, 700000, SECOND_US },
@@ -545,7 +545,7 @@
  */
 START_TEST(test_refused_at_start)
 {
-	const struct start *start = &starts[_i];
+	const struct start *start = &start_cases[_i];
 	struct sim *sim = sim_create(1, 7);
 	struct sim_call *call;
 
@@ -815,7 +815,7 @@
 	tcase_add_test(tcase, test_ready_soon_after_power_loss);
 	tcase_add_test(tcase, test_membership_converges_quickly);
 	tcase_add_loop_test(tcase, test_refused_at_start, 0,
-			    sizeof(starts) / sizeof(*starts));
+			    sizeof(start_cases) / sizeof(*start_cases));
 	tcase_add_test(tcase, test_planned_stop);
 	tcase_add_test(tcase, test_shared_retry_budget);
 	tcase_add_test(tcase, test_large_fleet_restart);
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -88,7 +88,7 @@
 
 /** struct slow_reply - a reply sent byte by byte, and the expected result */
 struct slow_reply {
-	int gap_us; /* between two bytes */
+	int byte_interval_us; /* between two bytes */
 	int count; /* Content-Length */
 	int stop_after; /* bytes sent, 0: all */
 	bool slow_allowed; /* the request sets pause_us and whole_us */
@@ -184,7 +184,8 @@
 				   server->slow_reply->count);
 
 		ck_assert_int_eq(send(conn->fd, bytes, (size_t)len, 0), len);
-		conn->next_at = loop_now() + server->slow_reply->gap_us;
+		conn->next_at =
+			loop_now() + server->slow_reply->byte_interval_us;
 		return;
 	}
 	first = !server->requests++;
@@ -214,7 +215,7 @@
 	if (conn->sent == max)
 		return;
 	conn->sent++;
-	conn->next_at += slow_reply->gap_us;
+	conn->next_at += slow_reply->byte_interval_us;
 	send(conn->fd, "x", 1, MSG_NOSIGNAL);
 }
 
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -68,7 +68,7 @@
 		8000 * (1 + (int64_t)random_below(scenario, 12));
 }
 
-static void shed_target(struct scenario *scenario)
+static void reject_at_target(struct scenario *scenario)
 {
 	random_target(scenario)->reject_rate =
 		(double)random_below(scenario, 10) / 10;
@@ -182,9 +182,10 @@
 }
 
 static void (*const faults[])(struct scenario *) = {
-	pause_target, pause_target, slow_target, shed_target, lose_replies,
-	crash_target, drain_target, kill_node,	 freeze_node, cut_link,
-	cut_store,    fail_store,   configure,	 heal,
+	pause_target, pause_target, slow_target,  reject_at_target,
+	lose_replies, crash_target, drain_target, kill_node,
+	freeze_node,  cut_link,	    cut_store,	  fail_store,
+	configure,    heal,
 };
 
 /* Invariants. */
--- a/tests/suite.h
+++ b/tests/suite.h
@@ -4,7 +4,7 @@
 #include <check.h>
 
 enum {
-	SUITE_SECONDS = 120
+	SUITE_TIMEOUT_S = 120
 };
 
 /** suite_run() - run a suite of one test case; returns main()'s exit code */
@@ -16,7 +16,7 @@
 	int failed;
 
 	apr_initialize();
-	tcase_set_timeout(tcase, SUITE_SECONDS);
+	tcase_set_timeout(tcase, SUITE_TIMEOUT_S);
 	add(tcase);
 	suite_add_tcase(suite, tcase);
 	runner = srunner_create(suite);
