--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -36,7 +36,7 @@
 };
 
 /**
- *  * struct deadly_case - how a deadly request is sent, and other faults
+ * struct deadly_case - how a deadly request is sent, and other faults
  * @concurrent: number of nodes that receive it at the same time; 0: 1
  * @callers: number of caller addresses, used in turn; 0: 1
  * @requests: number of different deadly requests, sent in turn; 0: 1
@@ -75,7 +75,7 @@
 	  .kind = SIM_SINGLE,
 	  .concurrent = 4 },
 	{ .name = "from many addresses", .kind = SIM_MERGED, .callers = 5 },
-	{ .name = "three by turns", .kind = SIM_MERGED, .requests = 3 },
+	{ .name = "three requests in turn", .kind = SIM_MERGED, .requests = 3 },
 	{ .name = "nodes restart in turn", .kind = SIM_MERGED, .kill = true },
 	{ .name = "all nodes restart",
 	  .kind = SIM_MERGED,
@@ -261,7 +261,7 @@
 END_TEST
 
 /**
- *  * struct other_case - a harmless request beside a deadly one
+ * struct other_case - a harmless request beside a deadly one
  * @spec: the request and its caller
  * @gap_us: interval at which it is also sent continuously; 0: never
  * @since_round: first round in which it is sent
@@ -345,7 +345,7 @@
 END_TEST
 
 /**
- *  * struct crash_case - crashes of targets that no request has caused
+ * struct crash_case - crashes of targets that no request has caused
  * @domains: all targets of a failure domain crash at once, domains in turn;
  *           otherwise single targets in turn
  * @gap_us: interval of these crashes
@@ -362,7 +362,7 @@
 
 static const struct crash_case crash_cases[] = {
 	{ "three domains in a row", true, 500000, SIM_MERGED, 20000 },
-	{ "three domains in a row, seldom", true, 500000, SIM_MERGED, 400000 },
+	{ "three domains in a row, rarely", true, 500000, SIM_MERGED, 400000 },
 	{ "domains all the time", true, 2000000, SIM_STRICT, 100000 },
 	{ "domains, one target", true, 2000000, SIM_SINGLE, 20000 },
 	{ "targets restart in turn", false, 100000, SIM_MERGED, 20000 },
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -26,7 +26,7 @@
 };
 
 /**
- *  * struct pattern - load, faults, and limits of the result
+ * struct pattern - load, faults, and limits of the result
  * @rate: questions per second, distributed evenly over the nodes
  * @inject: called before each question, to set the faults at that time
  * @credit: minimum mean of the squared coverage by the goal
@@ -185,7 +185,7 @@
 }
 
 /**
- *  * struct result - measured results
+ * struct result - measured results
  * @credit: mean of the squared coverage by the goal
  * @failed: fraction of questions without an answer
  * @extra: hedges and retries, in percent of the first sends
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -107,8 +107,7 @@
 /** enum step_kind - events that affect the evidence */
 enum step_kind {
 	STEP_END,
-	STEP_BREAK, /* its connection broke, in the next round of the evidence
-		     */
+	STEP_BREAK, /* its connection broke in the next round */
 	STEP_BREAK_IN_FIRST_ROUND, /* the same, but sent in the first round */
 	STEP_ANSWER,
 	STEP_WAIT, /* for @target seconds */
@@ -124,7 +123,7 @@
 };
 
 /**
- *  * struct verdict_case - a sequence of events and the resulting verdicts
+ * struct verdict_case - a sequence of events and the resulting verdicts
  * @verdicts: final verdicts on the request, by caller
  */
 struct verdict_case {
@@ -319,7 +318,7 @@
 	}
 }
 
-/* A request is blocked only if it breaks repeatedly and is never answered. */
+/* A request is blocked only if it breaks repeatedly and is not answered. */
 START_TEST(test_verdict)
 {
 	const struct verdict_case *c = &verdict_cases[_i];
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -32,7 +32,7 @@
 };
 
 /**
- *  * struct sim_target - a fake target; faults are set by the tests
+ * struct sim_target - a fake target; faults are set by the tests
  * @slots: requests that run concurrently, others queue; 0: no limit
  * @slot_free_at: when each slot has finished its queue
  * @restarts: number of restarts after a crash
@@ -61,7 +61,7 @@
 };
 
 /**
- *  * struct sim_request_spec - a request and its caller
+ * struct sim_request_spec - a request and its caller
  * @query: end of the path
  * @caller: address of the caller
  * @deadly: index in sim.deadly of a request that crashes each target that runs
@@ -74,7 +74,7 @@
 };
 
 /**
- *  * struct sim_deadly - effects of a deadly request
+ * struct sim_deadly - effects of a deadly request
  * @crashes: targets that it has crashed
  * @third_crash_at: time of the third crash
  * @late: calls that reached targets more than SIM_CONVERGENCE_US after that
@@ -107,7 +107,7 @@
 };
 
 /**
- *  * struct sim_node - a node of the tier
+ * struct sim_node - a node of the tier
  * @fault_at: when a fault of this node last began or ended; runs of a deadly
  *            request that it sends within SIM_CONVERGENCE_US of that are not
  *            counted as late
