--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -1,11 +1,8 @@
 /*
- * Callers were served by a version that had been replaced over five seconds
- * before, on every node. An operator had added routes three times in a day; the
- * third version came to all nodes, through the store and from node to node, and
- * each threw it away: the decoder took 4,096 routes at most, a bound that the
- * store does not have. Every node logged that reason at the same revision;
- * versions below it were in force within two seconds; without the bound the
- * third one is as well.
+ * Every configuration that the store accepts must come into force on all nodes.
+ * Callers were once served by a replaced version on every node: the decoder
+ * accepted at most 4,096 routes, a limit that the store does not have, so each
+ * node refused the new version.
  */
 #include <stdio.h>
 
@@ -19,53 +16,53 @@
 #include "suite.h"
 
 enum {
-	/* What the store takes as one value, in bytes. */
+	/* Largest value that the store accepts, in bytes. */
 	VALUE_MAX = 1024 * 1024,
 	/*
-	 * A node tells four others. On a link of 20 Mbit/s that has half a
-	 * second for it, two steps down the tree are taken within one.
+	 * A node relays to four others. If that takes at most half a second on
+	 * a link of 20 Mbit/s, two levels of the tree take one second.
 	 */
 	FRAME_MAX = 20 * 1000 * 1000 / 8 / 2 / 4,
 };
 
 static apr_pool_t *pool;
 
-static void make_pool(void)
+static void create_pool(void)
 {
 	apr_pool_create(&pool, NULL);
 }
 
-static void drop_pool(void)
+static void destroy_pool(void)
 {
 	apr_pool_destroy(pool);
 }
 
-/** struct reading - a node's copy of what is published */
-struct reading {
+/** struct node_copy - a node's copy of the published data */
+struct node_copy {
 	struct flow_effects fx;
 	struct decision_log dlog;
 	struct directory dir;
 };
 
-static struct reading *reading_create(void)
+static struct node_copy *node_copy_create(void)
 {
-	struct reading *reading = apr_pcalloc(pool, sizeof(*reading));
+	struct node_copy *node_copy = apr_pcalloc(pool, sizeof(*node_copy));
 
-	flow_effects_init(&reading->fx, pool);
-	reading->dlog.fx = &reading->fx;
-	directory_init(&reading->dir, pool, &platform_dialect,
-		       balancer_create(pool, STR("z"), 0), &reading->dlog);
-	return reading;
+	flow_effects_init(&node_copy->fx, pool);
+	node_copy->dlog.fx = &node_copy->fx;
+	directory_init(&node_copy->dir, pool, &platform_dialect,
+		       balancer_create(pool, STR("z"), 0), &node_copy->dlog);
+	return node_copy;
 }
 
-static void reading_destroy(struct reading *reading)
+static void node_copy_destroy(struct node_copy *node_copy)
 {
-	directory_destroy(&reading->dir);
-	balancer_destroy(reading->dir.balancer);
-	flow_effects_free(&reading->fx);
+	directory_destroy(&node_copy->dir);
+	balancer_destroy(node_copy->dir.balancer);
+	flow_effects_free(&node_copy->fx);
 }
 
-/* A configuration with @routes routes, each beginning with "r". */
+/* A configuration with @routes routes; @more is added to each of them. */
 static struct str config_text(int version, int routes, const char *more)
 {
 	struct buf text = { 0 };
@@ -86,17 +83,18 @@
 	return out;
 }
 
-static void publish(struct reading *reading, struct str text, uint64_t revision)
+static void publish(struct node_copy *node_copy, struct str text,
+		    uint64_t revision)
 {
 	struct store_item item = { .key = STR("op/config"),
 				   .value = text,
 				   .revision = revision };
 
-	directory_apply(&reading->dir, &item, 1, 1000);
+	directory_apply(&node_copy->dir, &item, 1, 1000);
 }
 
-/* One node's copy goes to another, in a frame. */
-static void pass_on(struct reading *from, struct reading *to)
+/* Sends one node's copy to another, in a frame. */
+static void send_copy(struct node_copy *from, struct node_copy *to)
 {
 	struct buf body = { 0 };
 	struct buf bytes = { 0 };
@@ -124,30 +122,30 @@
 	buf_free(&bytes);
 }
 
-/* Routes of a version that the store has taken; the last fill its value. */
+/* Numbers of routes; the last one nearly fills a value of the store. */
 static const int route_counts[] = { 1, 1400, 2800, 4200, 8900 };
 
 START_TEST(test_published_configuration_is_in_force)
 {
 	int routes = route_counts[_i];
-	struct reading *reader = reading_create();
-	struct reading *other = reading_create();
+	struct node_copy *reader = node_copy_create();
+	struct node_copy *other = node_copy_create();
 	char last[16];
 
 	publish(reader, config_text(1, 1, ""), 1);
 	publish(reader, config_text(2, routes, ""), 2);
-	pass_on(reader, other);
+	send_copy(reader, other);
 	ck_assert_uint_eq(reader->dir.catalog->version, 2);
 	ck_assert_uint_eq(other->dir.catalog->version, 2);
 	snprintf(last, sizeof(last), "/r%d/x", routes - 1);
 	ck_assert_ptr_nonnull(catalog_find_route(
 		other->dir.catalog, STR("h.example"), str_of(last)));
-	reading_destroy(other);
-	reading_destroy(reader);
+	node_copy_destroy(other);
+	node_copy_destroy(reader);
 }
 END_TEST
 
-/* What a route may say besides, all taken by the store. */
+/* Further fields of a route, all accepted by the store. */
 static const char *const route_texts[] = {
 	",\"max_attempts\":1000",
 	",\"max_attempts\":0",
@@ -163,23 +161,23 @@
 	",\"idle\":{\"unknown\":[1]}",
 };
 
-/* A number of one route is beyond what this node can use: the rest counts. */
-START_TEST(test_odd_route_is_in_force)
+/* A value that this node cannot use must not prevent the rest from applying. */
+START_TEST(test_out_of_range_route_is_in_force)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 
-	publish(reading, config_text(1, 1, ""), 1);
-	publish(reading, config_text(2, 3, route_texts[_i]), 2);
-	ck_assert_uint_eq(reading->dir.catalog->version, 2);
-	ck_assert_uint_eq(reading->dir.catalog->nroutes, 3);
-	reading_destroy(reading);
+	publish(node_copy, config_text(1, 1, ""), 1);
+	publish(node_copy, config_text(2, 3, route_texts[_i]), 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->nroutes, 3);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
-/* Names are as long as operators like; the value bounds them. */
+/* Only the size of the store's value limits the length of names. */
 START_TEST(test_long_names)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 	struct buf text = { 0 };
 	struct str path;
 
@@ -188,19 +186,19 @@
 		   "{\"name\":\"r\",\"host\":\"h\",\"service\":\"s\","
 		   "\"kind\":\"idempotent\",\"prefix\":\"/%0*d/\"}]}",
 		   4000, 7);
-	publish(reading, config_text(1, 1, ""), 1);
-	publish(reading, buf_str(&text), 2);
-	ck_assert_uint_eq(reading->dir.catalog->version, 2);
-	path = reading->dir.catalog->routes[0].prefix;
+	publish(node_copy, config_text(1, 1, ""), 1);
+	publish(node_copy, buf_str(&text), 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
+	path = node_copy->dir.catalog->routes[0].prefix;
 	ck_assert_uint_eq(path.len, 4002);
 	ck_assert_ptr_nonnull(
-		catalog_find_route(reading->dir.catalog, STR("h"), path));
+		catalog_find_route(node_copy->dir.catalog, STR("h"), path));
 	buf_free(&text);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
-/* The call that the reader makes next, a second later. */
+/* Return: the next call of the reader, a second later. */
 static struct flow_effect next_call(struct reader *reader, int64_t *now)
 {
 	reader->fx->count = 0;
@@ -212,8 +210,8 @@
 	ck_abort_msg("no call to the store");
 }
 
-static void page(struct reader *reader, struct str text, uint64_t revision,
-		 int64_t now)
+static void reply_page(struct reader *reader, struct str text,
+		       uint64_t revision, int64_t now)
 {
 	struct store_item item = { .key = STR("op/config"),
 				   .value = text,
@@ -228,24 +226,25 @@
 	reader_reply(reader, &store, now);
 }
 
-static void read_all(struct reader *reader, int version, int64_t *now)
+static void answer_range(struct reader *reader, int version, int64_t *now)
 {
 	struct flow_effect call = next_call(reader, now);
 
 	ck_assert_int_eq(call.call, STORE_RANGE);
-	page(reader, config_text(version, 1, ""), (uint64_t)version, *now);
-	page(reader, (struct str){ 0 }, (uint64_t)version, *now);
+	reply_page(reader, config_text(version, 1, ""), (uint64_t)version,
+		   *now);
+	reply_page(reader, (struct str){ 0 }, (uint64_t)version, *now);
 }
 
 /*
  * While a reader was cut off, a large configuration was published several
- * times. All versions come in one reply, which is over what a node takes: asked
- * again it is the same one, and the node stays at the old version. It reads the
- * keys instead, which hold the newest only.
+ * times. The reply to the watch contains all versions and exceeds the limit of
+ * a reply; a retry would give the same reply, and the node would keep the old
+ * version. The reader must read the keys instead, which hold only the newest.
  */
 START_TEST(test_changes_too_large)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 	struct flow_store_reply refused = {
 		.call = STORE_WATCH,
 		.unusable = true,
@@ -254,91 +253,92 @@
 	struct reader reader;
 	int64_t now = 1000000;
 
-	reader_init(&reader, &reading->dir, &reading->fx, now);
+	reader_init(&reader, &node_copy->dir, &node_copy->fx, now);
 	reader_set_active(&reader, true, now);
-	read_all(&reader, 1, &now);
+	answer_range(&reader, 1, &now);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_reply(&reader, &refused, now);
-	read_all(&reader, 2, &now);
-	ck_assert_uint_eq(reading->dir.catalog->version, 2);
+	answer_range(&reader, 2, &now);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
 	reader_destroy(&reader);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
-/* An older version stays away, and that is told; no operator has to act. */
-START_TEST(test_older_version_is_passed_over)
+/* An older version is ignored and logged; no operator has to act. */
+START_TEST(test_older_version_is_ignored)
 {
-	struct reading *reading = reading_create();
+	struct node_copy *node_copy = node_copy_create();
 
-	publish(reading, config_text(3, 1, ""), 1);
-	publish(reading, config_text(2, 1, ""), 2);
-	ck_assert_uint_eq(reading->dir.catalog->version, 3);
-	ck_assert_uint_eq(reading->fx.count, 2);
+	publish(node_copy, config_text(3, 1, ""), 1);
+	publish(node_copy, config_text(2, 1, ""), 2);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 3);
+	ck_assert_uint_eq(node_copy->fx.count, 2);
 	ck_assert_ptr_nonnull(
-		strstr(reading->fx.list[1].text.ptr, "passed over"));
-	ck_assert(!reading->fx.list[1].severe);
-	reading_destroy(reading);
+		strstr(node_copy->fx.list[1].text.ptr, "passed over"));
+	ck_assert(!node_copy->fx.list[1].severe);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
-/* What cannot be read is refused in sight of the operator. */
-START_TEST(test_refused_configuration_is_seen)
+/* A malformed configuration is refused, logged as severe and counted. */
+START_TEST(test_refused_configuration_is_reported)
 {
-	struct reading *reading = reading_create();
-	bool told = false;
-
-	publish(reading, config_text(1, 1, ""), 1);
-	publish(reading, STR("{\"version\":2"), 2);
-	for (size_t i = 0; i < reading->fx.count; i++)
-		told = told || reading->fx.list[i].severe;
-	ck_assert(told);
-	ck_assert_uint_eq(reading->dir.catalog->version, 1);
-	ck_assert_uint_eq(reading->dir.catalog_revision, 1);
-	ck_assert_uint_eq(reading->dir.seen_revision, 2);
+	struct node_copy *node_copy = node_copy_create();
+	bool logged = false;
+
+	publish(node_copy, config_text(1, 1, ""), 1);
+	publish(node_copy, STR("{\"version\":2"), 2);
+	for (size_t i = 0; i < node_copy->fx.count; i++)
+		logged = logged || node_copy->fx.list[i].severe;
+	ck_assert(logged);
+	ck_assert_uint_eq(node_copy->dir.catalog->version, 1);
+	ck_assert_uint_eq(node_copy->dir.catalog_revision, 1);
+	ck_assert_uint_eq(node_copy->dir.seen_revision, 2);
 	ck_assert_uint_eq(
-		reading->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
+		node_copy->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
 		1);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
-/** struct damage - what becomes of one byte of a packed list */
-struct damage {
-	int at; /* from the front, or from the end if below 0 */
-	int cut; /* bytes left out at the end */
+/** struct corruption - corruption of a packed list */
+struct corruption {
+	int at; /* changed byte, from the end if negative; 0: none */
+	int cut; /* bytes cut off at the end */
 };
 
-static const struct damage damages[] = {
+static const struct corruption corruptions[] = {
 	{ 3, 0 },  { 9, 0 }, { 200, 0 }, { -8, 0 },
 	{ -3, 0 }, { 0, 1 }, { 0, 900 },
 };
 
-/* A list that came damaged is refused whole: half of it looks like all. */
-START_TEST(test_damaged_list_is_refused)
+/* A corrupt list is refused as a whole: a part of it would look complete. */
+START_TEST(test_corrupt_list_is_refused)
 {
-	const struct damage *damage = &damages[_i];
-	struct reading *reading = reading_create();
+	const struct corruption *corruption = &corruptions[_i];
+	struct node_copy *node_copy = node_copy_create();
 	struct buf body = { 0 };
 	struct store_item *items;
 	size_t count;
 
-	publish(reading, config_text(1, 1400, ""), 1);
-	directory_encode(&reading->dir, 0, &body);
+	publish(node_copy, config_text(1, 1400, ""), 1);
+	directory_encode(&node_copy->dir, 0, &body);
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
-	if (damage->at)
-		body.ptr[damage->at > 0 ? (size_t)damage->at
-					: body.len - (size_t)-damage->at] ^= 85;
-	body.len -= (size_t)damage->cut;
+	if (corruption->at)
+		body.ptr[corruption->at > 0
+				 ? (size_t)corruption->at
+				 : body.len - (size_t)-corruption->at] ^= 85;
+	body.len -= (size_t)corruption->cut;
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count),
 		ERR_FRAME);
 	ck_assert_uint_eq(count, 0);
 	buf_free(&body);
-	reading_destroy(reading);
+	node_copy_destroy(node_copy);
 }
 END_TEST
 
@@ -346,17 +346,17 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_checked_fixture(tcase, make_pool, drop_pool);
+	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_published_configuration_is_in_force, 0,
 			    COUNT(route_counts));
-	tcase_add_loop_test(tcase, test_odd_route_is_in_force, 0,
+	tcase_add_loop_test(tcase, test_out_of_range_route_is_in_force, 0,
 			    COUNT(route_texts));
 	tcase_add_test(tcase, test_long_names);
 	tcase_add_test(tcase, test_changes_too_large);
-	tcase_add_test(tcase, test_older_version_is_passed_over);
-	tcase_add_test(tcase, test_refused_configuration_is_seen);
-	tcase_add_loop_test(tcase, test_damaged_list_is_refused, 0,
-			    COUNT(damages));
+	tcase_add_test(tcase, test_older_version_is_ignored);
+	tcase_add_test(tcase, test_refused_configuration_is_reported);
+	tcase_add_loop_test(tcase, test_corrupt_list_is_refused, 0,
+			    COUNT(corruptions));
 }
 
 int main(void)
--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -1,6 +1,7 @@
 /*
- * Whole nodes, in virtual time, under requests that crash each target that runs
- * them: how many such requests still reach targets, and what becomes of others.
+ * Tests of whole nodes in the simulation, under requests that crash each target
+ * that runs them: how many of these still reach targets, and whether harmless
+ * requests are served.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,7 +9,7 @@
 
 #include <check.h>
 
-#include "stage.h"
+#include "sim.h"
 #include "suite.h"
 
 #define COUNT(table) (int)(sizeof(table) / sizeof(*(table)))
@@ -17,48 +18,45 @@
 	SECOND_US = 1000000,
 	NODES = 6,
 	ROUNDS = 10,
-	/* Between a failed answer and the caller's next try. */
+	/* Between a failed answer and the caller's retry. */
 	RETRY_US = 80000,
-	/* From one coming of the request to the next; targets are back by then.
-	 */
+	/* Between two rounds of the request; targets restart meanwhile. */
 	ROUND_US = 4400000,
-	/* Late tries that may reach targets, for all nodes together. */
-	LATE_MOST = 3,
-	/* Targets that such tries may end: two each, one after the other. */
-	LATER_MOST = 2 * LATE_MOST,
+	/* Late calls that may reach targets, over all nodes. */
+	LATE_RUNS_MAX = 3,
+	/* Targets that these may crash: two each, one after the other. */
+	CRASHES_AFTER_FIRST_ROUND_MAX = 2 * LATE_RUNS_MAX,
 	STEP_US = 1000,
 	/* Three hops between failure domains. */
-	TOLD_US = 4000,
-	/* Targets crash 8 ms after the request has come. */
+	PROPAGATION_US = 4000,
+	/* Targets crash 8 ms after the request has arrived. */
 	BEFORE_CRASH_US = 7000,
-	/* From this round on others must be served all the time. */
-	CALM_ROUND = 3,
+	/* From this round on all harmless requests must be served. */
+	SERVED_FROM_ROUND = 3,
 };
 
 /**
- * struct deadly_case - how a deadly request comes
- * @at_once: nodes that it comes to at the same moment
- * @callers: it comes from this many addresses by turns
- * @requests: so many of them, by turns
- * @kill: a node is killed each round, and starts again, all in turn; the next
- *        round comes to that one first
- * @power: before this round all nodes lose power; 0: never
- * @cut: before this round a third of the nodes is cut off from the others, for
- *       a round; 0: never
- * @keeps_id: targets come back under the id that they had
- * @runs_us: time from its start to the crash
- * @nodes: 0 for NODES
- *
- * Numbers that are 0 stand for 1.
+ * struct deadly_case - how a deadly request is sent, and other faults
+ * @concurrent: number of nodes that receive it at the same time; 0: 1
+ * @callers: number of caller addresses, used in turn; 0: 1
+ * @requests: number of different deadly requests, sent in turn; 0: 1
+ * @kill: one node is killed and restarted each round, in turn, and is the first
+ *        to receive the request in the next round
+ * @power_loss_round: before this round all nodes lose power; 0: never
+ * @cut: for this round one failure domain, a third of the nodes, is cut off
+ *       from the others; 0: never
+ * @keeps_id: targets keep their ids over a restart
+ * @runs_us: time from its start to the crash; 0: usual service time
+ * @nodes: number of nodes; 0: NODES
  */
 struct deadly_case {
 	const char *name;
-	enum stage_kind kind;
-	int at_once;
+	enum sim_request_kind kind;
+	int concurrent;
 	int callers;
 	int requests;
 	bool kill;
-	int power;
+	int power_loss_round;
 	int cut;
 	bool keeps_id;
 	int64_t runs_us;
@@ -66,394 +64,406 @@
 };
 
 static const struct deadly_case deadly_cases[] = {
-	{ .name = "over all shards", .kind = STAGE_MERGED },
-	{ .name = "nearly all shards needed", .kind = STAGE_STRICT },
-	{ .name = "one target", .kind = STAGE_SINGLE },
-	{ .name = "once only", .kind = STAGE_ONCE },
-	{ .name = "at four nodes at once", .kind = STAGE_MERGED, .at_once = 4 },
+	{ .name = "over all shards", .kind = SIM_MERGED },
+	{ .name = "nearly all shards needed", .kind = SIM_STRICT },
+	{ .name = "one target", .kind = SIM_SINGLE },
+	{ .name = "once only", .kind = SIM_ONCE },
+	{ .name = "at four nodes at once",
+	  .kind = SIM_MERGED,
+	  .concurrent = 4 },
 	{ .name = "one target, four at once",
-	  .kind = STAGE_SINGLE,
-	  .at_once = 4 },
-	{ .name = "from many addresses", .kind = STAGE_MERGED, .callers = 5 },
-	{ .name = "three by turns", .kind = STAGE_MERGED, .requests = 3 },
-	{ .name = "nodes restart in turn", .kind = STAGE_MERGED, .kill = true },
-	{ .name = "all nodes restart", .kind = STAGE_MERGED, .power = 5 },
-	{ .name = "a domain is cut off", .kind = STAGE_MERGED, .cut = 1 },
+	  .kind = SIM_SINGLE,
+	  .concurrent = 4 },
+	{ .name = "from many addresses", .kind = SIM_MERGED, .callers = 5 },
+	{ .name = "three requests in turn", .kind = SIM_MERGED, .requests = 3 },
+	{ .name = "nodes restart in turn", .kind = SIM_MERGED, .kill = true },
+	{ .name = "all nodes restart",
+	  .kind = SIM_MERGED,
+	  .power_loss_round = 5 },
+	{ .name = "a domain is cut off", .kind = SIM_MERGED, .cut = 1 },
 	{ .name = "targets keep their ids",
-	  .kind = STAGE_MERGED,
+	  .kind = SIM_MERGED,
 	  .keeps_id = true },
-	/* Its hedges are out before the first target has crashed. */
-	{ .name = "slow to crash", .kind = STAGE_MERGED, .runs_us = 40000 },
+	/* Its hedges are sent before the first target has crashed. */
+	{ .name = "slow to crash", .kind = SIM_MERGED, .runs_us = 40000 },
 	{ .name = "slow, all nodes restart",
-	  .kind = STAGE_MERGED,
+	  .kind = SIM_MERGED,
 	  .runs_us = 40000,
-	  .power = 5 },
+	  .power_loss_round = 5 },
 	{ .name = "slow, four at once",
-	  .kind = STAGE_MERGED,
-	  .at_once = 4,
+	  .kind = SIM_MERGED,
+	  .concurrent = 4,
 	  .runs_us = 40000 },
-	{ .name = "many nodes", .kind = STAGE_MERGED, .nodes = 40 },
+	{ .name = "many nodes", .kind = SIM_MERGED, .nodes = 40 },
 };
 
-static int or_one(int number)
+static int at_least_one(int number)
 {
 	return number ? number : 1;
 }
 
-static struct stage *begin(int nodes, uint64_t seed)
+static struct sim *setup(int nodes, uint64_t seed)
 {
-	struct stage *stage = stage_create(nodes, seed);
-
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_DOMAINS; i++)
-		stage_add_target(stage, "single", i % STAGE_DOMAINS);
-	stage_configure(stage, 1);
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	return stage;
+	struct sim *sim = sim_create(nodes, seed);
+
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
+		sim_add_target(sim, "single", i % SIM_DOMAINS);
+	sim_configure(sim, 1);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	return sim;
 }
 
-static int ask(struct stage *stage, int node, enum stage_kind kind,
-	       const struct stage_asked *asked)
+static int send_call(struct sim *sim, int node, enum sim_request_kind kind,
+		     const struct sim_request_spec *spec)
 {
-	return stage_ask(stage, node % stage->nnodes, kind, asked);
+	return sim_call_with(sim, node % sim->nnodes, kind, spec);
 }
 
-static int ask_deadly(struct stage *stage, const struct deadly_case *c,
-		      int round, int node)
+static int send_deadly(struct sim *sim, const struct deadly_case *c, int round,
+		       int node)
 {
-	int number = round % or_one(c->requests) + 1;
+	int number = round % at_least_one(c->requests) + 1;
 	char caller[24];
 	char query[24];
-	struct stage_asked asked = { query, caller, number };
+	struct sim_request_spec spec = { query, caller, number };
 
 	snprintf(caller, sizeof(caller), "10.1.0.%d",
-		 round % or_one(c->callers));
+		 round % at_least_one(c->callers));
 	snprintf(query, sizeof(query), "deadly%d", number);
-	return ask(stage, node, c->kind, &asked);
+	return send_call(sim, node, c->kind, &spec);
 }
 
-/* A request that nobody asked before. */
-static int ask_other(struct stage *stage, int node, enum stage_kind kind)
+/* Sends a request that has not been sent before. */
+static int send_harmless(struct sim *sim, int node, enum sim_request_kind kind)
 {
 	char query[24];
-	struct stage_asked asked = { query, "10.2.0.1", 0 };
+	struct sim_request_spec spec = { query, "10.2.0.1", 0 };
 
-	snprintf(query, sizeof(query), "other%d", stage->ncalls);
-	return ask(stage, node, kind, &asked);
+	snprintf(query, sizeof(query), "other%d", sim->ncalls);
+	return send_call(sim, node, kind, &spec);
 }
 
-/* It comes, and its caller tries once more where that failed. */
-static void come(struct stage *stage, const struct deadly_case *c, int round)
+/* Sends the deadly request, and retries it once where it failed. */
+static void run_round(struct sim *sim, const struct deadly_case *c, int round)
 {
-	int first = stage->ncalls;
-
-	for (int i = 0; i < or_one(c->at_once); i++)
-		ask_deadly(stage, c, round, round + i);
-	stage_run(stage, 2 * RETRY_US);
-	for (int i = 0; i < or_one(c->at_once); i++)
-		if (stage->calls[first + i].status != 200)
-			ask_deadly(stage, c, round, round + i + 1);
-	stage_run(stage, RETRY_US);
+	int first = sim->ncalls;
+
+	for (int i = 0; i < at_least_one(c->concurrent); i++)
+		send_deadly(sim, c, round, round + i);
+	sim_run(sim, 2 * RETRY_US);
+	for (int i = 0; i < at_least_one(c->concurrent); i++)
+		if (sim->calls[first + i].status != 200)
+			send_deadly(sim, c, round, round + i + 1);
+	sim_run(sim, RETRY_US);
 }
 
-static void lose_power(struct stage *stage)
+static void restart_all(struct sim *sim)
 {
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_kill_node(stage, i);
-	stage_run(stage, SECOND_US);
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_kill_node(sim, i);
+	sim_run(sim, SECOND_US);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_start_node(sim, i);
+	sim_settle(sim);
 }
 
-/* Nodes of one failure domain reach no others, but targets and store. */
-static void cut_domain(struct stage *stage, bool cut)
+/* Cuts one failure domain off from other nodes, not from targets or store. */
+static void cut_domain(struct sim *sim, bool cut)
 {
-	for (int i = 0; i < stage->nnodes; i++)
-		for (int j = 0; j < stage->nnodes; j++)
-			if (stage->nodes[i].domain != stage->nodes[j].domain &&
-			    (!stage->nodes[i].domain ||
-			     !stage->nodes[j].domain))
-				stage->links_cut[i][j] = cut;
+	for (int i = 0; i < sim->nnodes; i++)
+		for (int j = 0; j < sim->nnodes; j++)
+			if (sim->nodes[i].domain != sim->nodes[j].domain &&
+			    (!sim->nodes[i].domain || !sim->nodes[j].domain))
+				sim->links_cut[i][j] = cut;
 }
 
-static void restart_one(struct stage *stage, int node)
+static void restart_one(struct sim *sim, int node)
 {
-	stage_kill_node(stage, node);
-	stage_run(stage, SECOND_US / 2);
-	stage_start_node(stage, node);
+	sim_kill_node(sim, node);
+	sim_run(sim, SECOND_US / 2);
+	sim_start_node(sim, node);
 }
 
-/* Others ask all the while. Return: how many were not served. */
-static int ask_others(struct stage *stage, int64_t us)
+/* Sends harmless requests for @us. Return: the number of failures. */
+static int send_harmless_calls(struct sim *sim, int64_t us)
 {
-	int first = stage->ncalls;
+	int first = sim->ncalls;
 	int failed = 0;
 
 	for (int64_t t = 0; t < us; t += SECOND_US / 10) {
-		ask_other(stage, stage->ncalls, STAGE_MERGED);
-		ask_other(stage, stage->ncalls, STAGE_SINGLE);
-		stage_run(stage, SECOND_US / 10);
+		send_harmless(sim, sim->ncalls, SIM_MERGED);
+		send_harmless(sim, sim->ncalls, SIM_SINGLE);
+		sim_run(sim, SECOND_US / 10);
 	}
-	for (int i = first; i < stage->ncalls - 2; i++)
-		failed += stage->calls[i].status != 200;
+	for (int i = first; i < sim->ncalls - 2; i++)
+		failed += sim->calls[i].status != 200;
 	return failed;
 }
 
-/* No node has forgotten it, or has not heard of it. */
-static bool is_calm(const struct deadly_case *c)
+/* True if no node loses evidence or is cut off from it. */
+static bool is_undisturbed(const struct deadly_case *c)
 {
-	return !c->kill && !c->power && !c->cut;
+	return !c->kill && !c->power_loss_round && !c->cut;
 }
 
 /*
- * The request crashes all targets that run it, comes back every few seconds at
- * another node under another id, and takes the service away from all others.
+ * A request crashes all targets that run it, and is sent again every few
+ * seconds to another node under another id, which takes the service down for
+ * all callers. It must be blocked, and harmless requests must be served.
  */
 START_TEST(test_deadly_request_is_stopped)
 {
 	const struct deadly_case *c = &deadly_cases[_i];
-	struct stage *stage = begin(c->nodes ? c->nodes : NODES, 11);
+	struct sim *sim = setup(c->nodes ? c->nodes : NODES, 11);
 	int failed = 0;
 	int first = 0;
 
-	stage->deadly_us = c->runs_us;
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].keeps_id = c->keeps_id;
+	sim->deadly_run_us = c->runs_us;
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].keeps_id = c->keeps_id;
 	for (int round = 0; round < ROUNDS; round++) {
-		if (c->power && round == c->power)
-			lose_power(stage);
+		if (c->power_loss_round && round == c->power_loss_round)
+			restart_all(sim);
 		if (c->cut)
-			cut_domain(stage, round == c->cut);
-		come(stage, c, round);
+			cut_domain(sim, round == c->cut);
+		run_round(sim, c, round);
 		if (c->kill)
-			restart_one(stage, (round + 1) % NODES);
+			restart_one(sim, (round + 1) % NODES);
 		if (!round)
-			first = stage->deadly[1].crashes;
-		failed = ask_others(stage, ROUND_US);
-		if (round >= or_one(c->requests) * CALM_ROUND &&
-		    round != c->power && !c->kill)
-			ck_assert_msg(!failed, "%s: round %d: %d others failed",
-				      c->name, round, failed);
+			first = sim->deadly[1].crashes;
+		failed = send_harmless_calls(sim, ROUND_US);
+		if (round >= at_least_one(c->requests) * SERVED_FROM_ROUND &&
+		    round != c->power_loss_round && !c->kill)
+			ck_assert_msg(
+				!failed,
+				"%s: round %d: %d harmless requests failed",
+				c->name, round, failed);
 	}
 	if (getenv("TELL"))
-		printf("%-28s late %d, ended %d, %d after the first round\n",
-		       c->name, stage->deadly[1].late, stage->deadly[1].crashes,
-		       stage->deadly[1].crashes - first);
-	if (is_calm(c))
-		ck_assert_msg(stage->deadly[1].crashes - first <= LATER_MOST,
-			      "%s: %d targets ended after the first round",
-			      c->name, stage->deadly[1].crashes - first);
-	for (int i = 1; i <= or_one(c->requests); i++)
-		ck_assert_msg(stage->deadly[i].crashes >= 3 &&
-				      stage->deadly[i].late <= LATE_MOST,
-			      "%s: %d late tries, %d targets ended", c->name,
-			      stage->deadly[i].late, stage->deadly[i].crashes);
-	stage_destroy(stage);
+		printf("%-28s late %d, crashed %d, %d after the first round\n",
+		       c->name, sim->deadly[1].late, sim->deadly[1].crashes,
+		       sim->deadly[1].crashes - first);
+	if (is_undisturbed(c))
+		ck_assert_msg(sim->deadly[1].crashes - first <=
+				      CRASHES_AFTER_FIRST_ROUND_MAX,
+			      "%s: %d targets crashed after the first round",
+			      c->name, sim->deadly[1].crashes - first);
+	for (int i = 1; i <= at_least_one(c->requests); i++)
+		ck_assert_msg(sim->deadly[i].crashes >= 3 &&
+				      sim->deadly[i].late <= LATE_RUNS_MAX,
+			      "%s: %d late calls, %d targets crashed", c->name,
+			      sim->deadly[i].late, sim->deadly[i].crashes);
+	sim_destroy(sim);
 }
 END_TEST
 
 /**
  * struct other_case - a harmless request beside a deadly one
- * @asked: what it asks, and who asks it
- * @gap_us: it is asked all the while, so often; 0: only as below
- * @since: it is asked from this round on
+ * @spec: the request and its caller
+ * @gap_us: interval at which it is also sent continuously; 0: never
+ * @since_round: first round in which it is sent
  *
- * In each round it is under way when the deadly request crashes its targets,
- * and is asked again when they are back.
+ * In each round it is in flight when the deadly request crashes its targets,
+ * and is sent again after their restart.
  */
 struct other_case {
 	const char *name;
-	enum stage_kind kind;
-	struct stage_asked asked;
+	enum sim_request_kind kind;
+	struct sim_request_spec spec;
 	int64_t gap_us;
-	int since;
+	int since_round;
 };
 
 static const struct other_case other_cases[] = {
-	{ "asked seldom", STAGE_MERGED, { "other", "10.2.0.1", 0 }, 0, 0 },
-	{ "asked often", STAGE_MERGED, { "other", "10.2.0.1", 0 }, 50000, 0 },
-	{ "asked seldom, one target",
-	  STAGE_SINGLE,
+	{ "sent rarely", SIM_MERGED, { "other", "10.2.0.1", 0 }, 0, 0 },
+	{ "sent often", SIM_MERGED, { "other", "10.2.0.1", 0 }, 50000, 0 },
+	{ "sent rarely, one target",
+	  SIM_SINGLE,
 	  { "other", "10.2.0.1", 0 },
 	  0,
 	  0 },
-	{ "the same of another caller",
-	  STAGE_MERGED,
+	{ "the same content from another caller",
+	  SIM_MERGED,
 	  { "deadly1", "10.2.0.1", 0 },
 	  0,
 	  0 },
-	{ "the same, later", STAGE_MERGED, { "deadly1", "10.2.0.1", 0 }, 0, 5 },
-	{ "another of its caller",
-	  STAGE_MERGED,
+	{ "the same content from another caller, later",
+	  SIM_MERGED,
+	  { "deadly1", "10.2.0.1", 0 },
+	  0,
+	  5 },
+	{ "another request of the same caller",
+	  SIM_MERGED,
 	  { "other", "10.1.0.0", 0 },
 	  0,
 	  0 },
 };
 
-static void check_whole(struct stage *stage, const struct other_case *o,
-			int round)
+static void check_complete(struct sim *sim, const struct other_case *o,
+			   int round)
 {
-	int index = ask(stage, round, o->kind, &o->asked);
-	const struct stage_call *call = &stage->calls[index];
+	int index = send_call(sim, round, o->kind, &o->spec);
+	const struct sim_call *call = &sim->calls[index];
 
-	stage_run(stage, SECOND_US / 2);
+	sim_run(sim, SECOND_US / 2);
 	ck_assert_msg(call->status == 200 && !call->missing,
 		      "%s: round %d: status %d", o->name, round, call->status);
 }
 
 /*
- * A harmless request loses its connections each time that the deadly one comes,
- * as it is under way at the same targets. It must not be taken for the deadly
- * one: once the targets are back it is answered whole.
+ * A harmless request loses its connections whenever the deadly one arrives, as
+ * it is in flight at the same targets. It must not be mistaken for the deadly
+ * one: after the restart of the targets it gets a complete answer.
  */
 START_TEST(test_other_request_is_served)
 {
 	const struct other_case *o = &other_cases[_i];
 	const struct deadly_case c = { .name = "beside", .kind = o->kind };
-	struct stage *stage = begin(NODES, 11);
+	struct sim *sim = setup(NODES, 11);
 
 	for (int round = 0; round < ROUNDS; round++) {
-		ask_deadly(stage, &c, round, round);
-		stage_run(stage, BEFORE_CRASH_US);
-		for (int i = 0; i < NODES && round >= o->since; i++)
-			ask(stage, i, o->kind, &o->asked);
+		send_deadly(sim, &c, round, round);
+		sim_run(sim, BEFORE_CRASH_US);
+		for (int i = 0; i < NODES && round >= o->since_round; i++)
+			send_call(sim, i, o->kind, &o->spec);
 		for (int64_t t = 0; o->gap_us && t < ROUND_US / 2;
 		     t += o->gap_us) {
-			ask(stage, stage->ncalls, o->kind, &o->asked);
-			stage_run(stage, o->gap_us);
+			send_call(sim, sim->ncalls, o->kind, &o->spec);
+			sim_run(sim, o->gap_us);
 		}
-		stage_run(stage, ROUND_US / 2);
-		if (round >= o->since)
-			check_whole(stage, o, round);
-		stage_run(stage, ROUND_US / 2);
+		sim_run(sim, ROUND_US / 2);
+		if (round >= o->since_round)
+			check_complete(sim, o, round);
+		sim_run(sim, ROUND_US / 2);
 	}
-	ck_assert_int_le(stage->deadly[1].late, LATE_MOST);
-	stage_destroy(stage);
+	ck_assert_int_le(sim->deadly[1].late, LATE_RUNS_MAX);
+	sim_destroy(sim);
 }
 END_TEST
 
 /**
- * struct crash_case - targets that end for reasons of their own
- * @domains: all of a failure domain at once, one domain after the other
- * @gap_us: between two such crashes
- * @kind, @often_us: a harmless request is asked so often meanwhile
+ * struct crash_case - crashes of targets that no request has caused
+ * @domains: all targets of a failure domain crash at once, domains in turn;
+ *           otherwise single targets in turn
+ * @gap_us: interval of these crashes
+ * @kind: kind of a harmless request that is sent meanwhile
+ * @call_interval_us: interval of that request
  */
 struct crash_case {
 	const char *name;
 	bool domains;
 	int64_t gap_us;
-	enum stage_kind kind;
-	int64_t often_us;
+	enum sim_request_kind kind;
+	int64_t call_interval_us;
 };
 
 static const struct crash_case crash_cases[] = {
-	{ "three domains in a row", true, 500000, STAGE_MERGED, 20000 },
-	{ "three domains in a row, seldom", true, 500000, STAGE_MERGED,
-	  400000 },
-	{ "domains all the time", true, 2000000, STAGE_STRICT, 100000 },
-	{ "domains, one target", true, 2000000, STAGE_SINGLE, 20000 },
-	{ "targets restart in turn", false, 100000, STAGE_MERGED, 20000 },
-	{ "in turn, one target", false, 100000, STAGE_SINGLE, 20000 },
+	{ "three domains in a row", true, 500000, SIM_MERGED, 20000 },
+	{ "three domains in a row, rarely", true, 500000, SIM_MERGED, 400000 },
+	{ "domains all the time", true, 2000000, SIM_STRICT, 100000 },
+	{ "domains, one target", true, 2000000, SIM_SINGLE, 20000 },
+	{ "targets restart in turn", false, 100000, SIM_MERGED, 20000 },
+	{ "in turn, one target", false, 100000, SIM_SINGLE, 20000 },
 };
 
-static void crash_some(struct stage *stage, const struct crash_case *c, int n)
+static void crash_some(struct sim *sim, const struct crash_case *c, int n)
 {
 	if (!c->domains) {
-		stage_crash(stage, n % stage->ntargets);
+		sim_crash_target(sim, n % sim->ntargets);
 		return;
 	}
-	for (int i = 0; i < stage->ntargets; i++)
-		if (stage->targets[i].domain == n % STAGE_DOMAINS)
-			stage_crash(stage, i);
+	for (int i = 0; i < sim->ntargets; i++)
+		if (sim->targets[i].domain == n % SIM_DOMAINS)
+			sim_crash_target(sim, i);
 }
 
 /*
- * Targets crash again and again under a request that is harmless: whole failure
- * domains, or one after the other. It is never blocked for that.
+ * Targets crash repeatedly while they run a harmless request: whole failure
+ * domains, or single targets in turn. The request must never be blocked for it.
  */
 START_TEST(test_crashes_of_other_causes)
 {
 	const struct crash_case *c = &crash_cases[_i];
-	struct stage_asked asked = { "popular", "10.2.0.1", 0 };
-	struct stage *stage = begin(NODES, 11);
-	int64_t next = stage->now;
+	struct sim_request_spec spec = { "popular", "10.2.0.1", 0 };
+	struct sim *sim = setup(NODES, 11);
+	int64_t next = sim->now;
 	int n = 0;
 	int index;
 
-	for (int64_t t = 0; t < 12 * (int64_t)SECOND_US; t += c->often_us) {
-		ask(stage, stage->ncalls, c->kind, &asked);
-		stage_run(stage, c->often_us / 2);
-		if (stage->now >= next) {
-			crash_some(stage, c, n++);
-			next = stage->now + c->gap_us;
+	for (int64_t t = 0; t < 12 * (int64_t)SECOND_US;
+	     t += c->call_interval_us) {
+		send_call(sim, sim->ncalls, c->kind, &spec);
+		sim_run(sim, c->call_interval_us / 2);
+		if (sim->now >= next) {
+			crash_some(sim, c, n++);
+			next = sim->now + c->gap_us;
 		}
-		stage_run(stage, c->often_us / 2);
+		sim_run(sim, c->call_interval_us / 2);
 	}
-	/* Targets are back, and their entries too. */
-	stage_run(stage, ROUND_US);
+	/* Targets have restarted and are published again. */
+	sim_run(sim, ROUND_US);
 	for (int i = 0; i < NODES; i++) {
-		index = ask(stage, i, c->kind, &asked);
-		stage_run(stage, SECOND_US / 2);
-		ck_assert_msg(stage->calls[index].status == 200,
-			      "%s: status %d", c->name,
-			      stage->calls[index].status);
+		index = send_call(sim, i, c->kind, &spec);
+		sim_run(sim, SECOND_US / 2);
+		ck_assert_msg(sim->calls[index].status == 200, "%s: status %d",
+			      c->name, sim->calls[index].status);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * All replies are lost for seconds, though no target ends. What was blocked for
- * that is served again once it is known that the targets never ended.
+ * All replies are lost for seconds, but no target crashes. Requests blocked for
+ * that must be served again once it is known that the targets did not crash.
  */
 START_TEST(test_broken_connections_are_no_crashes)
 {
-	static const enum stage_kind kinds[] = { STAGE_MERGED, STAGE_SINGLE,
-						 STAGE_ONCE };
-	struct stage_asked asked = { "seldom", "10.2.0.1", 0 };
-	struct stage *stage = begin(NODES, 11);
+	static const enum sim_request_kind kinds[] = { SIM_MERGED, SIM_SINGLE,
+						       SIM_ONCE };
+	struct sim_request_spec spec = { "seldom", "10.2.0.1", 0 };
+	struct sim *sim = setup(NODES, 11);
 	int index;
 
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].lose = 1;
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].reply_loss = 1;
 	for (int i = 0; i < NODES; i++) {
-		ask(stage, i, kinds[_i], &asked);
-		stage_run(stage, SECOND_US);
+		send_call(sim, i, kinds[_i], &spec);
+		sim_run(sim, SECOND_US);
 	}
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].lose = 0;
-	stage_run(stage, 16 * SECOND_US);
-	index = ask(stage, 0, kinds[_i], &asked);
-	stage_run(stage, SECOND_US);
-	ck_assert_int_eq(stage->calls[index].status, 200);
-	stage_destroy(stage);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].reply_loss = 0;
+	sim_run(sim, 16 * SECOND_US);
+	index = send_call(sim, 0, kinds[_i], &spec);
+	sim_run(sim, SECOND_US);
+	ck_assert_int_eq(sim->calls[index].status, 200);
+	sim_destroy(sim);
 }
 END_TEST
 
-static bool knows_suspect(struct stage *stage, int node)
+static bool has_suspect(struct sim *sim, int node)
 {
 	static const char suspect[] = "\nwasabimoor_suspect_requests 1\n";
 	static const char blocked[] = "\nwasabimoor_blocked_requests 1\n";
 	struct buf text = { 0 };
-	bool knows;
+	bool found;
 
-	tier_metrics(stage->nodes[node].tier, &text);
-	knows = memmem(text.ptr, text.len, suspect, sizeof(suspect) - 1) ||
+	tier_metrics(sim->nodes[node].tier, &text);
+	found = memmem(text.ptr, text.len, suspect, sizeof(suspect) - 1) ||
 		memmem(text.ptr, text.len, blocked, sizeof(blocked) - 1);
 	buf_free(&text);
-	return knows;
+	return found;
 }
 
-/** struct spread_case - @runs_us: as in struct deadly_case */
-struct spread_case {
+/** struct propagation_case - @runs_us: as in struct deadly_case */
+struct propagation_case {
 	int nodes;
 	int64_t runs_us;
 };
 
-static const struct spread_case spread_cases[] = {
+static const struct propagation_case propagation_cases[] = {
 	{ NODES, 0 },
 	{ 40, 0 },
 	{ NODES, 40000 },
@@ -461,25 +471,26 @@
 };
 
 /*
- * Its caller tries again at another node as soon as it has failed: all must
- * know of it by then, also where one node cannot tell them all.
+ * The caller of a deadly request retries at another node as soon as it has
+ * failed: the evidence must have reached all nodes by then, also in a fleet too
+ * large for one node to send it to all others.
  */
 START_TEST(test_evidence_reaches_all_nodes)
 {
-	const struct spread_case *c = &spread_cases[_i];
-	static const struct deadly_case once = { .kind = STAGE_MERGED };
-	struct stage *stage = begin(c->nodes, 11);
+	const struct propagation_case *c = &propagation_cases[_i];
+	static const struct deadly_case once = { .kind = SIM_MERGED };
+	struct sim *sim = setup(c->nodes, 11);
 	int call;
 
-	stage->deadly_us = c->runs_us;
-	call = ask_deadly(stage, &once, 0, 0);
-	while (!stage->calls[call].answered_at)
-		stage_run(stage, STEP_US);
-	stage_run(stage, TOLD_US);
-	for (int i = 0; i < stage->nnodes; i++)
-		ck_assert_msg(knows_suspect(stage, i), "node %d of %d", i,
-			      stage->nnodes);
-	stage_destroy(stage);
+	sim->deadly_run_us = c->runs_us;
+	call = send_deadly(sim, &once, 0, 0);
+	while (!sim->calls[call].answered_at)
+		sim_run(sim, STEP_US);
+	sim_run(sim, PROPAGATION_US);
+	for (int i = 0; i < sim->nnodes; i++)
+		ck_assert_msg(has_suspect(sim, i), "node %d of %d", i,
+			      sim->nnodes);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -488,7 +499,7 @@
 	tcase_add_loop_test(tcase, test_deadly_request_is_stopped, 0,
 			    COUNT(deadly_cases));
 	tcase_add_loop_test(tcase, test_evidence_reaches_all_nodes, 0,
-			    COUNT(spread_cases));
+			    COUNT(propagation_cases));
 	tcase_add_loop_test(tcase, test_other_request_is_served, 0,
 			    COUNT(other_cases));
 	tcase_add_loop_test(tcase, test_crashes_of_other_causes, 0,
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -1,8 +1,8 @@
 /*
- * Heavy days in virtual time: a load of questions, a pattern of trouble at the
- * targets, and how many callers still get a whole answer by their goal. Each
- * pattern names what it stands for; its figures are those of the small sites:
- * two targets a shard with two slots each, 100 ms to answer.
+ * Load tests in the simulation: a rate of questions, a pattern of faults at the
+ * targets, and how many callers still get a complete answer by their latency
+ * goal. The dimensions are those of the small sites: two targets per shard with
+ * two slots each, and a goal of 100 ms.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,179 +11,184 @@
 #include <check.h>
 
 #include "../mechanism.h"
-#include "stage.h"
+#include "sim.h"
 #include "suite.h"
 
 enum {
 	NODES = 6,
 	GOAL_US = 100000,
 	SECOND_US = 1000000,
-	/* Until nodes have seen what is wrong; not judged. */
-	LEARN_US = 2 * SECOND_US,
-	JUDGED_US = 8 * SECOND_US,
-	WORK_US = 10000,
-	/* Failed questions that are told of. */
-	TOLD = 3,
+	/* Until nodes have adapted to the faults; not measured. */
+	WARMUP_US = 2 * SECOND_US,
+	MEASURED_US = 8 * SECOND_US,
+	BASE_SERVICE_US = 10000,
+	FAILURES_PRINTED_MAX = 3,
 };
 
 /**
- * struct pattern - a kind of heavy day
- * @rate: questions a second, spread evenly over the nodes
- * @spoil: called before each question, to set what is wrong by then
- * @credit: least mean of the squared share of shards that are in by the goal
- * @failed: most questions of a hundred that end without an answer
- * @extra: most hedges and retries, in a hundred first sends
+ * struct pattern - load, faults, and limits of the result
+ * @rate: questions per second, distributed evenly over the nodes
+ * @inject: called before each question, to set the faults at that time
+ * @credit: minimum mean of the squared coverage by the goal
+ * @failed: maximum percentage of questions without an answer
+ * @extra: maximum hedges and retries, in percent of the first sends
+ * @small: two of three VMs are too small to merge
  */
 struct pattern {
 	const char *name;
 	int rate;
-	void (*spoil)(struct stage *stage);
+	void (*inject)(struct sim *sim);
 	double credit;
 	double failed;
 	double extra;
-	bool small; /* two of three VMs are too small to merge */
+	bool small;
 };
 
-/* Targets are added shard by shard: of a shard, 2 i and 2 i + 1. */
+/* The targets of shard i are those with the indexes 2 i and 2 i + 1. */
 
-/* One target of each shard rejects three of five requests, health good. */
-static void shed_across(struct stage *stage)
+/* One target of each shard rejects three of five requests but is healthy. */
+static void reject_at_one_target_per_shard(struct sim *sim)
 {
-	for (int i = 0; i < STAGE_SHARDS; i++)
-		stage->targets[2 * i + i % 2].shed = 0.6;
+	for (int i = 0; i < SIM_SHARDS; i++)
+		sim->targets[2 * i + i % 2].reject_rate = 0.6;
 }
 
-/* One target of each fourth shard takes eight times as long. */
-static void slow_across(struct stage *stage)
+/* One target of every fourth shard takes eight times as long. */
+static void slow_every_fourth_shard(struct sim *sim)
 {
-	for (int i = 0; i < STAGE_SHARDS; i += 4)
-		stage->targets[2 * i].service_us = 8 * WORK_US;
+	for (int i = 0; i < SIM_SHARDS; i += 4)
+		sim->targets[2 * i].service_us = 8 * BASE_SERVICE_US;
 }
 
-/* Each target stands still for 150 ms each 3.6 s, at its own time. */
-static void pause_in_turn(struct stage *stage)
+/* Each target is paused for 150 ms every 3.6 s, at different times. */
+static void pause_in_rotation(struct sim *sim)
 {
 	static const int64_t every = 3600000;
 	static const int64_t length = 150000;
 
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++) {
-		int64_t at = stage->now + every - i * every / 29;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++) {
+		int64_t at = sim->now + every - i * every / 29;
 
 		if (at % every < length)
-			stage->targets[i].paused_until =
-				stage->now + length - at % every;
+			sim->targets[i].paused_until =
+				sim->now + length - at % every;
 	}
 }
 
-static void shed_and_pause(struct stage *stage)
+static void reject_and_pause(struct sim *sim)
 {
-	shed_across(stage);
-	pause_in_turn(stage);
+	reject_at_one_target_per_shard(sim);
+	pause_in_rotation(sim);
 }
 
-/* A burst: what is left of each fourth shard is just not enough for it. */
-static void slow_in_burst(struct stage *stage)
+/* A burst: the remaining capacity of every fourth shard just falls short. */
+static void overload_every_fourth_shard(struct sim *sim)
 {
-	for (int i = 0; i < STAGE_SHARDS; i += 4)
-		stage->targets[2 * i].service_us = 30 * WORK_US;
+	for (int i = 0; i < SIM_SHARDS; i += 4)
+		sim->targets[2 * i].service_us = 30 * BASE_SERVICE_US;
 }
 
-/* Both targets of two shards are so slow that there is no room for all. */
-static void short_of_room(struct stage *stage)
+/* Both targets of two shards are too slow to serve all questions. */
+static void slow_two_shards(struct sim *sim)
 {
-	for (int i = 0; i < 2 * STAGE_SHARDS; i += STAGE_SHARDS)
+	for (int i = 0; i < 2 * SIM_SHARDS; i += SIM_SHARDS)
 		for (int j = 0; j < 2; j++)
-			stage->targets[i + j].service_us = 12 * WORK_US;
+			sim->targets[i + j].service_us = 12 * BASE_SERVICE_US;
 }
 
 /*
- * One failure domain is dark: a third of the shards have one target left, in a
- * domain that fewer nodes are beside. What is left can bear all; a node that
- * leaves it too few of its connections has shards wait for room there.
+ * One failure domain does not reply. Its shards have one target left, in a
+ * domain with fewer nearby nodes. The capacity left is sufficient; a node that
+ * uses too few of its connections there makes shards queue for the target.
  */
-static void dark_domain(struct stage *stage)
+static void silence_domain(struct sim *sim)
 {
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++)
-		if (stage->targets[i].domain == 0)
-			stage->targets[i].silent = true;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++)
+		if (sim->targets[i].domain == 0)
+			sim->targets[i].silent = true;
 }
 
-/* All targets run requests and lose three of ten replies. */
-static void lose_all(struct stage *stage)
+/* All targets lose three of ten replies after execution. */
+static void lose_replies(struct sim *sim)
 {
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++)
-		stage->targets[i].lose = 0.3;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++)
+		sim->targets[i].reply_loss = 0.3;
 }
 
-static void nothing(struct stage *stage)
+static void no_fault(struct sim *sim)
 {
-	(void)stage;
+	(void)sim;
 }
 
 static const struct pattern patterns[] = {
-	{ "calm", 120, nothing, 0.99, 0, 1, false },
-	{ "pauses in turn", 120, pause_in_turn, 0.98, 0.5, 4, false },
-	{ "slow across", 120, slow_across, 0.99, 0, 1, false },
-	{ "slow in a burst", 190, slow_in_burst, 0.98, 0, 1, false },
-	{ "short of room", 60, short_of_room, 0, 43, 4, false },
-	{ "dark domain", 185, dark_domain, 0.99, 0, 2, false },
-	/* 200 a second are all that some shards bear. */
-	{ "dark domain, no room", 215, dark_domain, 0.7, 15, 5, false },
-	{ "replies lost", 10, lose_all, 0.65, 30, 60, true },
-	{ "shedding across", 120, shed_across, 0.99, 0, 1.5, false },
-	{ "shedding across, pauses", 120, shed_and_pause, 0.945, 0.5, 5,
+	{ "calm", 120, no_fault, 0.99, 0, 1, false },
+	{ "pauses in turn", 120, pause_in_rotation, 0.98, 0.5, 4, false },
+	{ "slow across", 120, slow_every_fourth_shard, 0.99, 0, 1, false },
+	{ "slow in a burst", 190, overload_every_fourth_shard, 0.98, 0, 1,
+	  false },
+	{ "short of room", 60, slow_two_shards, 0, 43, 4, false },
+	{ "dark domain", 185, silence_domain, 0.99, 0, 2, false },
+	/* The capacity of some shards is 200 per second. */
+	{ "dark domain, no room", 215, silence_domain, 0.7, 15, 5, false },
+	{ "replies lost", 10, lose_replies, 0.65, 30, 60, true },
+	{ "shedding across", 120, reject_at_one_target_per_shard, 0.99, 0, 1.5,
+	  false },
+	{ "shedding across, pauses", 120, reject_and_pause, 0.945, 0.5, 5,
 	  false },
 };
 
-/* Why callers got nothing, to begin a search with. */
-static void tell_failed(const struct stage *stage, int from)
+/* Prints the first failed questions, as a starting point for debugging. */
+static void print_failed(const struct sim *sim, int from)
 {
-	int told = 0;
+	int printed = 0;
 
-	for (int i = from; i < stage->ncalls && told < TOLD; i++)
-		if (stage->calls[i].status != 200 && ++told)
+	for (int i = from; i < sim->ncalls && printed < FAILURES_PRINTED_MAX;
+	     i++)
+		if (sim->calls[i].status != 200 && ++printed)
 			printf("  question %d: status %d after %.1f ms\n", i,
-			       stage->calls[i].status,
-			       (stage->calls[i].answered_at -
-				stage->calls[i].start) /
+			       sim->calls[i].status,
+			       (sim->calls[i].answered_at -
+				sim->calls[i].start) /
 				       1000.0);
 }
 
-static struct stage *begin(bool small, uint32_t without)
+static struct sim *setup(bool small, uint32_t without)
 {
-	struct stage *stage = stage_create(NODES, 11);
+	struct sim *sim = sim_create(NODES, 11);
 
-	stage->without = without;
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++) {
-		stage->targets[i].slots = 2;
-		stage->targets[i].service_us = WORK_US;
+	sim->without = without;
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_SHARDS; i++) {
+		sim->targets[i].slots = 2;
+		sim->targets[i].service_us = BASE_SERVICE_US;
 	}
-	stage_configure(stage, 1);
+	sim_configure(sim, 1);
 	for (int i = 0; small && i < NODES; i++)
 		if (i % 3)
-			stage->nodes[i].settings.core = 0.05;
+			sim->nodes[i].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	return stage;
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	return sim;
 }
 
-static void load(struct stage *stage, const struct pattern *pattern,
-		 int64_t length)
+static void apply_load(struct sim *sim, const struct pattern *pattern,
+		       int64_t length)
 {
 	int64_t gap = SECOND_US / pattern->rate;
 
 	for (int64_t at = 0; at < length; at += gap) {
-		pattern->spoil(stage);
-		stage_call(stage, stage->ncalls % NODES, STAGE_STRICT);
-		stage_run(stage, gap);
+		pattern->inject(sim);
+		sim_call(sim, sim->ncalls % NODES, SIM_STRICT);
+		sim_run(sim, gap);
 	}
 }
 
 /**
- * struct result - what callers got, each a share of the questions
- * @extra: hedges and retries, in a hundred first sends
+ * struct result - measured results
+ * @credit: mean of the squared coverage by the goal
+ * @failed: fraction of questions without an answer
+ * @extra: hedges and retries, in percent of the first sends
  */
 struct result {
 	double credit;
@@ -191,59 +196,60 @@
 	double extra;
 };
 
-static struct result judge(const struct stage *stage, int from)
+static struct result measure(const struct sim *sim, int from)
 {
 	struct result result = { 0 };
-	int count = stage->ncalls - from;
+	int count = sim->ncalls - from;
 
-	for (int i = from; i < stage->ncalls; i++) {
-		const struct stage_call *call = &stage->calls[i];
-		double share = (double)call->parts / STAGE_SHARDS;
+	for (int i = from; i < sim->ncalls; i++) {
+		const struct sim_call *call = &sim->calls[i];
+		double fraction = (double)call->parts / SIM_SHARDS;
 
 		if (call->status != 200)
 			result.failed += 1.0 / count;
 		else if (call->answered_at - call->start <= GOAL_US)
-			result.credit += share * share / count;
+			result.credit += fraction * fraction / count;
 	}
 	return result;
 }
 
-/* Plays @pattern without some mechanisms. */
-static struct result play(const struct pattern *pattern, uint32_t without)
+/* Runs @pattern; @without is the bit set of disabled mechanisms. */
+static struct result run_pattern(const struct pattern *pattern,
+				 uint32_t without)
 {
-	struct stage *stage = begin(pattern->small, without);
-	/* The log of one question, by its number. */
+	struct sim *sim = setup(pattern->small, without);
+	/* Number of the question whose log lines are printed. */
 	const char *traced = getenv("TRACE");
 	struct result result;
 	int from;
 
 	if (traced)
-		stage->traced = atoi(traced);
-	load(stage, pattern, LEARN_US);
-	from = stage->ncalls;
-	stage->first_sends = stage->extra_sends = 0;
-	load(stage, pattern, JUDGED_US);
-	stage_run(stage, 2 * SECOND_US);
-	result = judge(stage, from);
-	result.extra = 100.0 * stage->extra_sends / stage->first_sends;
+		sim->traced_call = atoi(traced);
+	apply_load(sim, pattern, WARMUP_US);
+	from = sim->ncalls;
+	sim->first_sends = sim->extra_sends = 0;
+	apply_load(sim, pattern, MEASURED_US);
+	sim_run(sim, 2 * SECOND_US);
+	result = measure(sim, from);
+	result.extra = 100.0 * sim->extra_sends / sim->first_sends;
 	printf("%-24s credit %.3f, failed %.3f, retries %.1f %%\n",
 	       pattern->name, result.credit, result.failed, result.extra);
 	if (!without)
-		tell_failed(stage, from);
+		print_failed(sim, from);
 	fflush(stdout);
-	stage_destroy(stage);
+	sim_destroy(sim);
 	return result;
 }
 
 /*
- * Callers ask all the while. What goes wrong at the targets reaches them as a
- * late or partial answer; a node that knows of it asks the other target of the
- * shard first, and keeps hedges for what it could not know.
+ * Faults of targets under continuous load make answers late or partial. Nodes
+ * must prefer the other target of a shard where a fault is already known, and
+ * use hedges only for faults that they could not know of.
  */
 START_TEST(test_pattern)
 {
 	const struct pattern *pattern = &patterns[_i];
-	struct result result = play(pattern, 0);
+	struct result result = run_pattern(pattern, 0);
 
 	ck_assert_msg(result.credit >= pattern->credit, "%s: credit %.3f",
 		      pattern->name, result.credit);
@@ -254,13 +260,13 @@
 }
 END_TEST
 
-/** struct need - a pattern that is not borne without a mechanism */
-struct need {
+/** struct requirement - a pattern that fails without a mechanism */
+struct requirement {
 	const char *pattern;
 	enum mechanism mechanism;
 };
 
-static const struct need needs[] = {
+static const struct requirement requirements[] = {
 	{ "pauses in turn", MECHANISM_HEDGES },
 	{ "slow across", MECHANISM_SLOWNESS },
 	{ "dark domain, no room", MECHANISM_LINE },
@@ -277,19 +283,19 @@
 	return &patterns[i];
 }
 
-/* The same loads with one mechanism off: callers are served worse than asked.
- */
-START_TEST(test_needed)
+/* Without the mechanism the pattern must exceed one of its limits. */
+START_TEST(test_mechanism_is_required)
 {
-	const struct need *need = &needs[_i];
-	const struct pattern *pattern = find_pattern(need->pattern);
-	struct result result = play(pattern, 1U << need->mechanism);
+	const struct requirement *requirement = &requirements[_i];
+	const struct pattern *pattern = find_pattern(requirement->pattern);
+	struct result result =
+		run_pattern(pattern, 1U << requirement->mechanism);
 
 	ck_assert_msg(result.credit < pattern->credit ||
 			      100 * result.failed > pattern->failed ||
 			      result.extra > pattern->extra,
-		      "%s is borne without %s", need->pattern,
-		      mechanism_info(need->mechanism)->name);
+		      "%s passes without %s", requirement->pattern,
+		      mechanism_info(requirement->mechanism)->name);
 }
 END_TEST
 
@@ -297,8 +303,8 @@
 {
 	tcase_add_loop_test(tcase, test_pattern, 0,
 			    sizeof(patterns) / sizeof(*patterns));
-	tcase_add_loop_test(tcase, test_needed, 0,
-			    sizeof(needs) / sizeof(*needs));
+	tcase_add_loop_test(tcase, test_mechanism_is_required, 0,
+			    sizeof(requirements) / sizeof(*requirements));
 }
 
 int main(void)
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -1,7 +1,7 @@
 /*
- * All bytes that the platform sends: settings, replies of the store, values of
- * its keys. What is malformed gets an error that names the place, and one bad
- * entry disturbs nothing else.
+ * Tests of the decoding of platform data: settings, replies of the store, and
+ * values of its keys. Malformed input must give an error that names the
+ * place, and one bad entry must not affect others.
  */
 #include <stdio.h>
 
@@ -10,7 +10,7 @@
 #include "../platform/platform.h"
 #include "suite.h"
 
-/** struct input - a text, and what its error names (NULL: accepted) */
+/** struct input - a text, and a part of its error (NULL: valid) */
 struct input {
 	const char *text;
 	const char *names;
@@ -18,12 +18,12 @@
 
 static apr_pool_t *pool;
 
-static void make_pool(void)
+static void create_pool(void)
 {
 	apr_pool_create(&pool, NULL);
 }
 
-static void drop_pool(void)
+static void destroy_pool(void)
 {
 	apr_pool_destroy(pool);
 }
@@ -238,7 +238,7 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_checked_fixture(tcase, make_pool, drop_pool);
+	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_settings, 0, COUNT(settings));
 	tcase_add_loop_test(tcase, test_pages, 0, COUNT(pages));
 	tcase_add_test(tcase, test_changes);
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -1,6 +1,6 @@
 /*
- * Nodes of the tier in virtual time, against fakes of store, targets and
- * callers: what a caller gets, and what targets see, when things fail.
+ * Tests of whole nodes in the simulation: replies to callers and requests to
+ * targets under faults of nodes, targets, links and the store.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,118 +8,118 @@
 
 #include <check.h>
 
-#include "stage.h"
+#include "sim.h"
 #include "suite.h"
 
 enum {
 	GOAL_US = 100000,
 	SECOND_US = 1000000,
 	NODES = 6,
-	NINE = 9,
-	MANY = STAGE_NODES,
-	FULL = STAGE_SHARDS,
+	SMALL_FLEET = 9,
+	LARGE_FLEET = SIM_NODES_MAX,
+	ALL_SHARDS = SIM_SHARDS,
 };
 
-static struct stage *begin(int nodes)
+static struct sim *setup(int nodes)
 {
-	struct stage *stage = stage_create(nodes, 7);
+	struct sim *sim = sim_create(nodes, 7);
 
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_DOMAINS; i++)
-		stage_add_target(stage, "single", i % STAGE_DOMAINS);
-	stage_configure(stage, 1);
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
+		sim_add_target(sim, "single", i % SIM_DOMAINS);
+	sim_configure(sim, 1);
 	for (int i = 0; i < nodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	return stage;
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	return sim;
 }
 
-/* All nodes are without power for a second; the test starts them anew. */
-static void lose_power(struct stage *stage, int nodes)
+/* Stops all nodes abruptly for a second; the test restarts them. */
+static void lose_power(struct sim *sim, int nodes)
 {
 	for (int i = 0; i < nodes; i++)
-		stage_kill_node(stage, i);
-	stage_run(stage, SECOND_US);
+		sim_kill_node(sim, i);
+	sim_run(sim, SECOND_US);
 }
 
-static int64_t took(const struct stage_call *call)
+static int64_t elapsed_us(const struct sim_call *call)
 {
 	return call->answered_at - call->start;
 }
 
-static int most_targets_of_a_shard(const struct stage_call *call)
+static int max_targets_per_shard(const struct sim_call *call)
 {
-	int most = 0;
+	int max = 0;
 
-	for (int i = 0; i < 2 * STAGE_SHARDS; i++)
-		if (call->targets_of_shard[i] > most)
-			most = call->targets_of_shard[i];
-	return most;
+	for (int i = 0; i < 2 * SIM_SHARDS; i++)
+		if (call->targets_of_shard[i] > max)
+			max = call->targets_of_shard[i];
+	return max;
 }
 
-static void check_merged(const struct stage_call *call, size_t parts)
+static void check_merged(const struct sim_call *call, size_t parts)
 {
 	ck_assert_int_eq(call->status, 200);
 	ck_assert_uint_eq(call->parts, parts);
-	ck_assert_uint_eq(call->missing, FULL - parts);
+	ck_assert_uint_eq(call->missing, ALL_SHARDS - parts);
 	ck_assert(!call->duplicate_part);
 	ck_assert(!call->foreign_part);
-	ck_assert(!call->not_greatest);
-	ck_assert_int_le(most_targets_of_a_shard(call), 2);
+	ck_assert(!call->unsorted);
+	ck_assert_int_le(max_targets_per_shard(call), 2);
 }
 
-/* Nothing fails: each node answers each kind, whole and in time. */
-START_TEST(test_calm)
+/* Without faults each node answers each kind completely and in time. */
+START_TEST(test_no_faults)
 {
-	struct stage *stage = begin(NODES);
-	int merged = stage_call(stage, _i, STAGE_MERGED);
-	int single = stage_call(stage, _i, STAGE_SINGLE);
-	int once = stage_call(stage, _i, STAGE_ONCE);
+	struct sim *sim = setup(NODES);
+	int merged = sim_call(sim, _i, SIM_MERGED);
+	int single = sim_call(sim, _i, SIM_SINGLE);
+	int once = sim_call(sim, _i, SIM_ONCE);
 
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[merged], FULL);
-	ck_assert_int_le(took(&stage->calls[merged]), GOAL_US / 2);
-	ck_assert_int_eq(stage->calls[single].status, 200);
-	ck_assert_int_eq(stage->calls[once].status, 200);
-	ck_assert_int_eq(stage->calls[once].runs, 1);
-	stage_destroy(stage);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[merged], ALL_SHARDS);
+	ck_assert_int_le(elapsed_us(&sim->calls[merged]), GOAL_US / 2);
+	ck_assert_int_eq(sim->calls[single].status, 200);
+	ck_assert_int_eq(sim->calls[once].status, 200);
+	ck_assert_int_eq(sim->calls[once].runs, 1);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * The caller gets a whole answer in time though a target of each third shard
- * stands still for longer than the goal: the other target of the shard is
- * asked once the reply is late, and the still one gets no more meanwhile.
+ * One target of every third shard is paused for longer than the latency goal.
+ * Late requests are hedged at the other target of the shard, and the paused one
+ * gets no new requests meanwhile, so answers are complete and in time.
  */
 START_TEST(test_paused_targets)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int first;
 	int second;
 
-	for (int i = 0; i < 2 * FULL; i += 6)
-		stage->targets[i].paused_until = stage->now + 3 * GOAL_US;
-	first = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, GOAL_US);
-	second = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[first], FULL);
-	check_merged(&stage->calls[second], FULL);
-	ck_assert_int_le(took(&stage->calls[first]), GOAL_US);
-	ck_assert_int_le(took(&stage->calls[second]), GOAL_US / 2);
-	stage_destroy(stage);
+	for (int i = 0; i < 2 * ALL_SHARDS; i += 6)
+		sim->targets[i].paused_until = sim->now + 3 * GOAL_US;
+	first = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, GOAL_US);
+	second = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[first], ALL_SHARDS);
+	check_merged(&sim->calls[second], ALL_SHARDS);
+	ck_assert_int_le(elapsed_us(&sim->calls[first]), GOAL_US);
+	ck_assert_int_le(elapsed_us(&sim->calls[second]), GOAL_US / 2);
+	sim_destroy(sim);
 }
 END_TEST
 
-/** struct gap - shards without a working target, and what comes of it */
-struct gap {
+/** struct outage - shards without a working target, and the expected answer */
+struct outage {
 	int shards;
-	bool silent; /* they take requests, and do not refuse connections */
+	bool silent; /* requests get no reply, connections are accepted */
 	int status;
 	bool in_time;
 };
 
-static const struct gap gaps[] = {
+static const struct outage outages[] = {
 	{ 1, true, 200, true },	  { 3, true, 200, true },
 	{ 1, false, 200, true },  { 3, false, 200, true },
 	{ 6, true, 504, false },  { 6, false, 503, true },
@@ -127,47 +127,47 @@
 };
 
 /*
- * Both targets of some shards are gone. While enough is left the caller gets
- * an answer that says what is missing, by its goal; else it hears at once that
- * nothing can be had, with the time to come back.
+ * Both targets of some shards are down. With sufficient coverage the caller
+ * gets a partial answer that lists the missing shards, by its goal. Otherwise,
+ * if connections are refused, it is rejected at once with a retry time.
  */
 START_TEST(test_missing_shards)
 {
-	const struct gap *gap = &gaps[_i];
-	struct stage *stage = begin(NODES);
-	struct stage_call *call;
-	int warm;
+	const struct outage *outage = &outages[_i];
+	struct sim *sim = setup(NODES);
+	struct sim_call *call;
+	int previous;
 	int index;
 
-	for (int i = 0; i < 2 * gap->shards; i++) {
-		stage->targets[i].silent = gap->silent;
-		stage->targets[i].up = gap->silent;
+	for (int i = 0; i < 2 * outage->shards; i++) {
+		sim->targets[i].silent = outage->silent;
+		sim->targets[i].up = outage->silent;
 	}
-	/* What is refused once is known to be down for the next. */
-	warm = stage_call(stage, 2, STAGE_MERGED);
-	stage_run(stage, GOAL_US / 4);
-	index = stage_call(stage, 2, STAGE_MERGED);
-	stage_run(stage, 3 * SECOND_US);
-	call = &stage->calls[index];
-	ck_assert_int_ne(stage->calls[warm].status, 0);
-	ck_assert_int_eq(call->status, gap->status);
-	if (gap->status == 200)
-		check_merged(call, (size_t)(FULL - gap->shards));
-	if (gap->in_time)
-		ck_assert_int_le(took(call), GOAL_US);
-	if (gap->status == 503) {
+	/* Refused connections mark the targets as down for the next call. */
+	previous = sim_call(sim, 2, SIM_MERGED);
+	sim_run(sim, GOAL_US / 4);
+	index = sim_call(sim, 2, SIM_MERGED);
+	sim_run(sim, 3 * SECOND_US);
+	call = &sim->calls[index];
+	ck_assert_int_ne(sim->calls[previous].status, 0);
+	ck_assert_int_eq(call->status, outage->status);
+	if (outage->status == 200)
+		check_merged(call, (size_t)(ALL_SHARDS - outage->shards));
+	if (outage->in_time)
+		ck_assert_int_le(elapsed_us(call), GOAL_US);
+	if (outage->status == 503) {
 		ck_assert_int_gt(call->retry_after_us, 0);
 		ck_assert_int_eq(call->runs, 0);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
-/** struct once_case - what the targets do, and what the caller may hear */
+/** struct once_case - faults of the targets, expected status and runs */
 struct once_case {
 	const char *name;
-	double shed;
-	double lose;
+	double reject_rate;
+	double reply_loss;
 	bool down;
 	int status;
 	int runs;
@@ -180,54 +180,54 @@
 };
 
 /*
- * A request that may run once only. The reply is lost, or no target takes it:
- * the caller is told "not run" only where nothing ran, and it never runs twice.
+ * A request that is not idempotent, whose reply is lost or which no target
+ * accepts: it never runs twice, and "not run" is reported only if it did not.
  */
 START_TEST(test_once)
 {
 	const struct once_case *c = &once_cases[_i];
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	for (int i = 2 * FULL; i < stage->ntargets; i++) {
-		stage->targets[i].shed = c->shed;
-		stage->targets[i].lose = c->lose;
-		stage->targets[i].up = !c->down;
+	for (int i = 2 * ALL_SHARDS; i < sim->ntargets; i++) {
+		sim->targets[i].reject_rate = c->reject_rate;
+		sim->targets[i].reply_loss = c->reply_loss;
+		sim->targets[i].up = !c->down;
 	}
-	index = stage_call(stage, 1, STAGE_ONCE);
-	stage_run(stage, 3 * SECOND_US);
-	ck_assert_int_eq(stage->calls[index].status, c->status);
-	ck_assert_int_eq(stage->calls[index].runs, c->runs);
+	index = sim_call(sim, 1, SIM_ONCE);
+	sim_run(sim, 3 * SECOND_US);
+	ck_assert_int_eq(sim->calls[index].status, c->status);
+	ck_assert_int_eq(sim->calls[index].runs, c->runs);
 	if (c->status == 503)
-		ck_assert_int_gt(stage->calls[index].retry_after_us, 0);
-	stage_destroy(stage);
+		ck_assert_int_gt(sim->calls[index].retry_after_us, 0);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * One target rejects the request as not run; it goes to another one, and the
- * caller notices nothing.
+ * Targets reject a request that is not idempotent as not executed: it is sent
+ * to another target, and most callers are served.
  */
-START_TEST(test_once_goes_on)
+START_TEST(test_once_rerouted)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int served = 0;
 
-	for (int i = 2 * FULL; i < stage->ntargets - 1; i++)
-		stage->targets[i].shed = 0.4;
+	for (int i = 2 * ALL_SHARDS; i < sim->ntargets - 1; i++)
+		sim->targets[i].reject_rate = 0.4;
 	for (int i = 0; i < 20; i++) {
-		int index = stage_call(stage, 1, STAGE_ONCE);
+		int index = sim_call(sim, 1, SIM_ONCE);
 
-		stage_run(stage, SECOND_US);
-		served += stage->calls[index].status == 200;
-		ck_assert_int_le(stage->calls[index].runs, 1);
+		sim_run(sim, SECOND_US);
+		served += sim->calls[index].status == 200;
+		ck_assert_int_le(sim->calls[index].runs, 1);
 	}
 	ck_assert_int_ge(served, 15);
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
-/** struct node_fault - what happens to nodes that merge for others */
+/** struct node_fault - a fault of a merging node */
 struct node_fault {
 	const char *name;
 	bool kill;
@@ -241,328 +241,327 @@
 	{ "cut off", false, false, true },
 };
 
-/* Each shard has a third target, so that three could be asked. */
-static struct stage *begin_with_three(void)
+/* Adds a third target to each shard, so that a limit of two can be exceeded. */
+static struct sim *setup_three_per_shard(void)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 
-	for (int i = 0; i < STAGE_SHARDS; i++) {
+	for (int i = 0; i < SIM_SHARDS; i++) {
 		char service[16];
 
 		snprintf(service, sizeof(service), "s%d", i);
-		stage_add_target(stage, service, i % STAGE_DOMAINS);
+		sim_add_target(sim, service, i % SIM_DOMAINS);
 	}
-	stage_run(stage, 2 * SECOND_US);
-	return stage;
+	sim_run(sim, 2 * SECOND_US);
+	return sim;
 }
 
-static void strike(struct stage *stage, const struct node_fault *fault,
-		   int node)
+static void inject_fault(struct sim *sim, const struct node_fault *fault,
+			 int node)
 {
 	if (fault->kill)
-		stage_kill_node(stage, node);
+		sim_kill_node(sim, node);
 	if (fault->freeze)
-		stage->nodes[node].frozen_until = stage->now + 2 * SECOND_US;
-	for (int i = 0; fault->cut && i < stage->nnodes; i++)
-		stage->links_cut[i][node] = stage->links_cut[node][i] = true;
+		sim->nodes[node].frozen_until = sim->now + 2 * SECOND_US;
+	for (int i = 0; fault->cut && i < sim->nnodes; i++)
+		sim->links_cut[i][node] = sim->links_cut[node][i] = true;
 }
 
 /*
- * All nodes but the caller's own die, freeze or are cut off just after they
- * were handed shards. The caller gets its answer from the targets directly, by
- * its goal or soon after, and no shard is asked at more targets than allowed.
+ * All other nodes are killed, frozen or cut off just after they received
+ * shards. The caller's node falls back to the targets, answers by the goal or
+ * soon after, and sends no shard to more targets than the route allows.
  */
 START_TEST(test_merging_node_lost)
 {
-	struct stage *stage = begin_with_three();
-	int index = stage_call(stage, 0, STAGE_MERGED);
+	struct sim *sim = setup_three_per_shard();
+	int index = sim_call(sim, 0, SIM_MERGED);
 	int next;
 
-	/* Long enough for the first sends of the others to be late. */
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].service_us = 30000;
-	stage_run(stage, 1200);
+	/* Slow enough for the first requests of the other nodes to be late. */
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].service_us = 30000;
+	sim_run(sim, 1200);
 	for (int i = 1; i < NODES; i++)
-		strike(stage, &node_faults[_i], i);
-	stage_run(stage, SECOND_US / 2);
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].service_us = 8000;
-	next = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	ck_assert_int_eq(stage->calls[index].status, 200);
-	ck_assert_int_le(took(&stage->calls[index]), 3 * GOAL_US / 2);
-	ck_assert_int_le(most_targets_of_a_shard(&stage->calls[index]), 2);
-	check_merged(&stage->calls[next], FULL);
-	ck_assert_int_le(took(&stage->calls[next]), GOAL_US);
-	stage_destroy(stage);
+		inject_fault(sim, &node_faults[_i], i);
+	sim_run(sim, SECOND_US / 2);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].service_us = 8000;
+	next = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	ck_assert_int_eq(sim->calls[index].status, 200);
+	ck_assert_int_le(elapsed_us(&sim->calls[index]), 3 * GOAL_US / 2);
+	ck_assert_int_le(max_targets_per_shard(&sim->calls[index]), 2);
+	check_merged(&sim->calls[next], ALL_SHARDS);
+	ck_assert_int_le(elapsed_us(&sim->calls[next]), GOAL_US);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * A small VM hands a question to a merging node, which tells most of it and
- * dies while four shards are late. These go to another merging node, which
- * hands on the ones that are far from it. Each shard is in the answer once:
- * nodes name shards as the route does, not as the part of it that they were
- * given.
+ * A small VM forwards a question to a merging node, which returns most shards
+ * and dies while four are late. These are reassigned to another merging node,
+ * which forwards those far from it. The answer must contain each shard once:
+ * nodes identify shards by their index in the route, not by their position in
+ * the batch that they received.
  */
-START_TEST(test_rest_handed_on)
+START_TEST(test_late_shards_reassigned)
 {
-	struct stage *stage = stage_create(NODES, 7);
-	struct stage_call *call;
+	struct sim *sim = sim_create(NODES, 7);
+	struct sim_call *call;
 	int index;
 
-	stage_add_targets(stage, "s", 2);
-	stage_configure(stage, 1);
-	stage->nodes[5].settings.core = 0.05;
+	sim_add_targets(sim, "s", 2);
+	sim_configure(sim, 1);
+	sim->nodes[5].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
-	for (int i = FULL; i < 2 * FULL; i++)
-		stage->targets[i].paused_until = stage->now + 60000;
-	index = stage_call(stage, 5, STAGE_STRICT);
-	stage_run(stage, 45000);
-	stage_kill_node(stage, 2);
-	stage_run(stage, SECOND_US);
-	call = &stage->calls[index];
+		sim_start_node(sim, i);
+	sim_settle(sim);
+	for (int i = ALL_SHARDS; i < 2 * ALL_SHARDS; i++)
+		sim->targets[i].paused_until = sim->now + 60000;
+	index = sim_call(sim, 5, SIM_STRICT);
+	sim_run(sim, 45000);
+	sim_kill_node(sim, 2);
+	sim_run(sim, SECOND_US);
+	call = &sim->calls[index];
 	ck_assert_int_eq(call->status, 200);
 	ck_assert(!call->duplicate_part);
 	ck_assert(!call->foreign_part);
-	ck_assert(!call->not_greatest);
-	ck_assert_int_ge(call->parts, FULL - 1);
-	stage_destroy(stage);
+	ck_assert(!call->unsorted);
+	ck_assert_int_ge(call->parts, ALL_SHARDS - 1);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * A node freezes just as it is handed shards, for longer than the caller waits.
- * When it wakes the question is over, and no target gets its shards any more.
+ * A node freezes as it receives shards, for longer than the caller waits. When
+ * it runs again the question has ended, and it must not send its shards to
+ * targets any more.
  */
 START_TEST(test_stale_batch)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 	int sent;
 
 	for (int i = 1; i < NODES; i++)
-		stage->nodes[i].frozen_until = stage->now + 3 * SECOND_US;
-	index = stage_call(stage, 0, STAGE_MERGED);
-	stage_run(stage, 2 * SECOND_US);
-	sent = stage->first_sends + stage->extra_sends;
-	ck_assert_int_eq(stage->calls[index].status, 200);
-	stage_run(stage, 3 * SECOND_US);
-	ck_assert_int_eq(stage->first_sends + stage->extra_sends, sent);
-	stage_destroy(stage);
+		sim->nodes[i].frozen_until = sim->now + 3 * SECOND_US;
+	index = sim_call(sim, 0, SIM_MERGED);
+	sim_run(sim, 2 * SECOND_US);
+	sent = sim->first_sends + sim->extra_sends;
+	ck_assert_int_eq(sim->calls[index].status, 200);
+	sim_run(sim, 3 * SECOND_US);
+	ck_assert_int_eq(sim->first_sends + sim->extra_sends, sent);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * The index is cut into other shards while questions are under way: each
- * answer holds parts of one version only, whichever nodes have which.
+ * The index is resharded while questions are in flight: each answer must hold
+ * parts of one version only, whichever version each node has.
  */
 START_TEST(test_reshard)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int calls[60];
 
-	stage_add_targets(stage, "r", 2);
-	stage_run(stage, SECOND_US);
+	sim_add_targets(sim, "r", 2);
+	sim_run(sim, SECOND_US);
 	for (int i = 0; i < 60; i++) {
 		if (i == 30)
-			stage_configure(stage, 10);
-		calls[i] = stage_call(stage, i % NODES, STAGE_MERGED);
-		stage_run(stage, 10000);
+			sim_configure(sim, 10);
+		calls[i] = sim_call(sim, i % NODES, SIM_MERGED);
+		sim_run(sim, 10000);
 	}
-	stage_run(stage, SECOND_US);
+	sim_run(sim, SECOND_US);
 	for (int i = 0; i < 60; i++)
-		check_merged(&stage->calls[calls[i]], FULL);
-	stage_destroy(stage);
+		check_merged(&sim->calls[calls[i]], ALL_SHARDS);
+	sim_destroy(sim);
 }
 END_TEST
 
-static void keep_asking(struct stage *stage, int64_t us)
+static void call_repeatedly(struct sim *sim, int64_t us)
 {
 	for (int64_t passed = 0; passed < us; passed += 20000) {
-		stage_call(stage, (int)(passed / 20000) % stage->nnodes,
-			   STAGE_MERGED);
-		stage_run(stage, 20000);
+		sim_call(sim, (int)(passed / 20000) % sim->nnodes, SIM_MERGED);
+		sim_run(sim, 20000);
 	}
 }
 
 /*
- * A failure domain is taken out: after five seconds no target there gets a
- * request, from no node, and callers are served by the others.
+ * A failure domain is taken out of service: after five seconds no node sends
+ * requests to its targets, and the other targets serve all callers.
  */
 START_TEST(test_domain_out)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	keep_asking(stage, SECOND_US);
-	stage_domain(stage, 1, true);
-	keep_asking(stage, 7 * SECOND_US);
-	ck_assert_int_eq(stage->late_for_out, 0);
-	index = stage_call(stage, 1, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	stage_destroy(stage);
+	call_repeatedly(sim, SECOND_US);
+	sim_set_domain_out(sim, 1, true);
+	call_repeatedly(sim, 7 * SECOND_US);
+	ck_assert_int_eq(sim->late_to_out_domain, 0);
+	index = sim_call(sim, 1, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], ALL_SHARDS);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * A target says that it leaves, or its entry goes: three seconds later it gets
- * nothing more, though the store is cut off from half of the nodes.
+ * A target is marked as leaving, or its entry is deleted: after three seconds
+ * it gets no requests, even though half of the nodes cannot reach the store.
  */
 START_TEST(test_leaving)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 
 	for (int i = 0; i < NODES; i += 2)
-		stage->nodes[i].store_cut = true;
-	keep_asking(stage, SECOND_US);
-	stage->targets[0].leaving = true;
-	stage->targets[0].left_at = stage->now;
-	stage_publish(stage, 0);
-	stage->targets[3].left_at = stage->now;
-	stage_unpublish(stage, 3);
-	keep_asking(stage, 5 * SECOND_US);
-	ck_assert_int_eq(stage->late_for_left, 0);
-	stage_destroy(stage);
+		sim->nodes[i].store_cut = true;
+	call_repeatedly(sim, SECOND_US);
+	sim->targets[0].leaving = true;
+	sim->targets[0].leaving_since = sim->now;
+	sim_publish_target(sim, 0);
+	sim->targets[3].leaving_since = sim->now;
+	sim_unpublish_target(sim, 3);
+	call_repeatedly(sim, 5 * SECOND_US);
+	ck_assert_int_eq(sim->late_to_leaving, 0);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * The store turns a node away; a new version is published. The node learns of
- * it from the others and answers by it within three seconds.
+ * A node is cut off from the store while a new version is published. It
+ * receives the version from its peers and applies it within three seconds.
  */
 START_TEST(test_configuration_from_peers)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	stage_add_targets(stage, "r", 2);
-	stage_run(stage, SECOND_US);
-	stage->nodes[4].store_cut = true;
-	stage_run(stage, SECOND_US / 2);
-	stage_configure(stage, 11);
-	stage_run(stage, 3 * SECOND_US);
-	for (int i = 0; i < 2 * FULL; i++)
-		stage->targets[i].up = false;
-	index = stage_call(stage, 4, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	stage_destroy(stage);
+	sim_add_targets(sim, "r", 2);
+	sim_run(sim, SECOND_US);
+	sim->nodes[4].store_cut = true;
+	sim_run(sim, SECOND_US / 2);
+	sim_configure(sim, 11);
+	sim_run(sim, 3 * SECOND_US);
+	for (int i = 0; i < 2 * ALL_SHARDS; i++)
+		sim->targets[i].up = false;
+	index = sim_call(sim, 4, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], ALL_SHARDS);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * A node starts while it reaches neither the store nor another node. It knows
- * no route, and says "not run, come back" rather than "no such path".
+ * A node starts without access to the store or to another node. It has no
+ * routes, and must answer 503 with a retry time rather than 404.
  */
-START_TEST(test_start_alone)
+START_TEST(test_start_isolated)
 {
-	struct stage *stage = stage_create(1, 3);
+	struct sim *sim = sim_create(1, 3);
 	int index;
 
-	stage->nodes[0].store_cut = true;
-	stage_configure(stage, 1);
-	stage_start_node(stage, 0);
-	stage_run(stage, 2 * SECOND_US);
-	index = stage_call(stage, 0, STAGE_ONCE);
-	ck_assert(!stage->nodes[0].ready);
-	ck_assert_int_eq(stage->calls[index].status, 503);
-	ck_assert_int_gt(stage->calls[index].retry_after_us, 0);
-	stage->nodes[0].store_cut = false;
-	stage_run(stage, SECOND_US);
-	ck_assert(stage->nodes[0].ready);
-	stage_destroy(stage);
+	sim->nodes[0].store_cut = true;
+	sim_configure(sim, 1);
+	sim_start_node(sim, 0);
+	sim_run(sim, 2 * SECOND_US);
+	index = sim_call(sim, 0, SIM_ONCE);
+	ck_assert(!sim->nodes[0].ready);
+	ck_assert_int_eq(sim->calls[index].status, 503);
+	ck_assert_int_gt(sim->calls[index].retry_after_us, 0);
+	sim->nodes[0].store_cut = false;
+	sim_run(sim, SECOND_US);
+	ck_assert(sim->nodes[0].ready);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * All nodes lose power at once, just after a new version was published. Within
- * two seconds of their return they answer by that version: the store alone
- * remembers it.
+ * All nodes lose power just after a new version was published, which only the
+ * store has kept. Within two seconds of the restart they apply that version.
  */
 START_TEST(test_all_restart)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	stage_add_targets(stage, "r", 2);
-	stage_run(stage, SECOND_US);
-	stage_configure(stage, 12);
-	lose_power(stage, NODES);
+	sim_add_targets(sim, "r", 2);
+	sim_run(sim, SECOND_US);
+	sim_configure(sim, 12);
+	lose_power(sim, NODES);
 	for (int i = 0; i < NODES; i++)
-		stage_start_node(stage, i);
-	stage_run(stage, 2 * SECOND_US);
-	index = stage_call(stage, 5, STAGE_MERGED);
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	ck_assert_int_eq(stage->calls[index].targets_of_shard[0], 0);
-	stage_destroy(stage);
+		sim_start_node(sim, i);
+	sim_run(sim, 2 * SECOND_US);
+	index = sim_call(sim, 5, SIM_MERGED);
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], ALL_SHARDS);
+	ck_assert_int_eq(sim->calls[index].targets_of_shard[0], 0);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * All nodes lose power and come back, each a little later than the one before;
- * callers are there all the while. Until a node has a configuration they are
- * refused, so each is ready within a tenth of a second of its own start, the
- * ones that are no seeds too: they do not wait for a seed that starts later.
+ * All nodes lose power and restart one after the other, seeds last. Callers are
+ * refused until a node has a configuration, so each must be ready within a
+ * tenth of a second of its start: a node must not wait for a seed that starts
+ * later.
  */
-START_TEST(test_quick_return)
+START_TEST(test_ready_soon_after_power_loss)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	bool ready;
 
-	lose_power(stage, NODES);
+	lose_power(sim, NODES);
 	for (int i = NODES - 1; i >= 0; i--) {
-		stage_start_node(stage, i);
-		stage_run(stage, GOAL_US);
-		ready = stage->nodes[i].ready;
+		sim_start_node(sim, i);
+		sim_run(sim, GOAL_US);
+		ready = sim->nodes[i].ready;
 		ck_assert_msg(ready, "node %d is not ready", i);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
-/** struct start - a node that has just started, and when callers may return */
+/** struct start - a node that is starting, and its range of retry times */
 struct start {
 	bool store_down;
 	int64_t after_us;
-	int64_t least_us;
-	int64_t most_us;
+	int64_t min_us;
+	int64_t max_us;
 };
 
-static const struct start starts[] = {
+static const struct start start_cases[] = {
 	{ false, 0, 200000, 300000 },
 	{ true, 0, 200000, 300000 },
 	{ true, 2 * SECOND_US, 700000, SECOND_US },
 };
 
 /*
- * A caller asks a node that has no configuration yet. It is refused at once,
- * and told to come back: soon while the node is starting as usual, later once
- * the store is known to be away, so that it is not refused a second time.
+ * A request to a node without a configuration is refused at once with a retry
+ * time: a short one during a normal start, a longer one once the store is known
+ * to be unreachable, so that the retry is not refused again.
  */
 START_TEST(test_refused_at_start)
 {
-	const struct start *start = &starts[_i];
-	struct stage *stage = stage_create(1, 7);
-	struct stage_call *call;
+	const struct start *start = &start_cases[_i];
+	struct sim *sim = sim_create(1, 7);
+	struct sim_call *call;
 
-	stage->store_down = start->store_down;
-	stage_start_node(stage, 0);
-	stage_run(stage, start->after_us);
-	call = &stage->calls[stage_call(stage, 0, STAGE_MERGED)];
+	sim->store_down = start->store_down;
+	sim_start_node(sim, 0);
+	sim_run(sim, start->after_us);
+	call = &sim->calls[sim_call(sim, 0, SIM_MERGED)];
 	ck_assert_int_eq(call->status, 503);
-	ck_assert_int_ge(call->retry_after_us, start->least_us);
-	ck_assert_int_le(call->retry_after_us, start->most_us);
-	stage_destroy(stage);
+	ck_assert_int_ge(call->retry_after_us, start->min_us);
+	ck_assert_int_le(call->retry_after_us, start->max_us);
+	sim_destroy(sim);
 }
 END_TEST
 
-/* Value of the gauge @name of a node. */
-static int gauge(const struct stage *stage, int node, const char *name)
+/* Return: the value of the gauge @name of a node, -1 if it has none. */
+static int gauge(const struct sim *sim, int node, const char *name)
 {
 	struct buf text = { 0 };
 	char key[64];
@@ -570,7 +569,7 @@
 	int value = -1;
 
 	snprintf(key, sizeof(key), "\nwasabimoor_%s ", name);
-	tier_metrics(stage->nodes[node].tier, &text);
+	tier_metrics(sim->nodes[node].tier, &text);
 	buf_add(&text, "", 1);
 	line = strstr(text.ptr, key);
 	if (line)
@@ -580,217 +579,217 @@
 }
 
 /*
- * Targets of two shards end while their entries still stand, and one shard only
- * may be missing. The question cannot be answered, and its caller learns it at
- * once, with the time to come back, instead of waiting until its deadline.
+ * The targets of two shards are down while their entries are still published,
+ * and the route tolerates one missing shard. The question cannot be answered:
+ * it must fail early, with a retry time, instead of waiting for its deadline.
  */
-START_TEST(test_hopeless_question)
+START_TEST(test_unanswerable_question_fails_early)
 {
-	struct stage *stage = begin(NODES);
-	const struct stage_call *call;
+	struct sim *sim = setup(NODES);
+	const struct sim_call *call;
 
 	for (int i = 0; i < 4; i++)
-		stage->targets[i].up = false;
-	call = &stage->calls[stage_call(stage, 0, STAGE_STRICT)];
-	stage_run(stage, 2 * SECOND_US);
+		sim->targets[i].up = false;
+	call = &sim->calls[sim_call(sim, 0, SIM_STRICT)];
+	sim_run(sim, 2 * SECOND_US);
 	ck_assert_int_ne(call->status, 200);
-	ck_assert_int_le(took(call), GOAL_US);
+	ck_assert_int_le(elapsed_us(call), GOAL_US);
 	ck_assert_int_gt(call->retry_after_us, 0);
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * Both targets of a shard are gone. Callers get the rest in time. Each question
- * waits for a target of the shard until it ends, and no reply of one wakes
- * those that wait; they must not pile up, which would use up the node's memory.
+ * Both targets of a shard are unpublished. Each question queues for a target of
+ * that shard until it ends, and no reply ever wakes the queue. Its entries must
+ * be removed with their questions, or they would exhaust the node's memory.
  */
-START_TEST(test_waiters_do_not_pile_up)
+START_TEST(test_wait_queue_is_bounded)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 
-	stage_unpublish(stage, 0);
-	stage_unpublish(stage, 1);
+	sim_unpublish_target(sim, 0);
+	sim_unpublish_target(sim, 1);
 	for (int i = 0; i < 1200; i++) {
-		stage_call(stage, i % NODES, STAGE_MERGED);
-		stage_run(stage, SECOND_US / 40);
+		sim_call(sim, i % NODES, SIM_MERGED);
+		sim_run(sim, SECOND_US / 40);
 	}
 	for (int i = 0; i < NODES; i++) {
-		int waiting = gauge(stage, i, "waiting");
+		int waiting = gauge(sim, i, "waiting");
 
 		ck_assert_int_ge(waiting, 0);
-		ck_assert_int_le(waiting, 2 * FULL);
+		ck_assert_int_le(waiting, 2 * ALL_SHARDS);
 	}
-	stage_destroy(stage);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * All nodes start anew, seeds last. Until a node knows of the others it takes
- * too large a part of what all may do together: hedges and retries, and
- * requests to cold targets. So all know of all well within a second of the last
- * start.
+ * All nodes restart, seeds last. Until a node has discovered its peers it takes
+ * too large a share of the limits for the whole fleet: hedges and retries, and
+ * requests to cold targets. So membership must be complete well within a second
+ * of the last start.
  */
-START_TEST(test_nodes_meet_quickly)
+START_TEST(test_membership_converges_quickly)
 {
-	struct stage *stage = begin(NINE);
+	struct sim *sim = setup(SMALL_FLEET);
 
-	lose_power(stage, NINE);
-	for (int i = NINE - 1; i >= 0; i--) {
-		stage_start_node(stage, i);
-		stage_run(stage, SECOND_US / 20);
+	lose_power(sim, SMALL_FLEET);
+	for (int i = SMALL_FLEET - 1; i >= 0; i--) {
+		sim_start_node(sim, i);
+		sim_run(sim, SECOND_US / 20);
 	}
-	stage_run(stage, SECOND_US * 8 / 10);
-	for (int i = 0; i < NINE; i++)
-		ck_assert_int_eq(gauge(stage, i, "nodes"), NINE);
-	stage_destroy(stage);
+	sim_run(sim, SECOND_US * 8 / 10);
+	for (int i = 0; i < SMALL_FLEET; i++)
+		ck_assert_int_eq(gauge(sim, i, "nodes"), SMALL_FLEET);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * A node is told to stop: it says at once that it is not ready, serves the
- * callers that it still has, gets no more shards from others, and ends only
- * when it holds no request.
+ * Planned stop: the node reports not ready at once, serves its remaining
+ * callers, gets no more shards from peers, and exits only when it holds no
+ * requests.
  */
 START_TEST(test_planned_stop)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 	int index;
 
-	stage_stop_node(stage, 3);
-	ck_assert(!stage->nodes[3].ready);
-	stage_run(stage, 100000);
-	index = stage_call(stage, 3, STAGE_MERGED);
-	stage_run(stage, 2 * SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	ck_assert(!stage->nodes[3].exited);
-	stage_run(stage, 2 * SECOND_US);
-	ck_assert(stage->nodes[3].exited);
-	stage_destroy(stage);
+	sim_stop_node(sim, 3);
+	ck_assert(!sim->nodes[3].ready);
+	sim_run(sim, 100000);
+	index = sim_call(sim, 3, SIM_MERGED);
+	sim_run(sim, 2 * SECOND_US);
+	check_merged(&sim->calls[index], ALL_SHARDS);
+	ck_assert(!sim->nodes[3].exited);
+	sim_run(sim, 2 * SECOND_US);
+	ck_assert(sim->nodes[3].exited);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * Most targets reject two of three requests. Callers are served as far as the
- * retry bound lets, and the bound holds over all nodes together.
+ * Most targets reject two of three requests: the retries of all nodes together
+ * must stay within the shared retry budget.
  */
-START_TEST(test_shared_retry_bound)
+START_TEST(test_shared_retry_budget)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 
-	for (int i = 0; i < 2 * FULL; i++)
-		stage->targets[i].shed = i % 5 ? 0.66 : 0;
+	for (int i = 0; i < 2 * ALL_SHARDS; i++)
+		sim->targets[i].reject_rate = i % 5 ? 0.66 : 0;
 	for (int i = 0; i < 500; i++) {
-		stage_call(stage, i % NODES, STAGE_MERGED);
-		stage_run(stage, 20000);
+		sim_call(sim, i % NODES, SIM_MERGED);
+		sim_run(sim, 20000);
 	}
-	ck_assert_int_gt(stage->first_sends, 0);
-	ck_assert_int_le(stage->extra_sends,
-			 stage->first_sends / 5 + 60 * FULL);
-	stage_destroy(stage);
+	ck_assert_int_gt(sim->first_sends, 0);
+	ck_assert_int_le(sim->extra_sends,
+			 sim->first_sends / 5 + 60 * ALL_SHARDS);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * Many nodes lose power and come back within a third of a second. If each read
- * the whole table at once, the store's link would be busy for seconds, and all
- * callers refused as long. The first ones read, the others are told.
+ * Many nodes restart within a third of a second. If each read the whole table
+ * at once, the store's link would be saturated for seconds, and all callers
+ * refused meanwhile. Only the first nodes read it, the others get it from them.
  */
-START_TEST(test_many_start_anew)
+START_TEST(test_large_fleet_restart)
 {
-	struct stage *stage = begin(MANY);
+	struct sim *sim = setup(LARGE_FLEET);
 	uint64_t before;
 
-	lose_power(stage, MANY);
-	before = stage->store_calls;
-	for (int i = 0; i < MANY; i++) {
-		stage_start_node(stage, i);
-		stage_run(stage, SECOND_US / 3 / MANY);
+	lose_power(sim, LARGE_FLEET);
+	before = sim->store_calls;
+	for (int i = 0; i < LARGE_FLEET; i++) {
+		sim_start_node(sim, i);
+		sim_run(sim, SECOND_US / 3 / LARGE_FLEET);
 	}
-	ck_assert_uint_le(stage->store_calls - before, 4 * STAGE_DOMAINS);
-	stage_run(stage, SECOND_US);
-	for (int i = 0; i < MANY; i++)
-		ck_assert_msg(stage->nodes[i].ready, "node %d", i);
-	stage_destroy(stage);
+	ck_assert_uint_le(sim->store_calls - before, 4 * SIM_DOMAINS);
+	sim_run(sim, SECOND_US);
+	for (int i = 0; i < LARGE_FLEET; i++)
+		ck_assert_msg(sim->nodes[i].ready, "node %d is not ready", i);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * All nodes start anew, one after the other, while all targets reject half of
- * their requests, and few questions come, so that the free part of the bound is
- * most of it. The first nodes that serve know of few others, or of some that do
- * not serve yet: they must not take the others' parts.
+ * All nodes restart one after the other while all targets reject half of their
+ * requests. There are few questions, so most of the retry budget is its fixed
+ * part. The first nodes see few peers, or peers that do not serve yet, and must
+ * not take their shares of it.
  */
-START_TEST(test_retry_bound_after_start)
+START_TEST(test_retry_budget_after_restart)
 {
-	struct stage *stage = begin(NINE);
+	struct sim *sim = setup(SMALL_FLEET);
 
-	for (int i = 0; i < 2 * FULL; i++)
-		stage->targets[i].shed = 0.5;
-	for (int i = 0; i < NINE; i++) {
-		stage_kill_node(stage, i);
-		stage->nodes[i].settings.core = i < 3 ? 0.25 : 0.05;
+	for (int i = 0; i < 2 * ALL_SHARDS; i++)
+		sim->targets[i].reject_rate = 0.5;
+	for (int i = 0; i < SMALL_FLEET; i++) {
+		sim_kill_node(sim, i);
+		sim->nodes[i].settings.core = i < 3 ? 0.25 : 0.05;
 	}
-	stage_run(stage, SECOND_US);
-	for (int i = NINE - 1; i >= 0; i--) {
-		stage_start_node(stage, i);
-		stage_run(stage, GOAL_US);
+	sim_run(sim, SECOND_US);
+	for (int i = SMALL_FLEET - 1; i >= 0; i--) {
+		sim_start_node(sim, i);
+		sim_run(sim, GOAL_US);
 	}
-	stage->first_sends = stage->extra_sends = 0;
+	sim->first_sends = sim->extra_sends = 0;
 	for (int i = 0; i < 300; i++) {
-		stage_call(stage, i % NINE, STAGE_MERGED);
-		stage_run(stage, 30000);
+		sim_call(sim, i % SMALL_FLEET, SIM_MERGED);
+		sim_run(sim, 30000);
 	}
-	ck_assert_int_gt(stage->first_sends, 0);
-	ck_assert_int_le(stage->extra_sends,
-			 stage->first_sends / 5 + 60 * FULL);
-	stage_destroy(stage);
+	ck_assert_int_gt(sim->first_sends, 0);
+	ck_assert_int_le(sim->extra_sends,
+			 sim->first_sends / 5 + 60 * ALL_SHARDS);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * Nine nodes for a minute, nothing changes: one node a failure domain waits at
- * the store, the others hear from it.
+ * Nine nodes run for a minute without changes: one node per failure domain
+ * watches the store, and the others get its data from that node.
  */
 START_TEST(test_store_calls)
 {
-	struct stage *stage = begin(9);
-	uint64_t before = stage->store_calls;
+	struct sim *sim = setup(9);
+	uint64_t before = sim->store_calls;
 
-	stage_run(stage, 60 * SECOND_US);
-	ck_assert_uint_le(stage->store_calls - before,
-			  STAGE_DOMAINS * 60 + STAGE_DOMAINS * 10);
-	stage_destroy(stage);
+	sim_run(sim, 60 * SECOND_US);
+	ck_assert_uint_le(sim->store_calls - before,
+			  SIM_DOMAINS * 60 + SIM_DOMAINS * 10);
+	sim_destroy(sim);
 }
 END_TEST
 
 /*
- * The store is away for ten seconds and entries lapse meanwhile, though their
- * targets live. Callers are served all the while and after.
+ * The store is unreachable for ten seconds, and entries of live targets expire
+ * meanwhile. Callers are served during the outage and after it.
  */
-START_TEST(test_store_away)
+START_TEST(test_store_outage)
 {
-	struct stage *stage = begin(NODES);
+	struct sim *sim = setup(NODES);
 
-	stage->store_down = true;
+	sim->store_down = true;
 	for (int i = 0; i < 10; i++) {
-		int index = stage_call(stage, i % NODES, STAGE_MERGED);
+		int index = sim_call(sim, i % NODES, SIM_MERGED);
 
-		stage_run(stage, SECOND_US);
-		check_merged(&stage->calls[index], FULL);
+		sim_run(sim, SECOND_US);
+		check_merged(&sim->calls[index], ALL_SHARDS);
 	}
-	for (int i = 0; i < 2 * FULL; i += 2)
-		stage_unpublish(stage, i);
-	stage->store_down = false;
-	stage_run(stage, SECOND_US);
-	for (int i = 0; i < 2 * FULL; i += 2)
-		stage_publish(stage, i);
-	stage_run(stage, SECOND_US / 2);
-	int index = stage_call(stage, 1, STAGE_MERGED);
-
-	stage_run(stage, SECOND_US);
-	check_merged(&stage->calls[index], FULL);
-	stage_destroy(stage);
+	for (int i = 0; i < 2 * ALL_SHARDS; i += 2)
+		sim_unpublish_target(sim, i);
+	sim->store_down = false;
+	sim_run(sim, SECOND_US);
+	for (int i = 0; i < 2 * ALL_SHARDS; i += 2)
+		sim_publish_target(sim, i);
+	sim_run(sim, SECOND_US / 2);
+	int index = sim_call(sim, 1, SIM_MERGED);
+
+	sim_run(sim, SECOND_US);
+	check_merged(&sim->calls[index], ALL_SHARDS);
+	sim_destroy(sim);
 }
 END_TEST
 
@@ -798,33 +797,33 @@
 
 static void add(TCase *tcase)
 {
-	tcase_add_loop_test(tcase, test_calm, 0, NODES);
+	tcase_add_loop_test(tcase, test_no_faults, 0, NODES);
 	tcase_add_test(tcase, test_paused_targets);
-	tcase_add_loop_test(tcase, test_missing_shards, 0, COUNT(gaps));
+	tcase_add_loop_test(tcase, test_missing_shards, 0, COUNT(outages));
 	tcase_add_loop_test(tcase, test_once, 0, COUNT(once_cases));
-	tcase_add_test(tcase, test_once_goes_on);
+	tcase_add_test(tcase, test_once_rerouted);
 	tcase_add_loop_test(tcase, test_merging_node_lost, 0,
 			    COUNT(node_faults));
-	tcase_add_test(tcase, test_rest_handed_on);
+	tcase_add_test(tcase, test_late_shards_reassigned);
 	tcase_add_test(tcase, test_stale_batch);
 	tcase_add_test(tcase, test_reshard);
 	tcase_add_test(tcase, test_domain_out);
 	tcase_add_test(tcase, test_leaving);
 	tcase_add_test(tcase, test_configuration_from_peers);
-	tcase_add_test(tcase, test_start_alone);
+	tcase_add_test(tcase, test_start_isolated);
 	tcase_add_test(tcase, test_all_restart);
-	tcase_add_test(tcase, test_quick_return);
-	tcase_add_test(tcase, test_nodes_meet_quickly);
+	tcase_add_test(tcase, test_ready_soon_after_power_loss);
+	tcase_add_test(tcase, test_membership_converges_quickly);
 	tcase_add_loop_test(tcase, test_refused_at_start, 0,
-			    sizeof(starts) / sizeof(*starts));
+			    sizeof(start_cases) / sizeof(*start_cases));
 	tcase_add_test(tcase, test_planned_stop);
-	tcase_add_test(tcase, test_shared_retry_bound);
-	tcase_add_test(tcase, test_many_start_anew);
-	tcase_add_test(tcase, test_retry_bound_after_start);
+	tcase_add_test(tcase, test_shared_retry_budget);
+	tcase_add_test(tcase, test_large_fleet_restart);
+	tcase_add_test(tcase, test_retry_budget_after_restart);
 	tcase_add_test(tcase, test_store_calls);
-	tcase_add_test(tcase, test_hopeless_question);
-	tcase_add_test(tcase, test_waiters_do_not_pile_up);
-	tcase_add_test(tcase, test_store_away);
+	tcase_add_test(tcase, test_unanswerable_question_fails_early);
+	tcase_add_test(tcase, test_wait_queue_is_bounded);
+	tcase_add_test(tcase, test_store_outage);
 }
 
 int main(void)
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -1,7 +1,7 @@
 /*
- * Stateful fuzzing of the tier: series of faults that overlap, drawn from a
- * seed, on several nodes in virtual time. The books that the targets and the
- * callers keep are the oracle; see judge().
+ * Stateful fuzzing of the tier: overlapping faults, drawn from a seed, on
+ * several nodes in the simulation. The oracle is what the simulated targets and
+ * callers have recorded; see find_violation().
  *
  *     fuzz-tier FIRST COUNT            seeds FIRST to FIRST + COUNT - 1
  *     fuzz-tier FIRST COUNT deadly     with a request that crashes its targets
@@ -12,321 +12,329 @@
 
 #include <apr_general.h>
 
-#include "stage.h"
+#include "sim.h"
 
 enum {
 	STEPS = 250,
 	STEP_US = 40000,
-	/* What a request may take beyond the time that its caller waits. */
-	LATE_US = 500000,
+	/* An answer may come this much after the caller's timeout. */
+	ANSWER_GRACE_US = 500000,
 	TIMEOUT_US = 1000000,
-	SHARD_TARGETS = 2 * STAGE_SHARDS,
+	SHARD_TARGETS = 2 * SIM_SHARDS,
 	RESTART_US = 1500000,
 	FAULT_STEPS = 4,
 	/*
-	 * A deadly request comes each so many steps, over a longer time with
-	 * fewer faults: only nodes that are in order are judged by it.
+	 * A deadly request is sent at this interval, over a longer time with
+	 * fewer faults: nodes with a recent fault are not judged by it.
 	 */
-	DEADLY_EACH = 30,
+	DEADLY_INTERVAL_STEPS = 30,
 	DEADLY_STEPS = 750,
 	DEADLY_FAULT_STEPS = 16,
-	DEADLY_LATE_MOST = 3,
+	DEADLY_LATE_RUNS_MAX = 3,
 };
 
-/** struct trial - one seed: the stage, and what is under way */
-struct trial {
-	struct stage *stage;
+/** struct scenario - the run of one seed: simulation and active faults */
+struct scenario {
+	struct sim *sim;
 	uint64_t version;
-	int64_t down_until[STAGE_NODES];
+	int64_t down_until[SIM_NODES_MAX];
 	int64_t heal_at;
 	bool resharded;
-	const char *fault;
+	const char *violation;
 };
 
-static uint64_t below(struct trial *trial, uint64_t bound)
+static uint64_t random_below(struct scenario *scenario, uint64_t bound)
 {
-	return rng_below(&trial->stage->rng, bound);
+	return rng_below(&scenario->sim->rng, bound);
 }
 
-static struct stage_target *any_target(struct trial *trial)
+static struct sim_target *random_target(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = scenario->sim;
 
-	return &stage->targets[below(trial, (uint64_t)stage->ntargets)];
+	return &sim->targets[random_below(scenario, (uint64_t)sim->ntargets)];
 }
 
 /* Faults. */
 
-static void pause_target(struct trial *trial)
+static void pause_target(struct scenario *scenario)
 {
-	any_target(trial)->paused_until = trial->stage->now + 150000;
+	random_target(scenario)->paused_until = scenario->sim->now + 150000;
 }
 
-static void slow_target(struct trial *trial)
+static void slow_target(struct scenario *scenario)
 {
-	any_target(trial)->service_us = 8000 * (1 + (int64_t)below(trial, 12));
+	random_target(scenario)->service_us =
+		8000 * (1 + (int64_t)random_below(scenario, 12));
 }
 
-static void shed_target(struct trial *trial)
+static void reject_at_target(struct scenario *scenario)
 {
-	any_target(trial)->shed = (double)below(trial, 10) / 10;
+	random_target(scenario)->reject_rate =
+		(double)random_below(scenario, 10) / 10;
 }
 
-static void lose_replies(struct trial *trial)
+static void lose_replies(struct scenario *scenario)
 {
-	any_target(trial)->lose = (double)below(trial, 5) / 10;
+	random_target(scenario)->reply_loss =
+		(double)random_below(scenario, 5) / 10;
 }
 
-static void crash_target(struct trial *trial)
+static void crash_target(struct scenario *scenario)
 {
-	struct stage_target *target = any_target(trial);
+	struct sim_target *target = random_target(scenario);
 
-	if (!target->returning)
+	if (!target->restarting)
 		target->up = !target->up;
 }
 
-static void drain_target(struct trial *trial)
+static void drain_target(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
-	int index = (int)below(trial, (uint64_t)stage->ntargets);
-	struct stage_target *target = &stage->targets[index];
+	struct sim *sim = scenario->sim;
+	int index = (int)random_below(scenario, (uint64_t)sim->ntargets);
+	struct sim_target *target = &sim->targets[index];
 
-	if (target->left_at || stage->store_down)
+	if (target->leaving_since || sim->store_down)
 		return;
 	target->leaving = true;
-	stage_publish(stage, index);
-	target->left_at = stage->now;
-	if (stage->ntargets < STAGE_TARGETS)
-		stage_add_target(stage, target->service, target->domain);
+	sim_publish_target(sim, index);
+	target->leaving_since = sim->now;
+	if (sim->ntargets < SIM_TARGETS_MAX)
+		sim_add_target(sim, target->service, target->domain);
 }
 
-static void kill_node(struct trial *trial)
+static void kill_node(struct scenario *scenario)
 {
-	int node = (int)below(trial, (uint64_t)trial->stage->nnodes);
+	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	if (!trial->stage->nodes[node].up)
+	if (!scenario->sim->nodes[node].up)
 		return;
-	trial->stage->nodes[node].troubled_at = trial->stage->now;
-	stage_kill_node(trial->stage, node);
-	trial->down_until[node] = trial->stage->now + RESTART_US;
+	scenario->sim->nodes[node].fault_at = scenario->sim->now;
+	sim_kill_node(scenario->sim, node);
+	scenario->down_until[node] = scenario->sim->now + RESTART_US;
 }
 
-static void freeze_node(struct trial *trial)
+static void freeze_node(struct scenario *scenario)
 {
-	int node = (int)below(trial, (uint64_t)trial->stage->nnodes);
+	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	trial->stage->nodes[node].frozen_until =
-		trial->stage->now + 1000 * (int64_t)below(trial, 2000);
-	trial->stage->nodes[node].troubled_at =
-		trial->stage->nodes[node].frozen_until;
+	scenario->sim->nodes[node].frozen_until =
+		scenario->sim->now +
+		1000 * (int64_t)random_below(scenario, 2000);
+	scenario->sim->nodes[node].fault_at =
+		scenario->sim->nodes[node].frozen_until;
 }
 
-static void cut_link(struct trial *trial)
+static void cut_link(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
-	int a = (int)below(trial, (uint64_t)stage->nnodes);
-	int b = (int)below(trial, (uint64_t)stage->nnodes);
-
-	stage->nodes[a].troubled_at = INT64_MAX / 2;
-	stage->nodes[b].troubled_at = INT64_MAX / 2;
-	stage->links_cut[a][b] = true;
-	if (below(trial, 2))
-		stage->links_cut[b][a] = true;
+	struct sim *sim = scenario->sim;
+	int a = (int)random_below(scenario, (uint64_t)sim->nnodes);
+	int b = (int)random_below(scenario, (uint64_t)sim->nnodes);
+
+	sim->nodes[a].fault_at = INT64_MAX / 2;
+	sim->nodes[b].fault_at = INT64_MAX / 2;
+	sim->links_cut[a][b] = true;
+	if (random_below(scenario, 2))
+		sim->links_cut[b][a] = true;
 }
 
-static void cut_store(struct trial *trial)
+static void cut_store(struct scenario *scenario)
 {
-	int node = (int)below(trial, (uint64_t)trial->stage->nnodes);
+	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	trial->stage->nodes[node].store_cut = true;
+	scenario->sim->nodes[node].store_cut = true;
 }
 
-static void store_away(struct trial *trial)
+static void fail_store(struct scenario *scenario)
 {
-	trial->stage->store_down = true;
+	scenario->sim->store_down = true;
 }
 
-static void configure(struct trial *trial)
+static void configure(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = scenario->sim;
 
-	if (stage->store_down)
+	if (sim->store_down)
 		return;
-	if (!trial->resharded && below(trial, 3) == 0) {
-		stage_add_targets(stage, "r", 2);
-		trial->resharded = true;
-		trial->version = 10;
+	if (!scenario->resharded && random_below(scenario, 3) == 0) {
+		sim_add_targets(sim, "r", 2);
+		scenario->resharded = true;
+		scenario->version = 10;
 	}
-	stage_configure(stage, ++trial->version);
+	sim_configure(sim, ++scenario->version);
 }
 
-static void heal(struct trial *trial)
+static void heal(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
-
-	memset(stage->links_cut, 0, sizeof(stage->links_cut));
-	stage->store_down = false;
-	for (int i = 0; i < stage->nnodes; i++) {
-		stage->nodes[i].store_cut = false;
-		if (stage->nodes[i].troubled_at > stage->now)
-			stage->nodes[i].troubled_at = stage->now;
+	struct sim *sim = scenario->sim;
+
+	memset(sim->links_cut, 0, sizeof(sim->links_cut));
+	sim->store_down = false;
+	for (int i = 0; i < sim->nnodes; i++) {
+		sim->nodes[i].store_cut = false;
+		if (sim->nodes[i].fault_at > sim->now)
+			sim->nodes[i].fault_at = sim->now;
 	}
-	for (int i = 0; i < stage->ntargets; i++) {
-		stage->targets[i].shed = 0;
-		stage->targets[i].lose = 0;
+	for (int i = 0; i < sim->ntargets; i++) {
+		sim->targets[i].reject_rate = 0;
+		sim->targets[i].reply_loss = 0;
 	}
 }
 
-static void (*const faults[])(struct trial *) = {
-	pause_target, pause_target, slow_target, shed_target, lose_replies,
-	crash_target, drain_target, kill_node,	 freeze_node, cut_link,
-	cut_store,    store_away,   configure,	 heal,
+static void (*const faults[])(struct scenario *) = {
+	pause_target, pause_target, slow_target,  reject_at_target,
+	lose_replies, crash_target, drain_target, kill_node,
+	freeze_node,  cut_link,	    cut_store,	  fail_store,
+	configure,    heal,
 };
 
-/* Judgement. */
+/* Invariants. */
 
-static const char *judge_call(const struct stage_call *call)
+static const char *find_call_violation(const struct sim_call *call)
 {
 	if (call->duplicate_part)
-		return "a shard counted twice";
+		return "a shard is counted twice";
 	if (call->foreign_part)
-		return "a part of another request or version";
-	if (call->not_greatest)
-		return "records out of order";
-	if (call->kind == STAGE_ONCE && call->runs > 1)
-		return "a request that may run once ran twice";
-	if (call->kind == STAGE_ONCE && call->status == 503 && call->runs)
-		return "\"not run\" was promised and it ran";
-	if (call->kind == STAGE_MERGED && call->status == 200 &&
-	    call->parts + call->missing != STAGE_SHARDS)
-		return "parts and missing shards are not the whole";
+		return "a part belongs to another request or version";
+	if (call->unsorted)
+		return "records are out of order";
+	if (call->kind == SIM_ONCE && call->runs > 1)
+		return "a request that is not idempotent ran twice";
+	if (call->kind == SIM_ONCE && call->status == 503 && call->runs)
+		return "a request was reported as not run but ran";
+	if (call->kind == SIM_MERGED && call->status == 200 &&
+	    call->parts + call->missing != SIM_SHARDS)
+		return "parts and missing shards do not add up to all shards";
 	if (call->status == 404)
-		return "a route that exists was not found";
+		return "an existing route was not found";
 	if (call->answered_at &&
-	    call->answered_at - call->start > TIMEOUT_US + LATE_US)
-		return "held past its time";
+	    call->answered_at - call->start > TIMEOUT_US + ANSWER_GRACE_US)
+		return "a request was answered after its timeout";
 	return NULL;
 }
 
-static const char *judge(struct trial *trial)
+static const char *find_violation(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
-	int over_asked = 0;
-
-	for (int i = 0; i < stage->ncalls; i++) {
-		const struct stage_call *call = &stage->calls[i];
-		const char *fault = judge_call(call);
-		int most = 0;
-
-		if (fault)
-			return fault;
-		for (int j = 0; j < 2 * STAGE_SHARDS; j++)
-			if (call->targets_of_shard[j] > most)
-				most = call->targets_of_shard[j];
-		over_asked += most > 2;
+	struct sim *sim = scenario->sim;
+	int over_limit = 0;
+
+	for (int i = 0; i < sim->ncalls; i++) {
+		const struct sim_call *call = &sim->calls[i];
+		const char *violation = find_call_violation(call);
+		int max = 0;
+
+		if (violation)
+			return violation;
+		for (int j = 0; j < 2 * SIM_SHARDS; j++)
+			if (call->targets_of_shard[j] > max)
+				max = call->targets_of_shard[j];
+		over_limit += max > 2;
 	}
-	for (int i = 1; i < STAGE_DEADLY; i++)
-		if (stage->deadly[i].late > DEADLY_LATE_MOST)
-			return "a deadly request was sent to ever more targets";
-	if (over_asked > 3)
-		return "shards asked at more targets than the route allows";
-	if (stage->extra_sends >
-	    stage->first_sends / 5 + 2 * STAGE_SHARDS * 60 * 2)
-		return "retries beyond the shared bound";
+	for (int i = 1; i < SIM_DEADLY_MAX; i++)
+		if (sim->deadly[i].late > DEADLY_LATE_RUNS_MAX)
+			return "a deadly request reached targets too often";
+	if (over_limit > 3)
+		return "shards were sent to more targets than the route allows";
+	if (sim->extra_sends > sim->first_sends / 5 + 2 * SIM_SHARDS * 60 * 2)
+		return "retries exceeded the shared budget";
 	return NULL;
 }
 
-/* A node that was frozen answers late for that reason. */
-static void forgive_frozen(struct stage *stage)
+/* Ignores late answers: a node that was frozen answers late for that reason. */
+static void excuse_frozen_nodes(struct sim *sim)
 {
-	for (int i = 0; i < stage->ncalls; i++)
-		if (stage->calls[i].answered_at - stage->calls[i].start >
-		    TIMEOUT_US + LATE_US)
-			stage->calls[i].answered_at =
-				stage->calls[i].start + TIMEOUT_US;
+	for (int i = 0; i < sim->ncalls; i++)
+		if (sim->calls[i].answered_at - sim->calls[i].start >
+		    TIMEOUT_US + ANSWER_GRACE_US)
+			sim->calls[i].answered_at =
+				sim->calls[i].start + TIMEOUT_US;
 }
 
-static void restart_nodes(struct trial *trial)
+static void restart_nodes(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
+	struct sim *sim = scenario->sim;
 
-	for (int i = 0; i < stage->nnodes; i++)
-		if (!stage->nodes[i].up && stage->now >= trial->down_until[i]) {
-			stage->nodes[i].troubled_at = stage->now;
-			stage_start_node(stage, i);
+	for (int i = 0; i < sim->nnodes; i++)
+		if (!sim->nodes[i].up && sim->now >= scenario->down_until[i]) {
+			sim->nodes[i].fault_at = sim->now;
+			sim_start_node(sim, i);
 		}
 }
 
-/* At a node that takes callers; one of each kind, each with its books. */
-static void ask_deadly(struct trial *trial)
+/* Sends a deadly request to a ready node; each kind is counted separately. */
+static void send_deadly(struct scenario *scenario)
 {
-	struct stage *stage = trial->stage;
-	struct stage_asked asked = { "deadly", "10.1.0.1", 0 };
-	int node = (int)below(trial, (uint64_t)stage->nnodes);
-	enum stage_kind kind = (enum stage_kind)below(trial, 3);
-
-	asked.deadly = (int)kind + 1;
-	if (stage->nodes[node].up && stage->nodes[node].ready)
-		stage_ask(stage, node, kind, &asked);
+	struct sim *sim = scenario->sim;
+	struct sim_request_spec spec = { "deadly", "10.1.0.1", 0 };
+	int node = (int)random_below(scenario, (uint64_t)sim->nnodes);
+	enum sim_request_kind kind =
+		(enum sim_request_kind)random_below(scenario, 3);
+
+	spec.deadly = (int)kind + 1;
+	if (sim->nodes[node].up && sim->nodes[node].ready)
+		sim_call_with(sim, node, kind, &spec);
 }
 
-static int served_at_last(struct stage *stage)
+static int count_served_after_heal(struct sim *sim)
 {
-	int first = stage->ncalls;
+	int first = sim->ncalls;
 	int served = 0;
 
-	for (int i = 0; i < stage->nnodes; i++) {
-		stage_call(stage, i, STAGE_SINGLE);
-		stage_run(stage, 200000);
+	for (int i = 0; i < sim->nnodes; i++) {
+		sim_call(sim, i, SIM_SINGLE);
+		sim_run(sim, 200000);
 	}
-	stage_run(stage, 2000000);
-	for (int i = first; i < stage->ncalls; i++)
-		served += stage->calls[i].status == 200;
+	sim_run(sim, 2000000);
+	for (int i = first; i < sim->ncalls; i++)
+		served += sim->calls[i].status == 200;
 	return served;
 }
 
 static const char *run_seed(uint64_t seed, bool deadly)
 {
-	struct trial trial = { .version = 1 };
-	struct stage *stage = stage_create(6, seed);
+	struct scenario scenario = { .version = 1 };
+	struct sim *sim = sim_create(6, seed);
 	int steps = deadly ? DEADLY_STEPS : STEPS;
 	uint64_t fault_steps = deadly ? DEADLY_FAULT_STEPS : FAULT_STEPS;
-	const char *fault;
-
-	trial.stage = stage;
-	stage_add_targets(stage, "s", 2);
-	for (int i = 0; i < 2 * STAGE_DOMAINS; i++)
-		stage_add_target(stage, "single", i % STAGE_DOMAINS);
-	stage_configure(stage, 1);
-	for (int i = 0; i < stage->nnodes; i++)
-		stage_start_node(stage, i);
-	stage_settle(stage);
+	const char *violation;
+
+	scenario.sim = sim;
+	sim_add_targets(sim, "s", 2);
+	for (int i = 0; i < 2 * SIM_DOMAINS; i++)
+		sim_add_target(sim, "single", i % SIM_DOMAINS);
+	sim_configure(sim, 1);
+	for (int i = 0; i < sim->nnodes; i++)
+		sim_start_node(sim, i);
+	sim_settle(sim);
 	for (int step = 0; step < steps; step++) {
-		int node = (int)below(&trial, (uint64_t)stage->nnodes);
-
-		if (below(&trial, fault_steps) == 0)
-			faults[below(&trial, sizeof(faults) / sizeof(*faults))](
-				&trial);
-		restart_nodes(&trial);
-		if (deadly && step % DEADLY_EACH == 0)
-			ask_deadly(&trial);
-		if (stage->nodes[node].up && stage->nodes[node].ready)
-			stage_call(stage, node,
-				   (enum stage_kind)below(&trial, 3));
-		stage_run(stage, STEP_US);
+		int node = (int)random_below(&scenario, (uint64_t)sim->nnodes);
+
+		if (random_below(&scenario, fault_steps) == 0)
+			faults[random_below(&scenario,
+					    sizeof(faults) / sizeof(*faults))](
+				&scenario);
+		restart_nodes(&scenario);
+		if (deadly && step % DEADLY_INTERVAL_STEPS == 0)
+			send_deadly(&scenario);
+		if (sim->nodes[node].up && sim->nodes[node].ready)
+			sim_call(sim, node,
+				 (enum sim_request_kind)random_below(&scenario,
+								     3));
+		sim_run(sim, STEP_US);
 	}
-	heal(&trial);
-	for (int i = 0; i < stage->ntargets; i++)
-		stage->targets[i].up = true;
-	stage_run(stage, RESTART_US);
-	restart_nodes(&trial);
-	stage_run(stage, 6000000);
-	forgive_frozen(stage);
-	fault = judge(&trial);
-	if (!fault && served_at_last(stage) < stage->nnodes)
-		fault = "not served after all faults were healed";
-	stage_destroy(stage);
-	return fault;
+	heal(&scenario);
+	for (int i = 0; i < sim->ntargets; i++)
+		sim->targets[i].up = true;
+	sim_run(sim, RESTART_US);
+	restart_nodes(&scenario);
+	sim_run(sim, 6000000);
+	excuse_frozen_nodes(sim);
+	violation = find_violation(&scenario);
+	if (!violation && count_served_after_heal(sim) < sim->nnodes)
+		violation =
+			"a node did not serve after all faults were removed";
+	sim_destroy(sim);
+	return violation;
 }
 
 int main(int argc, char **argv)
@@ -338,11 +346,11 @@
 
 	apr_initialize();
 	for (uint64_t seed = first; seed < first + count; seed++) {
-		const char *fault = run_seed(seed, deadly);
+		const char *violation = run_seed(seed, deadly);
 
-		if (!fault)
+		if (!violation)
 			continue;
-		printf("seed %llu: %s\n", (unsigned long long)seed, fault);
+		printf("seed %llu: %s\n", (unsigned long long)seed, violation);
 		failed++;
 	}
 	printf("%llu seeds, %d failed\n", (unsigned long long)count, failed);
--- /dev/null
+++ b/tests/sim.h
@@ -0,0 +1,185 @@
+#pragma once
+
+#include "../rng.h"
+#include "../tier.h"
+
+/**
+ * DOC: discrete-event simulation of a tier
+ *
+ * Runs several tier reducers against fakes of the store, the targets and the
+ * callers, in virtual time: no sockets and no clock, but one queue of events.
+ * The simulation records independently what ran; the tests check that record.
+ */
+
+enum {
+	SIM_NODES_MAX = 64,
+	SIM_TARGETS_MAX = 256,
+	SIM_CALLS_MAX = 8192,
+	SIM_SHARDS = 12,
+	SIM_DOMAINS = 3,
+	SIM_SLOTS_MAX = 4,
+	SIM_DEADLY_MAX = 4,
+	SIM_CONVERGENCE_US = 4000000,
+};
+
+/** enum sim_request_kind - kinds of requests, each with a route of its own */
+enum sim_request_kind {
+	SIM_MERGED, /* merged over all shards, coverage of at least 0.7 */
+	/* Merged, at most one shard missing, up to three targets per shard. */
+	SIM_STRICT,
+	SIM_SINGLE, /* to one target, idempotent */
+	SIM_ONCE, /* to one target, not idempotent */
+};
+
+/**
+ * struct sim_target - a fake target; faults are set by the tests
+ * @slots: requests that run concurrently, others queue; 0: no limit
+ * @slot_free_at: when each slot has finished its queue
+ * @restarts: number of restarts after a crash
+ * @restarting: crashed and not restarted yet
+ * @keeps_id: it keeps its id over a restart
+ */
+struct sim_target {
+	char id[24];
+	char addr[24];
+	char service[16];
+	int domain;
+	bool up;
+	bool silent; /* accepts requests and never replies */
+	bool leaving;
+	int64_t leaving_since;
+	int64_t paused_until;
+	int64_t service_us;
+	double reject_rate; /* fraction of requests rejected as not executed */
+	double reply_loss; /* fraction of replies lost after execution */
+	int arrivals;
+	int slots;
+	int64_t slot_free_at[SIM_SLOTS_MAX];
+	int restarts;
+	bool restarting;
+	bool keeps_id;
+};
+
+/**
+ * struct sim_request_spec - a request and its caller
+ * @query: end of the path
+ * @caller: address of the caller
+ * @deadly: index in sim.deadly of a request that crashes each target that runs
+ *          it, 0 for a harmless one
+ */
+struct sim_request_spec {
+	const char *query;
+	const char *caller;
+	int deadly;
+};
+
+/**
+ * struct sim_deadly - effects of a deadly request
+ * @crashes: targets that it has crashed
+ * @third_crash_at: time of the third crash
+ * @late: calls that reached targets more than SIM_CONVERGENCE_US after that
+ */
+struct sim_deadly {
+	int crashes;
+	int64_t third_crash_at;
+	int late;
+};
+
+/** struct sim_call - a caller's request and its outcome */
+struct sim_call {
+	enum sim_request_kind kind;
+	int64_t start;
+	int64_t answered_at;
+	int status;
+	size_t parts;
+	size_t missing;
+	int64_t retry_after_us;
+	bool duplicate_part;
+	bool foreign_part;
+	bool unsorted;
+	int runs;
+	int targets_of_shard[2 * SIM_SHARDS];
+	/* Bit set of the targets that received the request, per shard. */
+	uint64_t sent_to[2 * SIM_SHARDS][SIM_TARGETS_MAX / 64];
+	uint64_t version;
+	int deadly;
+	bool reached_late;
+};
+
+/**
+ * struct sim_node - a node of the tier
+ * @fault_at: when a fault of this node last began or ended; runs of a deadly
+ *            request that it sends within SIM_CONVERGENCE_US of that are not
+ *            counted as late
+ */
+struct sim_node {
+	struct tier *tier;
+	int64_t fault_at;
+	struct flow_effects fx;
+	char addr[24];
+	int domain;
+	bool up;
+	bool store_cut;
+	int64_t frozen_until;
+	int64_t last_event_at;
+	bool ready;
+	bool exited;
+	uint64_t incarnation;
+	struct vm_settings settings;
+};
+
+struct sim {
+	apr_pool_t *pool;
+	int64_t now;
+	struct rng rng;
+	int nnodes;
+	struct sim_node nodes[SIM_NODES_MAX];
+	int ntargets;
+	struct sim_target targets[SIM_TARGETS_MAX];
+	int ncalls;
+	struct sim_call calls[SIM_CALLS_MAX];
+	uint64_t revision;
+	uint64_t version;
+	bool store_down;
+	bool links_cut[SIM_NODES_MAX][SIM_NODES_MAX];
+	/* Arrival of the last message, by sender and receiver. */
+	int64_t last_arrival_at[SIM_NODES_MAX][SIM_NODES_MAX];
+	int64_t out_since[SIM_DOMAINS];
+	int late_to_out_domain;
+	int late_to_leaving;
+	struct sim_deadly deadly[SIM_DEADLY_MAX];
+	int64_t deadly_run_us; /* time to the crash; 0: usual service time */
+	int extra_sends;
+	int first_sends;
+	uint64_t store_calls;
+	uint32_t without; /* mechanisms disabled in nodes started later */
+	int traced_call; /* call whose log lines are printed, -1: none */
+	struct sim_store *store;
+	struct sim_queue *queue;
+};
+
+struct sim *sim_create(int nnodes, uint64_t seed);
+void sim_destroy(struct sim *sim);
+/** sim_add_targets() - add @each targets for each shard */
+void sim_add_targets(struct sim *sim, const char *prefix, int each);
+int sim_add_target(struct sim *sim, const char *service, int domain);
+/** sim_publish_target() - write a target's current entry to the store */
+void sim_publish_target(struct sim *sim, int target);
+void sim_unpublish_target(struct sim *sim, int target);
+/** sim_configure() - publish a version; from 10 on it has other shards */
+void sim_configure(struct sim *sim, uint64_t version);
+void sim_set_domain_out(struct sim *sim, int domain, bool out);
+void sim_start_node(struct sim *sim, int node);
+/** sim_kill_node() - stop a node abruptly; peers lose their connections */
+void sim_kill_node(struct sim *sim, int node);
+void sim_stop_node(struct sim *sim, int node);
+/** sim_call() - send a request to @node now; returns the call's index */
+int sim_call(struct sim *sim, int node, enum sim_request_kind kind);
+int sim_call_with(struct sim *sim, int node, enum sim_request_kind kind,
+		  const struct sim_request_spec *spec);
+/** sim_crash_target() - crash a target with all its requests; it restarts */
+void sim_crash_target(struct sim *sim, int target);
+/** sim_run() - advance virtual time by @us */
+void sim_run(struct sim *sim, int64_t us);
+/** sim_settle() - run until all nodes are ready, at most ten seconds */
+void sim_settle(struct sim *sim);
--- /dev/null
+++ b/tests/sim_targets.c
@@ -0,0 +1,371 @@
+#include "sim_internal.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "../xmalloc.h"
+
+enum {
+	SERVICE_US = 8000,
+	RECORDS_PER_REPLY = 3,
+	/* A crashed target restarts after this time, plus up to half of it. */
+	RESTART_DELAY_US = 1200000,
+	/* The entry of a crashed target expires after this time. */
+	ENTRY_EXPIRY_US = 3600000,
+	DOMAIN_OUT_GRACE_US = 5000000,
+};
+
+static double random_fraction(struct sim *sim)
+{
+	return (double)rng_below(&sim->rng, 1000000) / 1e6;
+}
+
+/* Store. */
+
+static struct store_key *store_get_or_add(struct sim *sim, const char *key)
+{
+	struct sim_store *store = sim->store;
+
+	for (int i = 0; i < store->nkeys; i++)
+		if (!strcmp(store->keys[i].key, key))
+			return &store->keys[i];
+	snprintf(store->keys[store->nkeys].key,
+		 sizeof(store->keys[store->nkeys].key), "%s", key);
+	return &store->keys[store->nkeys++];
+}
+
+/* A change completes the pending watch calls. */
+static void wake_watches(struct sim *sim)
+{
+	for (size_t i = 0; i < sim->queue->count; i++) {
+		struct sim_event *event = &sim->queue->list[i];
+
+		if (event->type == SIM_EVENT_STORE_REPLY &&
+		    event->call == STORE_WATCH &&
+		    event->when > sim->now + SIM_STORE_LATENCY_US)
+			event->when = sim->now + SIM_STORE_LATENCY_US;
+	}
+}
+
+static void store_put(struct sim *sim, const char *key, const char *value)
+{
+	struct store_key *entry = store_get_or_add(sim, key);
+
+	entry->revision = ++sim->revision;
+	entry->deleted = !value;
+	snprintf(entry->value, sizeof(entry->value), "%s", value ? value : "");
+	wake_watches(sim);
+}
+
+void sim_configure(struct sim *sim, uint64_t version)
+{
+	char value[32];
+
+	snprintf(value, sizeof(value), "%llu", (unsigned long long)version);
+	sim->version = version;
+	store_put(sim, "all/c", value);
+}
+
+void sim_set_domain_out(struct sim *sim, int domain, bool out)
+{
+	char key[32];
+
+	snprintf(key, sizeof(key), "all/o/d%d", domain);
+	sim->out_since[domain] = out ? sim->now : 0;
+	store_put(sim, key, out ? "out" : NULL);
+}
+
+void sim_publish_target(struct sim *sim, int target)
+{
+	const struct sim_target *t = &sim->targets[target];
+	char key[64];
+	char value[128];
+
+	snprintf(key, sizeof(key), "all/t/%s", t->id);
+	snprintf(value, sizeof(value), "%s %s %d %d %d", t->service, t->addr,
+		 t->domain, t->leaving, t->restarts + 1);
+	store_put(sim, key, value);
+}
+
+void sim_delete_entry(struct sim *sim, struct str id)
+{
+	char key[64];
+
+	snprintf(key, sizeof(key), "all/t/%.*s", STR_ARG(id));
+	store_put(sim, key, NULL);
+}
+
+void sim_unpublish_target(struct sim *sim, int target)
+{
+	sim_delete_entry(sim, str_of(sim->targets[target].id));
+}
+
+int sim_add_target(struct sim *sim, const char *service, int domain)
+{
+	int index = sim->ntargets++;
+	struct sim_target *t = &sim->targets[index];
+
+	*t = (struct sim_target){ .domain = domain,
+				  .up = true,
+				  .service_us = SERVICE_US };
+	snprintf(t->id, sizeof(t->id), "i%d", index);
+	snprintf(t->addr, sizeof(t->addr), "10.9.%d.%d:80", domain, index);
+	snprintf(t->service, sizeof(t->service), "%s", service);
+	sim_publish_target(sim, index);
+	return index;
+}
+
+void sim_add_targets(struct sim *sim, const char *prefix, int each)
+{
+	for (int i = 0; i < SIM_SHARDS; i++) {
+		char service[16];
+
+		snprintf(service, sizeof(service), "%s%d", prefix, i);
+		for (int j = 0; j < each; j++)
+			sim_add_target(sim, service, (i + j) % SIM_DOMAINS);
+	}
+}
+
+/* Targets. */
+
+static int shard_of(const struct sim_target *t)
+{
+	if (t->service[0] == 's' && t->service[1] != 'i')
+		return atoi(t->service + 1);
+	if (t->service[0] == 'r')
+		return SIM_SHARDS + atoi(t->service + 1);
+	return -1;
+}
+
+static void count_arrival(struct sim *sim, struct sim_target *t, int call_id)
+{
+	struct sim_call *call = &sim->calls[call_id - 1];
+	int shard = shard_of(t);
+	size_t target_index = (size_t)(t - sim->targets);
+	uint64_t bit = 1ULL << target_index % 64;
+	uint64_t *sent_to;
+
+	t->arrivals++;
+	if (t->leaving_since && sim->now - t->leaving_since > SIM_DRAIN_US)
+		sim->late_to_leaving++;
+	if (sim->out_since[t->domain] &&
+	    sim->now - sim->out_since[t->domain] > DOMAIN_OUT_GRACE_US)
+		sim->late_to_out_domain++;
+	if (shard < 0)
+		return;
+	if (call->targets_of_shard[shard])
+		sim->extra_sends++;
+	else
+		sim->first_sends++;
+	sent_to = &call->sent_to[shard][target_index / 64];
+	/* A repeat at a target is an extra send, but not a new target. */
+	if (*sent_to & bit)
+		return;
+	*sent_to |= bit;
+	call->targets_of_shard[shard]++;
+}
+
+static struct str make_records(struct sim *sim)
+{
+	char *bytes = xmalloc((size_t)RECORDS_PER_REPLY * 16);
+
+	for (int i = 0; i < RECORDS_PER_REPLY * 16; i++)
+		bytes[i] = (char)rng_next(&sim->rng);
+	return (struct str){ bytes, (size_t)RECORDS_PER_REPLY * 16 };
+}
+
+static struct sim_event *schedule_reply(struct sim *sim,
+					const struct sim_event *arrival,
+					int64_t after, struct flow_reply reply)
+{
+	struct sim_event *event;
+	int node = arrival->node;
+	uint64_t id = arrival->id;
+	uint64_t incarnation = arrival->incarnation;
+	int target = arrival->target;
+
+	event = sim_schedule(sim, after, SIM_EVENT_REPLY, node);
+	event->id = id;
+	event->incarnation = incarnation;
+	event->target = target;
+	event->reply = reply;
+	return event;
+}
+
+/* All requests that run at the target lose their connections. */
+static void crash(struct sim *sim, int target, int deadly)
+{
+	struct sim_target *t = &sim->targets[target];
+	struct sim_deadly *record = &sim->deadly[deadly];
+	struct sim_event *expiry;
+
+	if (!t->up)
+		return;
+	t->up = false;
+	t->restarting = true;
+	if (++record->crashes == 3)
+		record->third_crash_at = sim->now;
+	for (size_t i = 0; i < sim->queue->count; i++) {
+		struct sim_event *event = &sim->queue->list[i];
+
+		if (event->type != SIM_EVENT_REPLY || event->target != target)
+			continue;
+		event->reply.result = FETCH_BROKEN;
+		event->when = sim->now + SIM_NEAR_HOP_US;
+	}
+	sim_schedule(
+		sim,
+		RESTART_DELAY_US +
+			(int64_t)rng_below(&sim->rng, RESTART_DELAY_US / 2),
+		SIM_EVENT_RESTART, 0)
+		->target = target;
+	if (t->keeps_id)
+		return;
+	expiry = sim_schedule(sim, ENTRY_EXPIRY_US, SIM_EVENT_ENTRY_EXPIRED, 0);
+	expiry->expected = str_keep(str_of(t->id));
+}
+
+void sim_deadly_run_ended(struct sim *sim, const struct sim_event *event)
+{
+	crash(sim, event->target, sim->calls[event->call_id - 1].deadly);
+}
+
+void sim_crash_target(struct sim *sim, int target)
+{
+	crash(sim, target, 0);
+}
+
+void sim_target_restarted(struct sim *sim, int target)
+{
+	struct sim_target *t = &sim->targets[target];
+
+	t->restarts++;
+	t->restarting = false;
+	t->up = true;
+	memset(t->slot_free_at, 0, sizeof(t->slot_free_at));
+	if (!t->keeps_id)
+		snprintf(t->id, sizeof(t->id), "i%d.%d", target, t->restarts);
+	sim_publish_target(sim, target);
+}
+
+static void count_late_run(struct sim *sim, struct sim_call *call, int node)
+{
+	struct sim_deadly *record = &sim->deadly[call->deadly];
+	int64_t fault_at = sim->nodes[node].fault_at;
+
+	if (call->reached_late || !record->third_crash_at ||
+	    sim->now - record->third_crash_at <= SIM_CONVERGENCE_US ||
+	    (fault_at && sim->now - fault_at <= SIM_CONVERGENCE_US))
+		return;
+	call->reached_late = true;
+	record->late++;
+}
+
+/* Occupies a slot for @run_us. Return: the time at which the run ends. */
+static int64_t run_end(const struct sim *sim, struct sim_target *t,
+		       int64_t run_us)
+{
+	int64_t start = sim->now;
+	int best = 0;
+
+	for (int i = 1; i < t->slots; i++)
+		if (t->slot_free_at[i] < t->slot_free_at[best])
+			best = i;
+	if (t->slots && t->slot_free_at[best] > start)
+		start = t->slot_free_at[best];
+	if (t->paused_until > start)
+		start = t->paused_until;
+	t->slot_free_at[best] = start + run_us;
+	return start + run_us;
+}
+
+void sim_request_arrived(struct sim *sim, const struct sim_event *event)
+{
+	struct flow_reply reply = { .result = FETCH_OK,
+				    .cold_us = -1,
+				    .running = -1 };
+	struct sim_target *t;
+	int call_id = atoi(event->request_id.ptr);
+	struct sim_event *crash_event;
+	char signature[64];
+	int64_t run_us;
+
+	if (event->target < 0 || !sim->targets[event->target].up) {
+		reply.result = FETCH_REFUSED;
+		schedule_reply(sim, event, SIM_REFUSED_LATENCY_US, reply);
+		return;
+	}
+	t = &sim->targets[event->target];
+	if (!str_eq(event->expected, str_of(t->id))) {
+		reply.status = 421;
+		reply.wrong_target = reply.not_run = true;
+		schedule_reply(sim, event, SIM_FAR_HOP_US, reply);
+		return;
+	}
+	count_arrival(sim, t, call_id);
+	if (random_fraction(sim) < t->reject_rate) {
+		reply.status = 503;
+		reply.not_run = true;
+		schedule_reply(sim, event, SIM_FAR_HOP_US, reply);
+		return;
+	}
+	sim->calls[call_id - 1].runs++;
+	if (t->silent)
+		return;
+	run_us = t->service_us / 2 +
+		 (int64_t)rng_below(&sim->rng, (uint64_t)t->service_us);
+	run_us = run_end(sim, t, run_us) - sim->now;
+	if (sim->calls[call_id - 1].deadly) {
+		count_late_run(sim, &sim->calls[call_id - 1], event->node);
+		reply.result = FETCH_BROKEN;
+		/*
+		 * The same run time at each target: they crash together, so
+		 * that other requests lose all their connections at once.
+		 */
+		run_us =
+			sim->deadly_run_us ? sim->deadly_run_us : t->service_us;
+		crash_event = schedule_reply(sim, event, run_us, reply);
+		crash_event->crash = true;
+		crash_event->call_id = call_id;
+		return;
+	}
+	if (random_fraction(sim) < t->reply_loss) {
+		reply.result = FETCH_BROKEN;
+		schedule_reply(sim, event, run_us, reply);
+		return;
+	}
+	snprintf(signature, sizeof(signature), "%d.%d.%s", call_id, shard_of(t),
+		 t->id);
+	reply.status = 200;
+	reply.signature = str_keep(str_of(signature));
+	reply.body = make_records(sim);
+	schedule_reply(sim, event, run_us, reply);
+}
+
+void sim_store_replied(struct sim *sim, const struct sim_event *event)
+{
+	struct store_item items[SIM_STORE_KEYS_MAX];
+	struct store_reply reply = { .items = items,
+				     .revision = sim->revision };
+	struct flow_store_reply store = { .call = event->call,
+					  .ok = event->store_ok &&
+						!sim->store_down,
+					  .why = "no reply in time",
+					  .reply = &reply };
+
+	for (int i = 0; i < sim->store->nkeys; i++) {
+		const struct store_key *key = &sim->store->keys[i];
+
+		if (event->call == STORE_WATCH
+			    ? key->revision <= event->revision
+			    : key->deleted)
+			continue;
+		items[reply.count++] =
+			(struct store_item){ str_of(key->key),
+					     str_of(key->value), key->revision,
+					     key->deleted };
+	}
+	sim_deliver(sim, event->node,
+		    (struct flow_event){ .type = FLOW_STORE_REPLY,
+					 .store = &store });
+}
