--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -51,7 +51,7 @@
 {
 	struct mesh_layout layout = layout_of(mesh, 2);
 
-	layout.out = domain;
+	layout.out_domain = domain;
 	mesh_publish_fleet(mesh, &layout);
 }
 
@@ -180,7 +180,7 @@
 	size_t id;
 
 	for (int i = 0; i < TARGETS; i += 2)
-		mesh->targets[i].answers_version = 3;
+		mesh->targets[i].reply_version = 3;
 	id = ask(mesh, 0);
 	mesh_run(mesh, SECOND);
 	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
@@ -292,7 +292,7 @@
  * at one request, so two sides give two at the most. */
 static void cold_start_two_gates(struct mesh *mesh)
 {
-	mesh->cold_bears = 8;
+	mesh->cold_max_inflight = 8;
 	mesh->cold_us = 6 * SECOND;
 	mesh_cut(mesh, 0, 1, true);
 	mesh_cut(mesh, 0, 2, true);
@@ -366,7 +366,7 @@
 {
 	int64_t since;
 
-	mesh->nodes[0].no_platform = true;
+	mesh->nodes[0].platform_cut = true;
 	take_out(mesh, 1);
 	since = mesh->now + 3 * SECOND;
 	load(mesh, 5 * SECOND);
@@ -381,7 +381,7 @@
 	int64_t since;
 
 	for (int i = 0; i < 3; i++)
-		mesh->nodes[i].no_platform =
+		mesh->nodes[i].platform_cut =
 			member_rank(mesh->nodes[i].node, DOC_FLEET + 1) < 2;
 	load(mesh, 2500 * MS);
 	take_out(mesh, 1);
@@ -397,7 +397,7 @@
 	int64_t since;
 	size_t id;
 
-	mesh->nodes[0].no_platform = true;
+	mesh->nodes[0].platform_cut = true;
 	mesh_cut(mesh, 0, 1, true);
 	mesh_cut(mesh, 0, 2, true);
 	take_out(mesh, 1);
@@ -513,7 +513,7 @@
 	ck_assert(says(mesh, id, "\"unknown\"") ||
 		  says(mesh, id, "\"not_run\""));
 	mesh_run(mesh, 6 * SECOND);
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
 /* 6. The issuer is killed between grant and go.
@@ -529,7 +529,7 @@
 	run_to_grant(mesh, gate);
 	mesh_kill(mesh, issuer);
 	mesh_run(mesh, 3 * SECOND);
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
 }
 
@@ -546,7 +546,7 @@
 	mesh_run(mesh, 4 * SECOND);
 	ck_assert(says(mesh, id, "\"not_run\""));
 	ck_assert(says(mesh, id, "retry_after_ms"));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
 /* 6. The reply of a target that shed the entry is lost.
@@ -557,12 +557,12 @@
 	size_t id;
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
-		mesh->targets[i].drops = true;
+		mesh->targets[i].closes_without_run = true;
 	take_ticket(mesh, 0, ticket, sizeof(ticket));
 	id = enter(mesh, 0, ticket);
 	mesh_run(mesh, 4 * SECOND);
 	ck_assert(says(mesh, id, "\"unknown\""));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
 /* 6. The entry is given up while its grant is on the way.
@@ -587,7 +587,7 @@
 	mesh_run(mesh, 1500);
 	ck_assert(says(mesh, id, "\"not_run\""));
 	mesh_run(mesh, 4 * SECOND);
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
 }
 
@@ -605,7 +605,7 @@
 	mesh_run(mesh, SECOND);
 	for (int i = 0; i < 3; i++)
 		ck_assert(says(mesh, ids[i], "\"done\""));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 1);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
 /* 7. A caller's own id without a ticket, at two nodes at once.
@@ -618,7 +618,7 @@
 	mesh_run(mesh, SECOND);
 	ck_assert(says(mesh, a, "ticket_required"));
 	ck_assert(says(mesh, b, "ticket_required"));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
 /* 7. The issuer ran it and was killed; a new VM has its address (a pair).
@@ -637,7 +637,7 @@
 	id = enter(mesh, 0, ticket);
 	mesh_run(mesh, SECOND);
 	ck_assert(says(mesh, id, "\"unknown\""));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 1);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
 /* 7. A cut with both sides live.
@@ -658,7 +658,7 @@
 	mesh_run(mesh, 10 * SECOND);
 	ck_assert(says(mesh, a, "\"done\""));
 	ck_assert(says(mesh, b, "\"unknown\""));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 1);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
 /* 7. The target runs the entry and closes without a reply, and the issuer is
@@ -669,14 +669,14 @@
 	size_t id;
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
-		mesh->targets[i].closes = true;
+		mesh->targets[i].closes_after_run = true;
 	take_ticket(mesh, 0, ticket, sizeof(ticket));
 	id = enter(mesh, 0, ticket);
 	mesh_run(mesh, 2 * MS);
 	mesh_pause(mesh, 0, 3 * SECOND);
 	mesh_run(mesh, 6 * SECOND);
 	ck_assert(says(mesh, id, "\"unknown\""));
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 1);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
 /* 8. The VM list is late: the target says itself that it drains.
@@ -704,7 +704,7 @@
 	struct mesh_layout layout = layout_of(mesh, 2);
 	int64_t since;
 
-	layout.leaving = 2;
+	layout.leaving_target = 2;
 	mesh_publish_fleet(mesh, &layout);
 	since = mesh->now + 2500 * MS;
 	load(mesh, 4 * SECOND);
@@ -784,13 +784,13 @@
 	publish_version(mesh, 2);
 	mesh_run(mesh, 2 * SECOND);
 	mesh_kill(mesh, 0);
-	mesh->nodes[0].stale_reader = 1;
+	mesh->nodes[0].reads_stale_docs = 1;
 	mesh_start(mesh, 0);
 	for (int i = 0; i < 500; i++) {
 		mesh_run(mesh, 10 * MS);
-		ck_assert(mesh->nodes[0].seen[DOC_FLEET] != 1);
+		ck_assert(mesh->nodes[0].doc_versions[DOC_FLEET] != 1);
 	}
-	ck_assert_int_eq((int)mesh->nodes[0].seen[DOC_FLEET], 2);
+	ck_assert_int_eq((int)mesh->nodes[0].doc_versions[DOC_FLEET], 2);
 }
 
 /* 10. A document that is refused leaves the last accepted in force, and the
@@ -802,13 +802,15 @@
 	mesh_publish(mesh, DOC_LISTS, "{\"version\":2,\"plans\":[]}");
 	mesh_run(mesh, 3 * SECOND);
 	for (int i = 0; i < 3; i++) {
-		ck_assert_int_eq((int)mesh->nodes[i].seen[DOC_LISTS], 1);
+		ck_assert_int_eq((int)mesh->nodes[i].doc_versions[DOC_LISTS],
+				 1);
 		ck_assert(mesh->nodes[i].node->counters[CNT_DOCS_REFUSED] > 0);
 	}
 	mesh_publish(mesh, DOC_LISTS, lists);
 	mesh_run(mesh, 3 * SECOND);
 	for (int i = 0; i < 3; i++)
-		ck_assert_int_eq((int)mesh->nodes[i].seen[DOC_LISTS], 3);
+		ck_assert_int_eq((int)mesh->nodes[i].doc_versions[DOC_LISTS],
+				 3);
 	free(lists);
 }
 
@@ -816,13 +818,14 @@
  * All end on the later one. */
 static void two_publications(struct mesh *mesh)
 {
-	mesh->nodes[1].stale_reader = 1;
+	mesh->nodes[1].reads_stale_docs = 1;
 	publish_version(mesh, 2);
 	mesh_run(mesh, 5 * MS);
 	publish_version(mesh, 3);
 	mesh_run(mesh, 4 * SECOND);
 	for (int i = 0; i < 3; i++)
-		ck_assert_int_eq((int)mesh->nodes[i].seen[DOC_FLEET], 3);
+		ck_assert_int_eq((int)mesh->nodes[i].doc_versions[DOC_FLEET],
+				 3);
 }
 
 /* 10. The platform is down for an hour: service and documents stay. */
@@ -971,7 +974,7 @@
 	run_to_grant(mesh, gate);
 	mesh_pause(mesh, gate, 5 * SECOND);
 	mesh_run(mesh, 9 * SECOND);
-	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 1);
+	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 	mesh_destroy(mesh);
 }
 END_TEST
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -48,7 +48,7 @@
 	size_t nclients;
 	size_t asks;
 	char fault[160];
-	bool disturbed[MESH_NODES]; /* paused or killed: no timeliness */
+	bool disturbed[MESH_NODES_MAX]; /* paused or killed: no timeliness */
 };
 
 static uint64_t pick(struct fuzz *f, uint64_t bound)
@@ -209,12 +209,12 @@
 {
 	switch (pick(f, 5)) {
 	case 0:
-		f->layout.out = (int)pick(f, DOMAINS + 1) - 1;
+		f->layout.out_domain = (int)pick(f, DOMAINS + 1) - 1;
 		break;
 	case 1:
-		f->layout.leaving = (int)pick(f, TARGETS * 2) - 1;
-		if (f->layout.leaving >= TARGETS)
-			f->layout.leaving = -1;
+		f->layout.leaving_target = (int)pick(f, TARGETS * 2) - 1;
+		if (f->layout.leaving_target >= TARGETS)
+			f->layout.leaving_target = -1;
 		break;
 	case 2:
 		f->layout.snapshot++;
@@ -242,7 +242,7 @@
 	if (pick(f, 2))
 		f->mesh->platform_down = !f->mesh->platform_down;
 	else
-		f->mesh->nodes[some_node(f)].stale_reader ^= 1;
+		f->mesh->nodes[some_node(f)].reads_stale_docs ^= 1;
 }
 
 static void do_target(struct fuzz *f)
@@ -263,13 +263,13 @@
 		target->lacks = pick(f, 2) ? f->layout.snapshot : UINT64_MAX;
 		break;
 	case 4:
-		target->closes = !target->closes;
+		target->closes_after_run = !target->closes_after_run;
 		break;
 	case 5:
-		target->answers_version = pick(f, 2) ? f->layout.snapshot : 0;
+		target->reply_version = pick(f, 2) ? f->layout.snapshot : 0;
 		break;
 	default:
-		target->mute = !target->mute;
+		target->never_replies = !target->never_replies;
 		break;
 	}
 }
@@ -315,17 +315,18 @@
 	mesh->platform_down = false;
 	memset(mesh->cut, 0, sizeof(mesh->cut));
 	for (int i = 0; i < mesh->nnodes; i++) {
-		mesh->nodes[i].stale_reader = 0;
+		mesh->nodes[i].reads_stale_docs = 0;
 		if (!mesh->nodes[i].up)
 			mesh_start(mesh, i);
 	}
 	for (size_t i = 0; i < mesh->ntargets; i++) {
 		struct mesh_target *target = &mesh->targets[i];
 
-		target->dead = target->draining = target->closes = false;
-		target->mute = false;
+		target->dead = target->draining = target->closes_after_run =
+			false;
+		target->never_replies = false;
 		target->lacks = UINT64_MAX;
-		target->answers_version = 0;
+		target->reply_version = 0;
 	}
 	mesh_run(mesh, HEAL_US);
 }
@@ -386,7 +387,7 @@
 {
 	for (size_t i = 0; i < f->nclients; i++) {
 		const struct client *client = &f->clients[i];
-		uint64_t runs = mesh_runs(f->mesh, client->entry);
+		uint64_t runs = mesh_entry_runs(f->mesh, client->entry);
 
 		if (runs > 1)
 			fail(f, "an entry ran twice", i);
@@ -418,12 +419,12 @@
 static void check_out(struct fuzz *f)
 {
 	int out = (int)pick(f, DOMAINS);
-	int leaving = (int)pick(f, TARGETS);
+	int leaving_target = (int)pick(f, TARGETS);
 	struct mesh *mesh = f->mesh;
 	int64_t since;
 
-	f->layout.out = out;
-	f->layout.leaving = leaving;
+	f->layout.out_domain = out;
+	f->layout.leaving_target = leaving_target;
 	publish_fleet(f);
 	since = mesh->now + OUT_US;
 	load(f, OUT_US * 5 / 4);
@@ -431,13 +432,13 @@
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
 				      "new work in a domain taken out");
-	check_no_work(f, (size_t)leaving, since,
+	check_no_work(f, (size_t)leaving_target, since,
 		      "new work at a leaving target");
 	for (int i = 0; i < mesh->nnodes; i++)
 		if (mesh->nodes[i].up &&
-		    mesh->nodes[i].seen[DOC_FLEET] != f->layout.version)
+		    mesh->nodes[i].doc_versions[DOC_FLEET] != f->layout.version)
 			fail(f, "a document is not in force", (size_t)i);
-	f->layout.out = f->layout.leaving = -1;
+	f->layout.out_domain = f->layout.leaving_target = -1;
 	publish_fleet(f);
 	load(f, OUT_US);
 }
@@ -451,7 +452,7 @@
 	mesh_pause(f->mesh, 0, 2 * OUT_US);
 	f->disturbed[0] = true;
 	load(f, LOAD_STEP_US * 10);
-	f->layout.out = out;
+	f->layout.out_domain = out;
 	publish_fleet(f);
 	since = f->mesh->now + OUT_US;
 	load(f, 2 * OUT_US);
@@ -459,7 +460,7 @@
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
 				      "new work by a node that woke");
-	f->layout.out = -1;
+	f->layout.out_domain = -1;
 	publish_fleet(f);
 	load(f, OUT_US);
 }
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -13,30 +13,30 @@
 	DELIVER_TICK,
 	DELIVER_DOC,
 	DELIVER_REQUEST, /* reaches a target */
-	DELIVER_SERVED, /* a target ends its work */
+	DELIVER_SERVICE_DONE, /* a target ends its work */
 	DELIVER_REPLY, /* a target's reply reaches the node */
-	DELIVER_LOST,
+	DELIVER_PEER_LOST,
 	DELIVER_CALL,
 };
 
 /** struct delivery - something that happens at a time */
 struct delivery {
 	int64_t at;
-	uint64_t order;
+	uint64_t seq;
 	enum delivery_kind kind;
 	int node;
 	uint64_t incarnation; /* of the node that it is for */
 	int from;
 	enum doc_kind doc;
 	enum event_type event;
-	uint64_t work;
+	uint64_t id;
 	struct buf bytes;
 };
 
-/** struct work - a request at a target, and then its reply */
-struct work {
+/** struct request - a request at a target, and then its reply */
+struct request {
 	uint64_t number;
-	uint64_t fetch; /* id in the effect */
+	uint64_t fetch_id; /* id in the effect */
 	uint64_t job;
 	int node;
 	uint64_t incarnation;
@@ -49,7 +49,7 @@
 	uint64_t boot; /* of the target when it was sent */
 	int64_t timeout_at; /* when the shell gives up */
 	bool running;
-	struct fetched got;
+	struct fetched fetched;
 	struct buf rows;
 };
 
@@ -59,17 +59,17 @@
 	FETCH_GRACE_US = 2000000
 };
 
-static bool earlier(const struct delivery *a, const struct delivery *b)
+static bool is_earlier(const struct delivery *a, const struct delivery *b)
 {
-	return a->at != b->at ? a->at < b->at : a->order < b->order;
+	return a->at != b->at ? a->at < b->at : a->seq < b->seq;
 }
 
 static void swap(struct delivery *a, struct delivery *b)
 {
-	struct delivery held = *a;
+	struct delivery tmp = *a;
 
 	*a = *b;
-	*b = held;
+	*b = tmp;
 }
 
 static void push(struct mesh *mesh, struct delivery delivery)
@@ -81,9 +81,9 @@
 		mesh->heap =
 			xrealloc(mesh->heap, mesh->cap * sizeof(*mesh->heap));
 	}
-	delivery.order = mesh->order++;
+	delivery.seq = mesh->seq++;
 	mesh->heap[i] = delivery;
-	while (i && earlier(&mesh->heap[i], &mesh->heap[(i - 1) / 2])) {
+	while (i && is_earlier(&mesh->heap[i], &mesh->heap[(i - 1) / 2])) {
 		swap(&mesh->heap[i], &mesh->heap[(i - 1) / 2]);
 		i = (i - 1) / 2;
 	}
@@ -100,7 +100,7 @@
 
 		for (size_t c = 2 * i + 1; c <= 2 * i + 2; c++)
 			if (c < mesh->count &&
-			    earlier(&mesh->heap[c], &mesh->heap[least]))
+			    is_earlier(&mesh->heap[c], &mesh->heap[least]))
 				least = c;
 		if (least == i)
 			return first;
@@ -114,7 +114,7 @@
 	return per_mille && (int)rng_below(&mesh->rng, 1000) < per_mille;
 }
 
-static int64_t travel(struct mesh *mesh, struct str from, struct str to)
+static int64_t network_delay(struct mesh *mesh, struct str from, struct str to)
 {
 	int64_t us = mesh->latency_us;
 
@@ -126,11 +126,11 @@
 }
 
 /* A hop between a front, anywhere, and something in a failure domain. */
-static int64_t front_hop(struct mesh *mesh)
+static int64_t front_network_delay(struct mesh *mesh)
 {
-	bool near = rng_below(&mesh->rng, mesh->fleet->ndomains) == 0;
+	bool same_domain = rng_below(&mesh->rng, mesh->fleet->ndomains) == 0;
 
-	return mesh->latency_us + (near ? 0 : mesh->far_us);
+	return mesh->latency_us + (same_domain ? 0 : mesh->far_us);
 }
 
 static int node_index(const struct mesh *mesh, struct str addr)
@@ -143,52 +143,53 @@
 
 /* Targets. */
 
-static struct work *work_find(struct mesh *mesh, uint64_t number)
+static struct request *request_find(struct mesh *mesh, uint64_t number)
 {
-	return apr_hash_get(mesh->works, &number, sizeof(number));
+	return apr_hash_get(mesh->requests, &number, sizeof(number));
 }
 
-static void work_free(struct mesh *mesh, struct work *work)
+static void request_free(struct mesh *mesh, struct request *request)
 {
-	apr_hash_set(mesh->works, &work->number, sizeof(work->number), NULL);
-	buf_free(&work->terms);
-	buf_free(&work->body);
-	buf_free(&work->rows);
-	free(work);
+	apr_hash_set(mesh->requests, &request->number, sizeof(request->number),
+		     NULL);
+	buf_free(&request->terms);
+	buf_free(&request->body);
+	buf_free(&request->rows);
+	free(request);
 }
 
-static void reply(struct mesh *mesh, struct work *work)
+static void send_reply(struct mesh *mesh, struct request *request)
 {
-	struct mesh_node *node = &mesh->nodes[work->node];
+	struct mesh_node *node = &mesh->nodes[request->node];
 
-	work->got.boot = work->target->boot;
-	work->got.load = work->target->busy;
-	work->got.draining = work->target->draining;
-	work->got.job = work->job;
+	request->fetched.boot = request->target->boot;
+	request->fetched.load = request->target->busy;
+	request->fetched.draining = request->target->draining;
+	request->fetched.job = request->job;
 
-	int64_t hops = travel(mesh, work->target->listed->domain->name,
-			      node->opt.domain);
+	int64_t delay_us = network_delay(
+		mesh, request->target->config->domain->name, node->opt.domain);
 
-	if (mesh->permits && work->kind == FETCH_LEAF)
-		hops = front_hop(mesh);
-	push(mesh, (struct delivery){ .at = mesh->now + hops,
+	if (mesh->permits && request->kind == FETCH_LEAF)
+		delay_us = front_network_delay(mesh);
+	push(mesh, (struct delivery){ .at = mesh->now + delay_us,
 				      .kind = DELIVER_REPLY,
-				      .node = work->node,
-				      .incarnation = work->incarnation,
-				      .work = work->number });
+				      .node = request->node,
+				      .incarnation = request->incarnation,
+				      .id = request->number });
 }
 
-static void reply_short(struct mesh *mesh, struct work *work,
-			enum fetch_result result, int status)
+static void finish_request(struct mesh *mesh, struct request *request,
+			   enum fetch_result result, int status)
 {
-	work->got.result = result;
-	work->got.status = status;
-	reply(mesh, work);
+	request->fetched.result = result;
+	request->fetched.status = status;
+	send_reply(mesh, request);
 }
 
-static void count_run(struct mesh *mesh, const struct work *work)
+static void count_run(struct mesh *mesh, const struct request *request)
 {
-	uint64_t key = str_hash(buf_str(&work->body));
+	uint64_t key = str_hash(buf_str(&request->body));
 	uint64_t *pair = apr_hash_get(mesh->runs, &key, sizeof(key));
 
 	if (!pair) {
@@ -199,7 +200,7 @@
 	pair[1]++;
 }
 
-uint64_t mesh_runs(struct mesh *mesh, const char *entry)
+uint64_t mesh_entry_runs(struct mesh *mesh, const char *entry)
 {
 	uint64_t key = str_hash(str_of(entry));
 	uint64_t *pair = apr_hash_get(mesh->runs, &key, sizeof(key));
@@ -207,9 +208,9 @@
 	return pair ? pair[1] : 0;
 }
 
-static void serve(struct mesh *mesh, struct work *work)
+static void start_service(struct mesh *mesh, struct request *request)
 {
-	struct mesh_target *target = work->target;
+	struct mesh_target *target = request->target;
 	int64_t mean =
 		target->service_us ? target->service_us : mesh->service_us;
 	int64_t time =
@@ -217,7 +218,7 @@
 
 	if (chance(mesh, mesh->straggle_pm))
 		time *= mesh->straggle_factor;
-	work->running = true;
+	request->running = true;
 	target->busy++;
 	target->started++;
 	target->last_start = mesh->now;
@@ -228,15 +229,15 @@
 		if (target->busy > target->peak_cold)
 			target->peak_cold = target->busy;
 	}
-	if (work->kind == FETCH_ENTRY)
-		count_run(mesh, work);
+	if (request->kind == FETCH_ENTRY)
+		count_run(mesh, request);
 	push(mesh, (struct delivery){ .at = mesh->now + time,
-				      .kind = DELIVER_SERVED,
-				      .work = work->number });
+				      .kind = DELIVER_SERVICE_DONE,
+				      .id = request->number });
 }
 
 /* A cold target with more than it bears falls over: all of its work breaks. */
-static void fall_over(struct mesh *mesh, struct mesh_target *target)
+static void crash_overloaded(struct mesh *mesh, struct mesh_target *target)
 {
 	target->overruns++;
 	mesh_cold(mesh, target);
@@ -250,18 +251,18 @@
 	target->up_at = mesh->now + RESTART_US;
 	target->cold_until = target->up_at + mesh->cold_us;
 	target->busy = 0;
-	target->nwaiting = 0;
-	for (it = apr_hash_first(mesh->pool, mesh->works); it;
+	target->queue_len = 0;
+	for (it = apr_hash_first(mesh->pool, mesh->requests); it;
 	     it = apr_hash_next(it)) {
 		void *value;
 
 		apr_hash_this(it, NULL, NULL, &value);
 
-		struct work *work = value;
+		struct request *request = value;
 
-		if (work->target == target && work->running) {
-			work->running = false;
-			reply_short(mesh, work, FETCH_BROKEN, 0);
+		if (request->target == target && request->running) {
+			request->running = false;
+			finish_request(mesh, request, FETCH_BROKEN, 0);
 		}
 	}
 }
@@ -269,139 +270,142 @@
 static void cancel(struct mesh *mesh, struct mesh_target *target, int node,
 		   uint64_t job)
 {
-	for (apr_hash_index_t *it = apr_hash_first(mesh->pool, mesh->works); it;
-	     it = apr_hash_next(it)) {
+	for (apr_hash_index_t *it = apr_hash_first(mesh->pool, mesh->requests);
+	     it; it = apr_hash_next(it)) {
 		void *value;
 
 		apr_hash_this(it, NULL, NULL, &value);
 
-		struct work *work = value;
+		struct request *request = value;
 
-		if (work->target != target || work->node != node ||
-		    work->job != job || !work->running ||
-		    work->kind != FETCH_LEAF)
+		if (request->target != target || request->node != node ||
+		    request->job != job || !request->running ||
+		    request->kind != FETCH_LEAF)
 			continue;
-		work->running = false;
+		request->running = false;
 		target->busy--;
-		reply_short(mesh, work, FETCH_OK, 499);
+		finish_request(mesh, request, FETCH_OK, 499);
 		return;
 	}
 }
 
-static void fill(struct mesh *mesh, struct mesh_target *target)
+static void start_queued(struct mesh *mesh, struct mesh_target *target)
 {
-	while (target->nwaiting && target->busy < target->listed->slots) {
-		struct work *work = work_find(mesh, target->waiting[0]);
+	while (target->queue_len && target->busy < target->config->slots) {
+		struct request *request = request_find(mesh, target->queue[0]);
 
-		target->nwaiting--;
-		memmove(target->waiting, target->waiting + 1,
-			(size_t)target->nwaiting * sizeof(uint64_t));
-		if (work)
-			serve(mesh, work);
+		target->queue_len--;
+		memmove(target->queue, target->queue + 1,
+			(size_t)target->queue_len * sizeof(uint64_t));
+		if (request)
+			start_service(mesh, request);
 	}
 }
 
-static void at_target(struct mesh *mesh, struct work *work)
+static void target_receive(struct mesh *mesh, struct request *request)
 {
-	struct mesh_target *target = work->target;
+	struct mesh_target *target = request->target;
 	bool cold = mesh->now < target->cold_until;
 
 	if (target->hangs) {
-		if (work->kind == FETCH_CANCEL) {
-			work_free(mesh, work);
+		if (request->kind == FETCH_CANCEL) {
+			request_free(mesh, request);
 			return;
 		}
-		work->got.result = FETCH_TIMEOUT;
-		target->started += work->kind != FETCH_HEALTH;
-		push(mesh, (struct delivery){ .at = work->timeout_at,
-					      .kind = DELIVER_REPLY,
-					      .node = work->node,
-					      .incarnation = work->incarnation,
-					      .work = work->number });
-	} else if (work->kind == FETCH_CANCEL) {
-		cancel(mesh, target, work->node, work->job);
-		fill(mesh, target);
-		work_free(mesh, work);
+		request->fetched.result = FETCH_TIMEOUT;
+		target->started += request->kind != FETCH_HEALTH;
+		push(mesh,
+		     (struct delivery){ .at = request->timeout_at,
+					.kind = DELIVER_REPLY,
+					.node = request->node,
+					.incarnation = request->incarnation,
+					.id = request->number });
+	} else if (request->kind == FETCH_CANCEL) {
+		cancel(mesh, target, request->node, request->job);
+		start_queued(mesh, target);
+		request_free(mesh, request);
 	} else if (target->dead || mesh->now < target->up_at) {
-		reply_short(mesh, work, FETCH_REFUSED, 0);
-	} else if (work->kind == FETCH_HEALTH) {
-		reply_short(mesh, work, FETCH_OK, 200);
-	} else if (target->drops && work->kind == FETCH_ENTRY) {
-		reply_short(mesh, work, FETCH_BROKEN, 0);
-	} else if (work->boot != target->boot) {
+		finish_request(mesh, request, FETCH_REFUSED, 0);
+	} else if (request->kind == FETCH_HEALTH) {
+		finish_request(mesh, request, FETCH_OK, 200);
+	} else if (target->closes_without_run && request->kind == FETCH_ENTRY) {
+		finish_request(mesh, request, FETCH_BROKEN, 0);
+	} else if (request->boot != target->boot) {
 		/* It was on its way over a connection to the old process. */
-		reply_short(mesh, work, FETCH_BROKEN, 0);
+		finish_request(mesh, request, FETCH_BROKEN, 0);
 	} else if (target->draining) {
-		reply_short(mesh, work, FETCH_OK, 503);
-	} else if (work->kind == FETCH_LEAF && target->lacks == work->version) {
-		reply_short(mesh, work, FETCH_OK, 409);
-	} else if (cold && target->busy >= mesh->cold_bears) {
+		finish_request(mesh, request, FETCH_OK, 503);
+	} else if (request->kind == FETCH_LEAF &&
+		   target->lacks == request->version) {
+		finish_request(mesh, request, FETCH_OK, 409);
+	} else if (cold && target->busy >= mesh->cold_max_inflight) {
 		if (target->busy + 1 > target->peak_cold)
 			target->peak_cold = target->busy + 1;
-		work->running = false;
-		fall_over(mesh, target);
-		reply_short(mesh, work, FETCH_BROKEN, 0);
-	} else if (target->busy < target->listed->slots) {
-		serve(mesh, work);
-	} else if (target->nwaiting < 64) {
-		target->waiting[target->nwaiting++] = work->number;
+		request->running = false;
+		crash_overloaded(mesh, target);
+		finish_request(mesh, request, FETCH_BROKEN, 0);
+	} else if (target->busy < target->config->slots) {
+		start_service(mesh, request);
+	} else if (target->queue_len < 64) {
+		target->queue[target->queue_len++] = request->number;
 	} else {
-		reply_short(mesh, work, FETCH_OK, 503);
+		finish_request(mesh, request, FETCH_OK, 503);
 	}
 }
 
-static bool is_deadly(const struct work *work)
+static bool is_deadly(const struct request *request)
 {
-	return work->kind == FETCH_LEAF &&
-	       str_eq(buf_str(&work->terms), STR(MESH_DEADLY));
+	return request->kind == FETCH_LEAF &&
+	       str_eq(buf_str(&request->terms), STR(MESH_DEADLY));
 }
 
-static void served(struct mesh *mesh, struct work *work)
+static void service_done(struct mesh *mesh, struct request *request)
 {
-	struct mesh_target *target = work->target;
+	struct mesh_target *target = request->target;
 
-	if (!work->running)
+	if (!request->running)
 		return;
-	if (is_deadly(work)) {
+	if (is_deadly(request)) {
 		mesh->crashes++;
 		mesh_cold(mesh, target);
 		return;
 	}
-	work->running = false;
+	request->running = false;
 	target->busy--;
-	fill(mesh, target);
-	if (target->closes) {
-		reply_short(mesh, work, FETCH_BROKEN, 0);
+	start_queued(mesh, target);
+	if (target->closes_after_run) {
+		finish_request(mesh, request, FETCH_BROKEN, 0);
 		return;
 	}
-	if (work->kind == FETCH_ENTRY && target->mute) {
-		reply_short(mesh, work, FETCH_TIMEOUT, 0);
+	if (request->kind == FETCH_ENTRY && target->never_replies) {
+		finish_request(mesh, request, FETCH_TIMEOUT, 0);
 		return;
 	}
-	work->got.shard = work->shard;
-	work->got.version = target->answers_version ? target->answers_version
-						    : work->version;
-	if (work->kind == FETCH_ENTRY)
-		buf_printf(&work->rows, "{\"recorded\":true}");
+	request->fetched.shard = request->shard;
+	request->fetched.version = target->reply_version ? target->reply_version
+							 : request->version;
+	if (request->kind == FETCH_ENTRY)
+		buf_printf(&request->rows, "{\"recorded\":true}");
 	else
-		buf_printf(&work->rows,
+		buf_printf(&request->rows,
 			   "[{\"shard\":%u,\"version\":%llu,"
 			   "\"terms\":\"%.*s\"}]",
-			   work->shard, (unsigned long long)work->got.version,
-			   STR_ARG(buf_str(&work->terms)));
-	reply_short(mesh, work, FETCH_OK, 200);
+			   request->shard,
+			   (unsigned long long)request->fetched.version,
+			   STR_ARG(buf_str(&request->terms)));
+	finish_request(mesh, request, FETCH_OK, 200);
 }
 
-static void replied(struct mesh *mesh, struct work *work)
+static void deliver_reply(struct mesh *mesh, struct request *request)
 {
-	struct fetched got = work->got;
+	struct fetched fetched = request->fetched;
 
-	got.body = buf_str(&work->rows);
-	mesh_feed(mesh, work->node,
+	fetched.body = buf_str(&request->rows);
+	mesh_feed(mesh, request->node,
 		  (struct event){ .type = EV_FETCHED,
-				  .id = work->fetch,
-				  .fetched = &got });
-	work_free(mesh, work);
+				  .id = request->fetch_id,
+				  .fetched = &fetched });
+	request_free(mesh, request);
 }
 
 /* Effects. */
@@ -409,37 +413,39 @@
 static void do_fetch(struct mesh *mesh, int i, const struct effect *fx)
 {
 	struct mesh_node *node = &mesh->nodes[i];
-	struct work *work = xcalloc(1, sizeof(*work));
+	struct request *request = xcalloc(1, sizeof(*request));
 	struct mesh_target *target = NULL;
 
 	for (size_t t = 0; t < mesh->ntargets; t++)
-		if (str_eq(mesh->targets[t].listed->addr, fx->addr))
+		if (str_eq(mesh->targets[t].config->addr, fx->addr))
 			target = &mesh->targets[t];
 	if (!target)
 		abort();
-	work->number = ++mesh->order;
-	work->fetch = fx->id;
-	work->job = fx->job;
-	work->node = i;
-	work->incarnation = node->opt.incarnation;
-	work->kind = fx->fetch;
-	work->target = target;
-	work->boot = target->boot;
-	work->timeout_at = mesh->now + fx->wait_us +
-			   (fx->fetch == FETCH_HEALTH ? 0 : FETCH_GRACE_US);
-	work->shard = fx->shard;
-	work->version = fx->version;
-	buf_str_add(&work->terms, fx->text);
-	buf_str_add(&work->body, fx->body);
-	apr_hash_set(mesh->works, &work->number, sizeof(work->number), work);
-	int64_t hops =
-		travel(mesh, node->opt.domain, target->listed->domain->name);
-
-	if (mesh->permits && work->kind == FETCH_LEAF)
-		hops = front_hop(mesh) + front_hop(mesh);
-	push(mesh, (struct delivery){ .at = mesh->now + hops,
+	request->number = ++mesh->seq;
+	request->fetch_id = fx->id;
+	request->job = fx->job;
+	request->node = i;
+	request->incarnation = node->opt.incarnation;
+	request->kind = fx->fetch;
+	request->target = target;
+	request->boot = target->boot;
+	request->timeout_at = mesh->now + fx->wait_us +
+			      (fx->fetch == FETCH_HEALTH ? 0 : FETCH_GRACE_US);
+	request->shard = fx->shard;
+	request->version = fx->version;
+	buf_str_add(&request->terms, fx->text);
+	buf_str_add(&request->body, fx->body);
+	apr_hash_set(mesh->requests, &request->number, sizeof(request->number),
+		     request);
+	int64_t delay_us = network_delay(mesh, node->opt.domain,
+					 target->config->domain->name);
+
+	if (mesh->permits && request->kind == FETCH_LEAF)
+		delay_us =
+			front_network_delay(mesh) + front_network_delay(mesh);
+	push(mesh, (struct delivery){ .at = mesh->now + delay_us,
 				      .kind = DELIVER_REQUEST,
-				      .work = work->number });
+				      .id = request->number });
 }
 
 static void do_send(struct mesh *mesh, int i, const struct effect *fx)
@@ -461,22 +467,22 @@
 	if (!mesh->nodes[to].up) {
 		push(mesh,
 		     (struct delivery){ .at = mesh->now + mesh->latency_us,
-					.kind = DELIVER_LOST,
+					.kind = DELIVER_PEER_LOST,
 					.node = i,
 					.incarnation = node->opt.incarnation,
 					.from = to });
 		return;
 	}
 	while (copies--) {
-		int64_t hops = travel(mesh, node->opt.domain,
-				      mesh->nodes[to].opt.domain);
+		int64_t delay_us = network_delay(mesh, node->opt.domain,
+						 mesh->nodes[to].opt.domain);
 
 		/* The front has the reply already, see struct mesh. */
 		if (mesh->permits && msg.kind == MSG_LEAF_REPLY)
-			hops = 0;
+			delay_us = 0;
 
 		struct delivery delivery = {
-			.at = mesh->now + hops,
+			.at = mesh->now + delay_us,
 			.kind = DELIVER_FRAME,
 			.node = to,
 			.from = i,
@@ -487,7 +493,7 @@
 	}
 }
 
-static void do_read(struct mesh *mesh, int i, const struct effect *fx)
+static void do_read_doc(struct mesh *mesh, int i, const struct effect *fx)
 {
 	struct mesh_node *node = &mesh->nodes[i];
 
@@ -509,7 +515,7 @@
 	buf_str_add(&answer->body, fx->body);
 }
 
-static void carry_out(struct mesh *mesh, int i)
+static void apply_effects(struct mesh *mesh, int i)
 {
 	struct mesh_node *node = &mesh->nodes[i];
 
@@ -524,7 +530,7 @@
 			do_fetch(mesh, i, fx);
 			break;
 		case FX_READ_DOC:
-			do_read(mesh, i, fx);
+			do_read_doc(mesh, i, fx);
 			break;
 		case FX_ANSWER:
 			do_answer(mesh, fx);
@@ -574,11 +580,11 @@
 					   : (n->fleet ? n->fleet->version : 0);
 
 		/* What must hold at all times, checked at every event. */
-		if (version < node->seen[kind])
+		if (version < node->doc_versions[kind])
 			mesh->fault = "a document's version went back";
-		node->seen[kind] = version;
+		node->doc_versions[kind] = version;
 	}
-	carry_out(mesh, i);
+	apply_effects(mesh, i);
 	if (node->up)
 		schedule_tick(mesh, i);
 }
@@ -603,12 +609,12 @@
 	frame_free(&frame);
 }
 
-static struct str served_doc(const struct mesh *mesh,
-			     const struct delivery *delivery)
+static struct str platform_doc(const struct mesh *mesh,
+			       const struct delivery *delivery)
 {
 	const struct mesh_node *node = &mesh->nodes[delivery->node];
 	const struct buf *docs =
-		node->stale_reader ? mesh->old_docs : mesh->docs;
+		node->reads_stale_docs ? mesh->old_docs : mesh->docs;
 
 	return buf_str(&docs[delivery->doc]);
 }
@@ -617,7 +623,7 @@
 {
 	struct mesh_node *node = &mesh->nodes[delivery->node];
 	struct str body = delivery->bytes.len ? buf_str(&delivery->bytes)
-					      : served_doc(mesh, delivery);
+					      : platform_doc(mesh, delivery);
 	struct event event = { .doc = delivery->doc, .body = body };
 	const struct node *n = node->node;
 	uint64_t hash = delivery->doc == DOC_LISTS
@@ -625,7 +631,7 @@
 				: (n->fleet ? n->fleet->hash : 0);
 
 	event.type = hash == str_hash(body) ? EV_DOC_SAME : EV_DOC;
-	if (mesh->platform_down || node->no_platform)
+	if (mesh->platform_down || node->platform_cut)
 		event.type = EV_DOC_FAILED;
 	mesh_feed(mesh, delivery->node, event);
 }
@@ -642,7 +648,7 @@
 	if (mesh->now < node->paused_until) {
 		if (delivery->kind == DELIVER_DOC && !delivery->bytes.len)
 			buf_str_add(&delivery->bytes,
-				    served_doc(mesh, delivery));
+				    platform_doc(mesh, delivery));
 		delivery->at = node->paused_until;
 		push(mesh, *delivery);
 		return true;
@@ -662,7 +668,7 @@
 	case DELIVER_CALL:
 		mesh_feed(mesh, delivery->node,
 			  (struct event){ .type = delivery->event,
-					  .id = delivery->work,
+					  .id = delivery->id,
 					  .body = buf_str(&delivery->bytes) });
 		break;
 	default:
@@ -676,27 +682,28 @@
 	return false;
 }
 
-static bool deliver_work(struct mesh *mesh, struct delivery *delivery)
+static bool deliver_request(struct mesh *mesh, struct delivery *delivery)
 {
-	struct work *work = work_find(mesh, delivery->work);
+	struct request *request = request_find(mesh, delivery->id);
 	struct mesh_node *node;
 
-	if (!work)
+	if (!request)
 		return false;
 	if (delivery->kind == DELIVER_REQUEST) {
-		at_target(mesh, work);
-	} else if (delivery->kind == DELIVER_SERVED) {
-		served(mesh, work);
+		target_receive(mesh, request);
+	} else if (delivery->kind == DELIVER_SERVICE_DONE) {
+		service_done(mesh, request);
 	} else {
-		node = &mesh->nodes[work->node];
-		if (!node->up || node->opt.incarnation != work->incarnation) {
-			work_free(mesh, work);
+		node = &mesh->nodes[request->node];
+		if (!node->up ||
+		    node->opt.incarnation != request->incarnation) {
+			request_free(mesh, request);
 		} else if (mesh->now < node->paused_until) {
 			delivery->at = node->paused_until;
 			push(mesh, *delivery);
 			return true;
 		} else {
-			replied(mesh, work);
+			deliver_reply(mesh, request);
 		}
 	}
 	return false;
@@ -708,16 +715,16 @@
 
 	while (mesh->count && mesh->heap[0].at <= until) {
 		struct delivery delivery = pop(mesh);
-		bool kept;
+		bool requeued;
 
 		mesh->now = delivery.at > mesh->now ? delivery.at : mesh->now;
 		if (delivery.kind == DELIVER_REQUEST ||
-		    delivery.kind == DELIVER_SERVED ||
+		    delivery.kind == DELIVER_SERVICE_DONE ||
 		    delivery.kind == DELIVER_REPLY)
-			kept = deliver_work(mesh, &delivery);
+			requeued = deliver_request(mesh, &delivery);
 		else
-			kept = deliver_to_node(mesh, &delivery);
-		if (!kept)
+			requeued = deliver_to_node(mesh, &delivery);
+		if (!requeued)
 			buf_free(&delivery.bytes);
 	}
 	mesh->now = until;
@@ -728,7 +735,7 @@
 {
 	size_t id = mesh->nanswers++;
 
-	if (id >= MESH_ANSWERS)
+	if (id >= MESH_ANSWERS_MAX)
 		abort();
 	mesh->answers[id].asked_at = mesh->now;
 	mesh->answers[id].node = i;
@@ -737,7 +744,7 @@
 				 .kind = DELIVER_CALL,
 				 .node = i,
 				 .event = type,
-				 .work = id };
+				 .id = id };
 
 	buf_str_add(&call.bytes, str_of(body));
 	if (!deliver_to_node(mesh, &call))
@@ -765,10 +772,10 @@
 	node->stopped = false;
 	node->paused_until = 0;
 	node->tick_at = 0;
-	memset(node->seen, 0, sizeof(node->seen));
+	memset(node->doc_versions, 0, sizeof(node->doc_versions));
 	effects_init(&node->fx, NULL);
 	node->node = node_create(&node->opt, mesh->now, &node->fx);
-	carry_out(mesh, i);
+	apply_effects(mesh, i);
 	schedule_tick(mesh, i);
 }
 
@@ -793,7 +800,7 @@
 			push(mesh,
 			     (struct delivery){
 				     .at = mesh->now + mesh->latency_us,
-				     .kind = DELIVER_LOST,
+				     .kind = DELIVER_PEER_LOST,
 				     .node = j,
 				     .incarnation =
 					     mesh->nodes[j].opt.incarnation,
@@ -814,7 +821,7 @@
 struct mesh_target *mesh_target(struct mesh *mesh, const char *name)
 {
 	for (size_t i = 0; i < mesh->ntargets; i++)
-		if (str_eq(mesh->targets[i].listed->name, str_of(name)))
+		if (str_eq(mesh->targets[i].config->name, str_of(name)))
 			return &mesh->targets[i];
 	abort();
 }
@@ -828,14 +835,14 @@
 
 	apr_pool_create(&mesh->pool, NULL);
 	mesh->runs = apr_hash_make(mesh->pool);
-	mesh->works = apr_hash_make(mesh->pool);
-	mesh->answers = xcalloc(MESH_ANSWERS, sizeof(*mesh->answers));
+	mesh->requests = apr_hash_make(mesh->pool);
+	mesh->answers = xcalloc(MESH_ANSWERS_MAX, sizeof(*mesh->answers));
 	mesh->now = 1000000;
 	mesh->rng.seed = seed;
 	mesh->latency_us = 200;
 	mesh->service_us = 3000;
 	mesh->cold_us = 1000000;
-	mesh->cold_bears = 1;
+	mesh->cold_max_inflight = 1;
 	mesh->nnodes = layout->nodes;
 	mesh_publish(mesh, DOC_LISTS, lists);
 	mesh_publish(mesh, DOC_FLEET, fleet);
@@ -846,7 +853,7 @@
 		abort();
 	mesh->ntargets = mesh->fleet->ntargets;
 	for (size_t i = 0; i < mesh->ntargets; i++) {
-		mesh->targets[i].listed = &mesh->fleet->targets[i];
+		mesh->targets[i].config = &mesh->fleet->targets[i];
 		mesh->targets[i].boot = rng_next(&mesh->rng) | 1;
 		mesh->targets[i].lacks = UINT64_MAX;
 	}
@@ -875,13 +882,13 @@
 	for (size_t i = 0; i < mesh->count; i++)
 		buf_free(&mesh->heap[i].bytes);
 	for (;;) {
-		apr_hash_index_t *it = apr_hash_first(NULL, mesh->works);
+		apr_hash_index_t *it = apr_hash_first(NULL, mesh->requests);
 		void *value;
 
 		if (!it)
 			break;
 		apr_hash_this(it, NULL, NULL, &value);
-		work_free(mesh, value);
+		request_free(mesh, value);
 	}
 	for (size_t i = 0; i < mesh->nanswers; i++)
 		buf_free(&mesh->answers[i].body);
@@ -925,7 +932,8 @@
 		   (unsigned long long)layout->version);
 	for (int i = 0; i < layout->domains; i++)
 		buf_printf(&out, "%s{\"name\":\"d%d\",\"state\":\"%s\"}",
-			   i ? "," : "", i, i == layout->out ? "out" : "in");
+			   i ? "," : "", i,
+			   i == layout->out_domain ? "out" : "in");
 	buf_str_add(&out, STR("],\"vms\":["));
 	for (int i = 0; i < layout->nodes; i++)
 		buf_printf(&out,
@@ -940,7 +948,7 @@
 			   "\"state\":\"%s\",\"slots\":%d,"
 			   "\"connections\":25}",
 			   i ? "," : "", i, 8000 + i, i % layout->domains,
-			   i == layout->leaving ? "leaving" : "live",
+			   i == layout->leaving_target ? "leaving" : "live",
 			   layout->slots);
 	buf_printf(&out, "],\"snapshots\":[{\"version\":%llu,\"shards\":[",
 		   (unsigned long long)newest);
@@ -961,8 +969,8 @@
 				     .targets = targets,
 				     .replicas = 2,
 				     .slots = 2,
-				     .out = -1,
-				     .leaving = -1,
+				     .out_domain = -1,
+				     .leaving_target = -1,
 				     .snapshot = 2 };
 }
 
--- a/tests/mesh.h
+++ b/tests/mesh.h
@@ -13,15 +13,15 @@
  */
 
 enum {
-	MESH_NODES = 9,
-	MESH_TARGETS = 128,
-	MESH_ANSWERS = 200000
+	MESH_NODES_MAX = 9,
+	MESH_TARGETS_MAX = 128,
+	MESH_ANSWERS_MAX = 200000
 };
 
 /**
  * struct mesh_layout - a fleet document for tests
- * @out: failure domain that is taken out, -1 for none
- * @leaving: target that the list calls leaving, -1 for none
+ * @out_domain: failure domain that is taken out, -1 for none
+ * @leaving_target: target that the list calls leaving, -1 for none
  * @snapshot: newest of the two versions that it lists; @split: the newer one
  *            has twice as many shards (repartition)
  */
@@ -32,8 +32,8 @@
 	int targets;
 	int replicas;
 	int slots;
-	int out;
-	int leaving;
+	int out_domain;
+	int leaving_target;
 	uint64_t snapshot;
 	bool split;
 };
@@ -47,34 +47,34 @@
 	int64_t paused_until;
 	bool stopped; /* FX_STOP was seen */
 	int64_t tick_at; /* earliest tick that is scheduled */
-	uint64_t seen[DOC_KINDS]; /* highest version in force */
-	uint64_t stale_reader; /* reads the platform's old documents */
-	uint64_t no_platform;
+	uint64_t doc_versions[DOC_KINDS]; /* highest version in force */
+	uint64_t reads_stale_docs; /* reads the platform's old documents */
+	uint64_t platform_cut;
 };
 
 /** struct mesh_target - true state and books of a target */
 struct mesh_target {
-	const struct fleet_target *listed;
+	const struct fleet_target *config;
 	uint64_t boot;
 	int64_t up_at;
 	int64_t cold_until;
 	int64_t service_us; /* 0: the mesh's */
 	bool draining;
 	bool dead;
-	bool closes; /* reads, runs and closes */
-	bool drops; /* reads and closes, and runs nothing */
+	bool closes_after_run; /* reads, runs and closes */
+	bool closes_without_run; /* reads and closes, and runs nothing */
 	bool hangs; /* takes connections and never answers */
-	bool mute; /* runs entries, never answers */
+	bool never_replies; /* runs entries, never answers */
 	uint64_t lacks;
-	uint64_t answers_version; /* 0: what was asked for */
+	uint64_t reply_version; /* 0: what was asked for */
 	int busy;
 	int peak;
 	int peak_cold;
 	uint64_t started;
 	uint64_t overruns;
 	int64_t last_start;
-	uint64_t waiting[64];
-	int nwaiting;
+	uint64_t queue[64];
+	int queue_len;
 };
 
 struct mesh_answer {
@@ -88,15 +88,15 @@
 };
 
 struct mesh {
-	struct mesh_node nodes[MESH_NODES];
+	struct mesh_node nodes[MESH_NODES_MAX];
 	int nnodes;
-	struct mesh_target targets[MESH_TARGETS];
+	struct mesh_target targets[MESH_TARGETS_MAX];
 	size_t ntargets;
 	struct fleet *fleet; /* what the targets were made from */
 	struct buf docs[DOC_KINDS];
 	struct buf old_docs[DOC_KINDS];
 	bool platform_down;
-	bool cut[MESH_NODES][MESH_NODES];
+	bool cut[MESH_NODES_MAX][MESH_NODES_MAX];
 	int64_t now;
 	int64_t latency_us; /* one way, between nodes and to targets */
 	/* Leased permits, emulated in their favour: what the gate sends is the
@@ -106,7 +106,7 @@
 	int64_t far_us; /* added between failure domains */
 	int64_t service_us;
 	int64_t cold_us;
-	int cold_bears;
+	int cold_max_inflight;
 	int straggle_pm;
 	int straggle_factor;
 	int drop_pm;
@@ -116,10 +116,10 @@
 	struct delivery *heap;
 	size_t count;
 	size_t cap;
-	uint64_t order;
+	uint64_t seq;
 	int crashes; /* targets that ended under a deadly question */
 	apr_hash_t *runs; /* entry text -> count */
-	apr_hash_t *works;
+	apr_hash_t *requests;
 	apr_pool_t *pool;
 	struct mesh_answer *answers;
 	size_t nanswers;
@@ -144,7 +144,7 @@
 size_t mesh_call(struct mesh *mesh, int i, enum event_type type,
 		 const char *body);
 struct mesh_target *mesh_target(struct mesh *mesh, const char *name);
-uint64_t mesh_runs(struct mesh *mesh, const char *entry);
+uint64_t mesh_entry_runs(struct mesh *mesh, const char *entry);
 
 /** Terms of a question that crashes each target that runs it. */
 #define MESH_DEADLY "deadly"
