--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -19,13 +19,13 @@
 	ROUNDS = 12,
 	/* Tries that may reach targets later than this after the third crash.
 	 */
-	LATE_MOST = 3,
-	STABLE_US = 4 * SECOND,
+	LATE_ROUNDS_MAX = 3,
+	DETECTION_US = 4 * SECOND,
 	/* From this round on others must be answered whole. */
-	CALM_ROUND = 5,
+	RECOVERED_ROUND = 5,
 };
 
-static struct mesh *begin(void)
+static struct mesh *create_started_mesh(void)
 {
 	struct mesh_layout layout = mesh_layout(NODES, DOMAINS, TARGETS);
 	struct mesh *mesh =
@@ -35,7 +35,7 @@
 	return mesh;
 }
 
-static size_t ask(struct mesh *mesh, int node, const char *terms)
+static size_t send_question(struct mesh *mesh, int node, const char *terms)
 {
 	char body[200];
 
@@ -46,7 +46,7 @@
 	return mesh_call(mesh, node, EV_ASK, body);
 }
 
-static bool is_whole(const struct mesh *mesh, size_t id)
+static bool is_complete(const struct mesh *mesh, size_t id)
 {
 	const struct mesh_answer *answer = &mesh->answers[id];
 
@@ -73,9 +73,9 @@
 START_TEST(test_deadly_question_is_stopped)
 {
 	const struct deadly_case *c = &deadly_cases[_i];
-	struct mesh *mesh = begin();
-	int64_t third_at = 0;
-	int late = 0;
+	struct mesh *mesh = create_started_mesh();
+	int64_t third_crash_at = 0;
+	int late_rounds = 0;
 
 	for (int round = 0; round < ROUNDS; round++) {
 		int before = mesh->crashes;
@@ -87,21 +87,23 @@
 			mesh_start(mesh, round % NODES);
 			mesh_run(mesh, 4 * SECOND);
 		}
-		ask(mesh, round % NODES, MESH_DEADLY);
+		send_question(mesh, round % NODES, MESH_DEADLY);
 		mesh_run(mesh, 2 * SECOND);
-		late += third_at && mesh->now - third_at > STABLE_US &&
-			mesh->crashes > before;
-		if (!third_at && mesh->crashes >= 3)
-			third_at = mesh->now;
-		other = ask(mesh, (round + 1) % NODES, "other");
+		late_rounds += third_crash_at &&
+			       mesh->now - third_crash_at > DETECTION_US &&
+			       mesh->crashes > before;
+		if (!third_crash_at && mesh->crashes >= 3)
+			third_crash_at = mesh->now;
+		other = send_question(mesh, (round + 1) % NODES, "other");
 		mesh_run(mesh, SECOND);
-		if (round >= CALM_ROUND)
-			ck_assert_msg(is_whole(mesh, other), "%s: round %d",
+		if (round >= RECOVERED_ROUND)
+			ck_assert_msg(is_complete(mesh, other), "%s: round %d",
 				      c->name, round);
 	}
 	ck_assert_int_ge(mesh->crashes, 3);
-	ck_assert_msg(late <= LATE_MOST, "%s: %d late tries, %d targets ended",
-		      c->name, late, mesh->crashes);
+	ck_assert_msg(late_rounds <= LATE_ROUNDS_MAX,
+		      "%s: %d late tries, %d targets ended", c->name,
+		      late_rounds, mesh->crashes);
 	mesh_destroy(mesh);
 }
 END_TEST
@@ -112,23 +114,23 @@
  */
 START_TEST(test_other_question_is_served)
 {
-	struct mesh *mesh = begin();
+	struct mesh *mesh = create_started_mesh();
 	size_t other;
 
 	for (int round = 0; round < ROUNDS; round++) {
-		ask(mesh, round % NODES, "other");
-		ask(mesh, round % NODES, MESH_DEADLY);
-		ask(mesh, (round + 1) % NODES, "other");
+		send_question(mesh, round % NODES, "other");
+		send_question(mesh, round % NODES, MESH_DEADLY);
+		send_question(mesh, (round + 1) % NODES, "other");
 		mesh_run(mesh, 2 * SECOND);
-		other = ask(mesh, (round + 2) % NODES, "other");
+		other = send_question(mesh, (round + 2) % NODES, "other");
 		mesh_run(mesh, SECOND);
-		ck_assert_msg(is_whole(mesh, other), "round %d", round);
+		ck_assert_msg(is_complete(mesh, other), "round %d", round);
 	}
 	mesh_destroy(mesh);
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_deadly_question_is_stopped, 0,
 			    sizeof(deadly_cases) / sizeof(*deadly_cases));
@@ -137,5 +139,5 @@
 
 int main(void)
 {
-	return suite_run("deadly-serve", add);
+	return suite_run("deadly-serve", add_tests);
 }
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -23,16 +23,16 @@
 	DOMAINS = 3
 };
 
-static struct mesh *world(int nodes)
+static struct mesh *create_mesh(int nodes)
 {
 	struct mesh_layout layout = mesh_layout(nodes, DOMAINS, TARGETS);
 
 	return mesh_create(7, &layout, mesh_lists(1, 5000, 5000, 400, 400, 1));
 }
 
-static struct mesh *started(int nodes)
+static struct mesh *create_started_mesh(int nodes)
 {
-	struct mesh *mesh = world(nodes);
+	struct mesh *mesh = create_mesh(nodes);
 
 	mesh_start_all(mesh);
 	return mesh;
@@ -47,7 +47,7 @@
 }
 
 /* Version 2 of the fleet, with one failure domain out. */
-static void take_out(struct mesh *mesh, int domain)
+static void publish_domain_out(struct mesh *mesh, int domain)
 {
 	struct mesh_layout layout = layout_of(mesh, 2);
 
@@ -62,30 +62,30 @@
 	mesh_publish_fleet(mesh, &layout);
 }
 
-static size_t ask(struct mesh *mesh, int i)
+static size_t send_question(struct mesh *mesh, int i)
 {
 	return mesh_call(mesh, i, EV_ASK,
 			 "{\"customer\":\"mill\",\"request_id\":\"same\","
 			 "\"terms\":\"t\",\"indexes\":[\"orders\"]}");
 }
 
-static void load_but(struct mesh *mesh, int64_t us, int skipped)
+static void send_load_except(struct mesh *mesh, int64_t us, int skipped)
 {
 	for (int64_t t = 0; t < us; t += 10 * MS) {
 		int i = (int)(t / (10 * MS)) % mesh->nnodes;
 
 		if (i != skipped)
-			ask(mesh, i);
+			send_question(mesh, i);
 		mesh_run(mesh, 10 * MS);
 	}
 }
 
-static void load(struct mesh *mesh, int64_t us)
+static void send_load(struct mesh *mesh, int64_t us)
 {
-	load_but(mesh, us, -1);
+	send_load_except(mesh, us, -1);
 }
 
-static json_t *body_of(struct mesh *mesh, size_t id)
+static json_t *answer_json(struct mesh *mesh, size_t id)
 {
 	const struct mesh_answer *answer = &mesh->answers[id];
 
@@ -93,16 +93,16 @@
 	return json_loadb(answer->body.ptr, answer->body.len, 0, NULL);
 }
 
-static double number(struct mesh *mesh, size_t id, const char *key)
+static double answer_number(struct mesh *mesh, size_t id, const char *key)
 {
-	json_t *doc = body_of(mesh, id);
+	json_t *doc = answer_json(mesh, id);
 	double value = json_number_value(json_object_get(doc, key));
 
 	json_decref(doc);
 	return value;
 }
 
-static bool says(struct mesh *mesh, size_t id, const char *text)
+static bool answer_contains(struct mesh *mesh, size_t id, const char *text)
 {
 	const struct mesh_answer *answer = &mesh->answers[id];
 
@@ -110,14 +110,14 @@
 	return memmem(answer->body.ptr, answer->body.len, text, strlen(text));
 }
 
-static void take_ticket(struct mesh *mesh, int i, char *ticket, size_t size)
+static void request_ticket(struct mesh *mesh, int i, char *ticket, size_t size)
 {
 	size_t id = mesh_call(mesh, i, EV_TICKET,
 			      "{\"customer\":\"mill\",\"request_id\":\"e\"}");
 	json_t *doc;
 
 	mesh_run(mesh, 20 * MS);
-	doc = body_of(mesh, id);
+	doc = answer_json(mesh, id);
 	snprintf(ticket, size, "%s",
 		 json_string_value(json_object_get(doc, "ticket")));
 	json_decref(doc);
@@ -125,7 +125,7 @@
 
 #define ENTRY "{\"order\":1}"
 
-static size_t enter(struct mesh *mesh, int i, const char *ticket)
+static size_t send_entry(struct mesh *mesh, int i, const char *ticket)
 {
 	char body[400];
 
@@ -137,7 +137,7 @@
 }
 
 /* The node that is the gate of @target. */
-static int gate_of(struct mesh *mesh, const char *target)
+static int find_gate(struct mesh *mesh, const char *target)
 {
 	uint64_t key = str_hash(str_of(target));
 
@@ -155,14 +155,14 @@
 }
 
 /* Until the gate has granted a slot; the go is on its way or to be sent. */
-static void run_to_grant(struct mesh *mesh, int gate)
+static void run_until_grant(struct mesh *mesh, int gate)
 {
 	for (int i = 0; i < 200 && !gate_open(mesh->nodes[gate].node); i++)
 		mesh_run(mesh, 50);
 	ck_assert(gate_open(mesh->nodes[gate].node));
 }
 
-static bool work_since(struct mesh *mesh, int domain, int64_t since)
+static bool domain_started_since(struct mesh *mesh, int domain, int64_t since)
 {
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		if ((int)(i % DOMAINS) == domain &&
@@ -181,11 +181,11 @@
 
 	for (int i = 0; i < TARGETS; i += 2)
 		mesh->targets[i].reply_version = 3;
-	id = ask(mesh, 0);
+	id = send_question(mesh, 0);
 	mesh_run(mesh, SECOND);
-	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
-	ck_assert(number(mesh, id, "snapshot") == 2);
-	ck_assert(!says(mesh, id, "\"version\":3"));
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
+	ck_assert(answer_number(mesh, id, "snapshot") == 2);
+	ck_assert(!answer_contains(mesh, id, "\"version\":3"));
 }
 
 /* 1. Repartition.
@@ -199,17 +199,17 @@
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh->targets[i].service_us = 100 * MS;
-	before = ask(mesh, 0);
+	before = send_question(mesh, 0);
 	layout.snapshot = 3;
 	layout.split = true;
 	mesh_publish_fleet(mesh, &layout);
 	mesh_run(mesh, 3 * SECOND);
-	after = ask(mesh, 0);
+	after = send_question(mesh, 0);
 	mesh_run(mesh, SECOND);
-	ck_assert(number(mesh, before, "snapshot") == 2);
-	ck_assert(number(mesh, after, "snapshot") == 3);
-	ck_assert(number(mesh, before, "coverage") <= 1);
-	ck_assert(says(mesh, after, "\"shard\":1012"));
+	ck_assert(answer_number(mesh, before, "snapshot") == 2);
+	ck_assert(answer_number(mesh, after, "snapshot") == 3);
+	ck_assert(answer_number(mesh, before, "coverage") <= 1);
+	ck_assert(answer_contains(mesh, after, "\"shard\":1012"));
 }
 
 /* 1. No target has the newest snapshot.
@@ -221,10 +221,10 @@
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh->targets[i].lacks = 2;
-	id = ask(mesh, 0);
+	id = send_question(mesh, 0);
 	mesh_run(mesh, SECOND);
-	ck_assert(number(mesh, id, "snapshot") == 1);
-	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
+	ck_assert(answer_number(mesh, id, "snapshot") == 1);
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 }
 
 /* 2. A shard with no replica.
@@ -235,12 +235,12 @@
 	size_t id;
 
 	mesh->targets[0].dead = mesh->targets[1].dead = true;
-	id = ask(mesh, 0);
+	id = send_question(mesh, 0);
 	mesh_run(mesh, SECOND);
-	ck_assert(fabs(number(mesh, id, "coverage") - 0.833333) < 1e-9);
-	ck_assert(says(mesh, id,
-		       "\"shard\":1,\"index\":\"orders\",\"kind\":"
-		       "\"target_down\""));
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 0.833333) < 1e-9);
+	ck_assert(answer_contains(mesh, id,
+				  "\"shard\":1,\"index\":\"orders\",\"kind\":"
+				  "\"target_down\""));
 }
 
 /* 2. Loss of one failure domain.
@@ -251,9 +251,9 @@
 
 	for (size_t i = 0; i < mesh->ntargets; i += DOMAINS)
 		mesh->targets[i].dead = true;
-	id = ask(mesh, 0);
+	id = send_question(mesh, 0);
 	mesh_run(mesh, SECOND);
-	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 }
 
 /* 2. Both replicas of a shard restart at once.
@@ -263,12 +263,12 @@
 {
 	size_t id;
 
-	load(mesh, 3 * SECOND);
+	send_load(mesh, 3 * SECOND);
 	mesh_cold(mesh, mesh_target(mesh, "t0"));
 	mesh_cold(mesh, mesh_target(mesh, "t1"));
-	id = ask(mesh, 0);
+	id = send_question(mesh, 0);
 	mesh_run(mesh, SECOND);
-	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 }
 
 /* 3. Cold start without a report, under load.
@@ -277,10 +277,10 @@
 static void cold_start(struct mesh *mesh)
 {
 	for (size_t i = 0; i < mesh->ntargets; i++) {
-		load(mesh, 300 * MS);
+		send_load(mesh, 300 * MS);
 		mesh_cold(mesh, &mesh->targets[i]);
 	}
-	load(mesh, 3 * SECOND);
+	send_load(mesh, 3 * SECOND);
 	for (size_t i = 0; i < mesh->ntargets; i++) {
 		ck_assert_int_eq((int)mesh->targets[i].overruns, 0);
 		ck_assert_int_le(mesh->targets[i].peak_cold, 1);
@@ -298,7 +298,7 @@
 	mesh_cut(mesh, 0, 2, true);
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh_cold(mesh, &mesh->targets[i]);
-	load(mesh, 4 * SECOND);
+	send_load(mesh, 4 * SECOND);
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		ck_assert_int_le(mesh->targets[i].peak_cold, 2);
 }
@@ -307,11 +307,11 @@
  * The next gate knows nothing of the target and starts it as cold too. */
 static void cold_start_gate_killed(struct mesh *mesh)
 {
-	load(mesh, 3 * SECOND);
+	send_load(mesh, 3 * SECOND);
 	mesh_cold(mesh, mesh_target(mesh, "t0"));
-	load(mesh, 200 * MS);
-	mesh_kill(mesh, gate_of(mesh, "t0"));
-	load(mesh, SECOND);
+	send_load(mesh, 200 * MS);
+	mesh_kill(mesh, find_gate(mesh, "t0"));
+	send_load(mesh, SECOND);
 	ck_assert_int_le(mesh_target(mesh, "t0")->peak_cold, 2);
 	ck_assert_int_eq((int)mesh_target(mesh, "t0")->overruns, 0);
 }
@@ -321,13 +321,13 @@
  * waits for its word, so the target never has two; what was warm stays warm. */
 static void cold_start_gate_leaves(struct mesh *mesh)
 {
-	int gate = gate_of(mesh, "t0");
+	int gate = find_gate(mesh, "t0");
 	uint64_t key = str_hash(STR("t3"));
 
 	mesh->cold_us = 3 * SECOND;
-	load(mesh, 4 * SECOND);
+	send_load(mesh, 4 * SECOND);
 	mesh_cold(mesh, mesh_target(mesh, "t0"));
-	load(mesh, 500 * MS);
+	send_load(mesh, 500 * MS);
 	mesh_target(mesh, "t0")->service_us = 40 * MS;
 	mesh_target(mesh, "t1")->dead = true; /* so t0 is the only replica */
 	for (int i = 0; i < 60; i++) {
@@ -341,7 +341,7 @@
 	}
 	ck_assert_int_le(mesh_target(mesh, "t0")->peak_cold, 1);
 	ck_assert_int_eq(gate_target_in_service(
-				 mesh->nodes[gate_of(mesh, "t3")].node, key)
+				 mesh->nodes[find_gate(mesh, "t3")].node, key)
 				 ->limit,
 			 2);
 }
@@ -352,12 +352,12 @@
 {
 	int64_t since;
 
-	take_out(mesh, 1);
-	load(mesh, 1500 * MS);
+	publish_domain_out(mesh, 1);
+	send_load(mesh, 1500 * MS);
 	mesh->platform_down = true;
 	since = mesh->now + SECOND;
-	load(mesh, 4 * SECOND);
-	ck_assert(!work_since(mesh, 1, since));
+	send_load(mesh, 4 * SECOND);
+	ck_assert(!domain_started_since(mesh, 1, since));
 }
 
 /* 4. Domain out while one node cannot reach the platform.
@@ -367,10 +367,10 @@
 	int64_t since;
 
 	mesh->nodes[0].platform_cut = true;
-	take_out(mesh, 1);
+	publish_domain_out(mesh, 1);
 	since = mesh->now + 3 * SECOND;
-	load(mesh, 5 * SECOND);
-	ck_assert(!work_since(mesh, 1, since));
+	send_load(mesh, 5 * SECOND);
+	ck_assert(!domain_started_since(mesh, 1, since));
 }
 
 /* 4. Domain out while both watchers cannot reach the platform (a pair).
@@ -383,11 +383,11 @@
 	for (int i = 0; i < 3; i++)
 		mesh->nodes[i].platform_cut =
 			member_rank(mesh->nodes[i].node, DOC_FLEET + 1) < 2;
-	load(mesh, 2500 * MS);
-	take_out(mesh, 1);
+	send_load(mesh, 2500 * MS);
+	publish_domain_out(mesh, 1);
 	since = mesh->now + 3 * SECOND;
-	load(mesh, 6 * SECOND);
-	ck_assert(!work_since(mesh, 1, since));
+	send_load(mesh, 6 * SECOND);
+	ck_assert(!domain_started_since(mesh, 1, since));
 }
 
 /* 4. Domain out while one node reaches neither platform nor peers.
@@ -400,12 +400,12 @@
 	mesh->nodes[0].platform_cut = true;
 	mesh_cut(mesh, 0, 1, true);
 	mesh_cut(mesh, 0, 2, true);
-	take_out(mesh, 1);
+	publish_domain_out(mesh, 1);
 	since = mesh->now + 4500 * MS;
-	load(mesh, 7 * SECOND);
-	ck_assert(!work_since(mesh, 1, since));
-	id = ask(mesh, 0);
-	ck_assert(says(mesh, id, "\"isolated\""));
+	send_load(mesh, 7 * SECOND);
+	ck_assert(!domain_started_since(mesh, 1, since));
+	id = send_question(mesh, 0);
+	ck_assert(answer_contains(mesh, id, "\"isolated\""));
 }
 
 /* 4. Domain out while the gate is paused (a pair).
@@ -414,19 +414,19 @@
 {
 	int64_t since;
 
-	load(mesh, SECOND);
-	mesh_pause(mesh, gate_of(mesh, "t1"), 5 * SECOND);
-	load(mesh, 100 * MS);
-	take_out(mesh, 1);
+	send_load(mesh, SECOND);
+	mesh_pause(mesh, find_gate(mesh, "t1"), 5 * SECOND);
+	send_load(mesh, 100 * MS);
+	publish_domain_out(mesh, 1);
 	since = mesh->now + 4 * SECOND;
-	load(mesh, 8 * SECOND);
-	ck_assert(!work_since(mesh, 1, since));
+	send_load(mesh, 8 * SECOND);
+	ck_assert(!domain_started_since(mesh, 1, since));
 }
 
 /* 4. Domain out while the gate is paused, and a reading that says "nothing
  * newer" has lain in its socket since before. Taken for fresh it would confirm
  * the old view; it counts for nothing. */
-static void domain_out_reading_aged(struct mesh *mesh)
+static void domain_out_stale_read(struct mesh *mesh)
 {
 	int64_t since;
 
@@ -434,26 +434,26 @@
 
 	while (member_rank(mesh->nodes[watcher].node, DOC_FLEET + 1) > 1)
 		watcher++;
-	load(mesh, SECOND);
+	send_load(mesh, SECOND);
 	mesh_pause(mesh, watcher, 6 * SECOND);
-	load(mesh, 1200 * MS);
-	take_out(mesh, watcher); /* node i is in domain i */
+	send_load(mesh, 1200 * MS);
+	publish_domain_out(mesh, watcher); /* node i is in domain i */
 	since = mesh->now + 4 * SECOND;
-	load(mesh, 8 * SECOND);
-	ck_assert(!work_since(mesh, watcher, since));
+	send_load(mesh, 8 * SECOND);
+	ck_assert(!domain_started_since(mesh, watcher, since));
 }
 
 /* 4. A domain returns under load.
  * Its targets come back cold, one request at a time, and coverage holds. */
 static void domain_returns(struct mesh *mesh)
 {
-	take_out(mesh, 1);
-	load(mesh, 3 * SECOND);
+	publish_domain_out(mesh, 1);
+	send_load(mesh, 3 * SECOND);
 	for (size_t i = 1; i < mesh->ntargets; i += DOMAINS)
 		mesh_cold(mesh, &mesh->targets[i]);
 	mesh_run(mesh, 100 * MS);
 	publish_version(mesh, 3);
-	load(mesh, 4 * SECOND);
+	send_load(mesh, 4 * SECOND);
 	for (size_t i = 1; i < mesh->ntargets; i += DOMAINS) {
 		ck_assert(mesh->targets[i].started > 0);
 		ck_assert_int_eq((int)mesh->targets[i].overruns, 0);
@@ -482,7 +482,7 @@
 	mesh_run(mesh, 2 * SECOND);
 	for (int i = 0; i < 60; i++) {
 		char own[24];
-		json_t *doc = body_of(mesh, ids[i]);
+		json_t *doc = answer_json(mesh, ids[i]);
 		json_t *row;
 		size_t at;
 
@@ -498,20 +498,20 @@
 /* 6. The gate is paused between grant and go.
  * It wakes after the deadline with the go in its socket. The caller was told
  * "unknown", in time; the entry does not run after that. */
-static void go_ages(struct mesh *mesh)
+static void go_expires(struct mesh *mesh)
 {
-	int gate = gate_of(mesh, "t0");
+	int gate = find_gate(mesh, "t0");
 	int issuer = (gate + 1) % 3;
 	char ticket[160];
 	size_t id;
 
-	take_ticket(mesh, issuer, ticket, sizeof(ticket));
-	id = enter(mesh, issuer, ticket);
-	run_to_grant(mesh, gate);
+	request_ticket(mesh, issuer, ticket, sizeof(ticket));
+	id = send_entry(mesh, issuer, ticket);
+	run_until_grant(mesh, gate);
 	mesh_pause(mesh, gate, 5 * SECOND);
 	mesh_run(mesh, 3 * SECOND);
-	ck_assert(says(mesh, id, "\"unknown\"") ||
-		  says(mesh, id, "\"not_run\""));
+	ck_assert(answer_contains(mesh, id, "\"unknown\"") ||
+		  answer_contains(mesh, id, "\"not_run\""));
 	mesh_run(mesh, 6 * SECOND);
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
@@ -520,13 +520,13 @@
  * No go is ever sent; the grant ends; nothing runs. */
 static void issuer_killed_before_go(struct mesh *mesh)
 {
-	int gate = gate_of(mesh, "t0");
+	int gate = find_gate(mesh, "t0");
 	int issuer = (gate + 1) % 3;
 	char ticket[160];
 
-	take_ticket(mesh, issuer, ticket, sizeof(ticket));
-	enter(mesh, issuer, ticket);
-	run_to_grant(mesh, gate);
+	request_ticket(mesh, issuer, ticket, sizeof(ticket));
+	send_entry(mesh, issuer, ticket);
+	run_until_grant(mesh, gate);
 	mesh_kill(mesh, issuer);
 	mesh_run(mesh, 3 * SECOND);
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
@@ -541,11 +541,11 @@
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh->targets[i].draining = true;
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
-	id = enter(mesh, 0, ticket);
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
+	id = send_entry(mesh, 0, ticket);
 	mesh_run(mesh, 4 * SECOND);
-	ck_assert(says(mesh, id, "\"not_run\""));
-	ck_assert(says(mesh, id, "retry_after_ms"));
+	ck_assert(answer_contains(mesh, id, "\"not_run\""));
+	ck_assert(answer_contains(mesh, id, "retry_after_ms"));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
@@ -558,10 +558,10 @@
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh->targets[i].closes_without_run = true;
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
-	id = enter(mesh, 0, ticket);
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
+	id = send_entry(mesh, 0, ticket);
 	mesh_run(mesh, 4 * SECOND);
-	ck_assert(says(mesh, id, "\"unknown\""));
+	ck_assert(answer_contains(mesh, id, "\"unknown\""));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
@@ -570,14 +570,14 @@
  * about 2 ms and is not used; the gate gets its slot back. */
 static void given_up_before_grant(struct mesh *mesh)
 {
-	int gate = gate_of(mesh, "t0");
+	int gate = find_gate(mesh, "t0");
 	int issuer = (gate + 1) % 3;
 	char ticket[160];
 	char body[400];
 	size_t id;
 
 	mesh->latency_us = MS;
-	take_ticket(mesh, issuer, ticket, sizeof(ticket));
+	request_ticket(mesh, issuer, ticket, sizeof(ticket));
 	snprintf(body, sizeof(body),
 		 "{\"customer\":\"mill\",\"request_id\":\"e\",\"ticket\":"
 		 "\"%s\",\"index\":\"orders\",\"key\":5,\"deadline_ms\":1,"
@@ -585,7 +585,7 @@
 		 ticket);
 	id = mesh_call(mesh, issuer, EV_ENTRY, body);
 	mesh_run(mesh, 1500);
-	ck_assert(says(mesh, id, "\"not_run\""));
+	ck_assert(answer_contains(mesh, id, "\"not_run\""));
 	mesh_run(mesh, 4 * SECOND);
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
@@ -597,14 +597,14 @@
 	char ticket[160];
 	size_t ids[3];
 
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
-	ids[0] = enter(mesh, 1, ticket);
-	ids[1] = enter(mesh, 2, ticket);
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
+	ids[0] = send_entry(mesh, 1, ticket);
+	ids[1] = send_entry(mesh, 2, ticket);
 	mesh_run(mesh, SECOND);
-	ids[2] = enter(mesh, 0, ticket);
+	ids[2] = send_entry(mesh, 0, ticket);
 	mesh_run(mesh, SECOND);
 	for (int i = 0; i < 3; i++)
-		ck_assert(says(mesh, ids[i], "\"done\""));
+		ck_assert(answer_contains(mesh, ids[i], "\"done\""));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
@@ -612,12 +612,12 @@
  * Both answer "not run" with a ticket; nothing runs. */
 static void entry_no_ticket(struct mesh *mesh)
 {
-	size_t a = enter(mesh, 0, "");
-	size_t b = enter(mesh, 1, "");
+	size_t a = send_entry(mesh, 0, "");
+	size_t b = send_entry(mesh, 1, "");
 
 	mesh_run(mesh, SECOND);
-	ck_assert(says(mesh, a, "ticket_required"));
-	ck_assert(says(mesh, b, "ticket_required"));
+	ck_assert(answer_contains(mesh, a, "ticket_required"));
+	ck_assert(answer_contains(mesh, b, "ticket_required"));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
@@ -628,36 +628,36 @@
 	char ticket[160];
 	size_t id;
 
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
-	enter(mesh, 0, ticket);
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
+	send_entry(mesh, 0, ticket);
 	mesh_run(mesh, SECOND);
 	mesh_kill(mesh, 0);
 	mesh_start(mesh, 0);
 	mesh_run(mesh, 4 * SECOND);
-	id = enter(mesh, 0, ticket);
+	id = send_entry(mesh, 0, ticket);
 	mesh_run(mesh, SECOND);
-	ck_assert(says(mesh, id, "\"unknown\""));
+	ck_assert(answer_contains(mesh, id, "\"unknown\""));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
 /* 7. A cut with both sides live.
  * The issuer's side runs the entry; the other side answers "unknown" and
  * never runs it, though it owns the same targets by its own view. */
-static void entry_under_cut(struct mesh *mesh)
+static void entry_during_partition(struct mesh *mesh)
 {
 	char ticket[160];
 	size_t a;
 	size_t b;
 
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
 	mesh_cut(mesh, 0, 1, true);
 	mesh_cut(mesh, 0, 2, true);
 	mesh_run(mesh, 2 * SECOND);
-	a = enter(mesh, 0, ticket);
-	b = enter(mesh, 1, ticket);
+	a = send_entry(mesh, 0, ticket);
+	b = send_entry(mesh, 1, ticket);
 	mesh_run(mesh, 10 * SECOND);
-	ck_assert(says(mesh, a, "\"done\""));
-	ck_assert(says(mesh, b, "\"unknown\""));
+	ck_assert(answer_contains(mesh, a, "\"done\""));
+	ck_assert(answer_contains(mesh, b, "\"unknown\""));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
@@ -670,12 +670,12 @@
 
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh->targets[i].closes_after_run = true;
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
-	id = enter(mesh, 0, ticket);
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
+	id = send_entry(mesh, 0, ticket);
 	mesh_run(mesh, 2 * MS);
 	mesh_pause(mesh, 0, 3 * SECOND);
 	mesh_run(mesh, 6 * SECOND);
-	ck_assert(says(mesh, id, "\"unknown\""));
+	ck_assert(answer_contains(mesh, id, "\"unknown\""));
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
@@ -686,16 +686,16 @@
 	int64_t since;
 	uint64_t started;
 
-	load(mesh, SECOND);
+	send_load(mesh, SECOND);
 	mesh_target(mesh, "t2")->draining = true;
 	since = mesh->now;
-	load(mesh, SECOND);
+	send_load(mesh, SECOND);
 	started = mesh_target(mesh, "t2")->started;
 	ck_assert(mesh_target(mesh, "t2")->last_start <= since + 100 * MS);
-	load(mesh, SECOND);
+	send_load(mesh, SECOND);
 	ck_assert(mesh_target(mesh, "t2")->started == started);
-	ck_assert(fabs(number(mesh, mesh->nanswers - 20, "coverage") - 1) <
-		  1e-9);
+	ck_assert(fabs(answer_number(mesh, mesh->nanswers - 20, "coverage") -
+		       1) < 1e-9);
 }
 
 /* 8. The list calls a target leaving that does not know it yet. */
@@ -707,7 +707,7 @@
 	layout.leaving_target = 2;
 	mesh_publish_fleet(mesh, &layout);
 	since = mesh->now + 2500 * MS;
-	load(mesh, 4 * SECOND);
+	send_load(mesh, 4 * SECOND);
 	ck_assert(mesh_target(mesh, "t2")->last_start <= since);
 }
 
@@ -717,14 +717,14 @@
 static void rolling_stop(struct mesh *mesh)
 {
 	for (int i = 0; i < 3; i++) {
-		load(mesh, 500 * MS);
+		send_load(mesh, 500 * MS);
 		mesh_feed(mesh, i, (struct event){ .type = EV_LEAVE });
 		mesh_feed(mesh, i, (struct event){ .type = EV_LEAVE });
-		load(mesh, SECOND);
-		load_but(mesh, 3 * SECOND, i);
+		send_load(mesh, SECOND);
+		send_load_except(mesh, 3 * SECOND, i);
 		ck_assert(!mesh->nodes[i].up);
 		mesh_start(mesh, i);
-		load_but(mesh, 4 * SECOND, i);
+		send_load_except(mesh, 4 * SECOND, i);
 	}
 	mesh_run(mesh, SECOND);
 	for (size_t id = 0; id < mesh->nanswers; id++) {
@@ -742,21 +742,21 @@
 	size_t from;
 	size_t entry;
 
-	load(mesh, 3 * SECOND);
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
+	send_load(mesh, 3 * SECOND);
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
 	from = mesh->nanswers;
 	for (int i = 0; i < 12; i++)
-		ask(mesh, i % 2);
-	entry = enter(mesh, 1, ticket);
+		send_question(mesh, i % 2);
+	entry = send_entry(mesh, 1, ticket);
 	mesh_feed(mesh, 0, (struct event){ .type = EV_LEAVE });
 	mesh_feed(mesh, 1, (struct event){ .type = EV_LEAVE });
 	for (int i = 0; i < 300; i++) {
-		ask(mesh, 2);
+		send_question(mesh, 2);
 		mesh_run(mesh, 10 * MS);
 	}
 	mesh_run(mesh, SECOND);
 	ck_assert(!mesh->nodes[0].up && !mesh->nodes[1].up);
-	ck_assert(says(mesh, entry, "\"done\""));
+	ck_assert(answer_contains(mesh, entry, "\"done\""));
 	for (size_t id = from; id < mesh->nanswers; id++)
 		ck_assert_int_eq(mesh->answers[id].status, 200);
 }
@@ -769,12 +769,12 @@
 	size_t id;
 
 	mesh_feed(mesh, 0, (struct event){ .type = EV_LEAVE });
-	take_ticket(mesh, 0, ticket, sizeof(ticket));
+	request_ticket(mesh, 0, ticket, sizeof(ticket));
 	ck_assert(strncmp(ticket, "127.0.0.1:7000/", 15));
 	mesh_run(mesh, 4 * SECOND);
-	id = enter(mesh, 1, ticket);
+	id = send_entry(mesh, 1, ticket);
 	mesh_run(mesh, SECOND);
-	ck_assert(says(mesh, id, "\"done\""));
+	ck_assert(answer_contains(mesh, id, "\"done\""));
 }
 
 /* 10. A replaced node reads a stale platform (a pair).
@@ -835,9 +835,9 @@
 
 	mesh->platform_down = true;
 	mesh_run(mesh, 3600LL * SECOND);
-	id = ask(mesh, 1);
+	id = send_question(mesh, 1);
 	mesh_run(mesh, SECOND);
-	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 }
 
 /* Plans: the fleet together lets in the plan's rate and no more. */
@@ -845,22 +845,22 @@
 {
 	char *lists = mesh_lists(2, 50, 10, 400, 400, 1);
 	size_t from;
-	int taken = 0;
+	int accepted = 0;
 
 	mesh_publish(mesh, DOC_LISTS, lists);
 	free(lists);
 	mesh_run(mesh, 3 * SECOND);
 	from = mesh->nanswers;
 	for (int i = 0; i < 2000; i++) {
-		ask(mesh, i % 3);
+		send_question(mesh, i % 3);
 		mesh_run(mesh, 2 * MS);
 	}
 	mesh_run(mesh, SECOND);
 	for (size_t id = from; id < mesh->nanswers; id++)
-		taken += mesh->answers[id].status == 200;
+		accepted += mesh->answers[id].status == 200;
 	/* 4 s at 50 a second, and the burst. */
-	ck_assert_int_le(taken, 4 * 50 + 10 + 5);
-	ck_assert_int_ge(taken, 4 * 50 * 9 / 10);
+	ck_assert_int_le(accepted, 4 * 50 + 10 + 5);
+	ck_assert_int_ge(accepted, 4 * 50 * 9 / 10);
 }
 
 /* A target that takes connections and never answers (frozen).
@@ -871,16 +871,16 @@
 {
 	uint64_t started;
 
-	load(mesh, 3 * SECOND);
+	send_load(mesh, 3 * SECOND);
 	mesh_target(mesh, "t0")->hangs = true;
-	load(mesh, 6 * SECOND);
+	send_load(mesh, 6 * SECOND);
 	started = mesh_target(mesh, "t0")->started;
-	load(mesh, 2 * SECOND);
+	send_load(mesh, 2 * SECOND);
 	ck_assert(mesh_target(mesh, "t0")->started == started);
 	for (size_t id = mesh->nanswers - 200; id < mesh->nanswers - 50; id++)
-		ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
+		ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 	mesh_target(mesh, "t0")->hangs = false;
-	load(mesh, 3 * SECOND);
+	send_load(mesh, 3 * SECOND);
 	ck_assert(mesh_target(mesh, "t0")->started > started);
 }
 
@@ -888,14 +888,14 @@
 static void gate_killed(struct mesh *mesh)
 {
 	size_t id;
-	int gate = gate_of(mesh, "t0");
+	int gate = find_gate(mesh, "t0");
 
-	load(mesh, SECOND);
-	id = ask(mesh, (gate + 1) % 3);
+	send_load(mesh, SECOND);
+	id = send_question(mesh, (gate + 1) % 3);
 	mesh_run(mesh, mesh->latency_us * 2);
 	mesh_kill(mesh, gate);
 	mesh_run(mesh, SECOND);
-	ck_assert(fabs(number(mesh, id, "coverage") - 1) < 1e-9);
+	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 }
 
 static const struct {
@@ -917,10 +917,10 @@
 	{ "domain out, watchers cut", domain_out_watchers_cut },
 	{ "domain out, node isolated", domain_out_node_isolated },
 	{ "domain out, gate paused", domain_out_gate_paused },
-	{ "domain out, reading aged", domain_out_reading_aged },
+	{ "domain out, reading aged", domain_out_stale_read },
 	{ "domain returns", domain_returns },
 	{ "replies reordered", replies_reordered },
-	{ "go ages", go_ages },
+	{ "go ages", go_expires },
 	{ "issuer killed before go", issuer_killed_before_go },
 	{ "entry shed", entry_shed },
 	{ "shed reply lost", shed_reply_lost },
@@ -928,7 +928,7 @@
 	{ "entry at two nodes", entry_two_nodes },
 	{ "entry without a ticket", entry_no_ticket },
 	{ "issuer replaced", issuer_replaced },
-	{ "entry under a cut", entry_under_cut },
+	{ "entry under a cut", entry_during_partition },
 	{ "entry's reply lost", entry_reply_lost },
 	{ "target drains", target_drains },
 	{ "target listed as leaving", target_listed_leaving },
@@ -949,7 +949,7 @@
 
 START_TEST(test_case)
 {
-	struct mesh *mesh = started(3);
+	struct mesh *mesh = create_started_mesh(3);
 
 	cases[_i].fn(mesh);
 	ck_assert_msg(!mesh->fault, "%s: %s", cases[_i].name, mesh->fault);
@@ -959,19 +959,19 @@
 
 /* The end of a grant turned off: the aged go runs the entry after all. This
  * shows that "go ages" sees what it is there for. */
-START_TEST(test_grant_off)
+START_TEST(test_grant_expiry_off)
 {
-	struct mesh *mesh = world(3);
+	struct mesh *mesh = create_mesh(3);
 	char ticket[160];
 	int gate;
 
 	for (int i = 0; i < 3; i++)
 		mesh->nodes[i].opt.off.no_grant = true;
 	mesh_start_all(mesh);
-	gate = gate_of(mesh, "t0");
-	take_ticket(mesh, (gate + 1) % 3, ticket, sizeof(ticket));
-	enter(mesh, (gate + 1) % 3, ticket);
-	run_to_grant(mesh, gate);
+	gate = find_gate(mesh, "t0");
+	request_ticket(mesh, (gate + 1) % 3, ticket, sizeof(ticket));
+	send_entry(mesh, (gate + 1) % 3, ticket);
+	run_until_grant(mesh, gate);
 	mesh_pause(mesh, gate, 5 * SECOND);
 	mesh_run(mesh, 9 * SECOND);
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
@@ -985,13 +985,13 @@
 	struct buf traces[2] = { { 0 }, { 0 } };
 
 	for (int n = 0; n < 2; n++) {
-		struct mesh *mesh = world(3);
+		struct mesh *mesh = create_mesh(3);
 
 		mesh->trace = &traces[n];
 		mesh_start_all(mesh);
-		load(mesh, 2 * SECOND);
+		send_load(mesh, 2 * SECOND);
 		mesh_kill(mesh, 1);
-		load(mesh, 2 * SECOND);
+		send_load(mesh, 2 * SECOND);
 		mesh_destroy(mesh);
 	}
 	ck_assert(traces[0].len > 1000);
@@ -1004,7 +1004,7 @@
 static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_case, 0, CASES);
-	tcase_add_test(tcase, test_grant_off);
+	tcase_add_test(tcase, test_grant_expiry_off);
 	tcase_add_test(tcase, test_replay);
 }
 
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -23,11 +23,11 @@
 	DOMAINS = 3,
 	ENTRIES_MAX = 2000,
 	DEADLINE_MS = 400,
-	SLACK_US = 100000,
-	HEAL_US = 12000000,
-	OUT_US = 4000000,
-	LOAD_STEP_US = 10000,
-	STOP_BURST = 30,
+	ANSWER_SLACK_US = 100000,
+	RECOVERY_US = 12000000,
+	TAKE_EFFECT_US = 4000000,
+	LOAD_INTERVAL_US = 10000,
+	STOP_QUESTIONS = 30,
 };
 
 /** struct client - a caller with one entry and one ticket */
@@ -46,35 +46,35 @@
 	uint64_t lists_version;
 	struct client clients[ENTRIES_MAX];
 	size_t nclients;
-	size_t asks;
+	size_t questions;
 	char fault[160];
 	bool disturbed[MESH_NODES_MAX]; /* paused or killed: no timeliness */
 };
 
-static uint64_t pick(struct fuzz *f, uint64_t bound)
+static uint64_t random_below(struct fuzz *f, uint64_t bound)
 {
 	return rng_below(&f->rng, bound);
 }
 
-static void fail(struct fuzz *f, const char *what, size_t which)
+static void record_fault(struct fuzz *f, const char *what, size_t id)
 {
 	if (!*f->fault)
-		snprintf(f->fault, sizeof(f->fault), "%s (%zu)", what, which);
+		snprintf(f->fault, sizeof(f->fault), "%s (%zu)", what, id);
 }
 
-static int some_node(struct fuzz *f)
+static int random_node(struct fuzz *f)
 {
-	return (int)pick(f, (uint64_t)f->mesh->nnodes);
+	return (int)random_below(f, (uint64_t)f->mesh->nnodes);
 }
 
-static struct mesh_target *some_target(struct fuzz *f)
+static struct mesh_target *random_target(struct fuzz *f)
 {
-	return &f->mesh->targets[pick(f, TARGETS)];
+	return &f->mesh->targets[random_below(f, TARGETS)];
 }
 
 /* Commands. */
 
-static void do_ask(struct fuzz *f)
+static void do_question(struct fuzz *f)
 {
 	char body[200];
 
@@ -82,8 +82,8 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"q%zu\",\"indexes\":[\"orders\"]}",
 		 f->mesh->nanswers);
-	mesh_call(f->mesh, some_node(f), EV_ASK, body);
-	f->asks++;
+	mesh_call(f->mesh, random_node(f), EV_ASK, body);
+	f->questions++;
 }
 
 static void do_new_client(struct fuzz *f)
@@ -98,7 +98,8 @@
 	snprintf(body, sizeof(body),
 		 "{\"customer\":\"mill\",\"request_id\":\"e%zu\"}",
 		 f->nclients);
-	client->ticket_call = mesh_call(f->mesh, some_node(f), EV_TICKET, body);
+	client->ticket_call =
+		mesh_call(f->mesh, random_node(f), EV_TICKET, body);
 }
 
 static bool read_ticket(struct fuzz *f, struct client *client)
@@ -114,9 +115,9 @@
 	return *client->ticket;
 }
 
-static void send_entry(struct fuzz *f, size_t which, int node)
+static void send_entry(struct fuzz *f, size_t id, int node)
 {
-	struct client *client = &f->clients[which];
+	struct client *client = &f->clients[id];
 	char body[400];
 
 	if (client->ncalls == 4)
@@ -125,7 +126,7 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"e%zu\","
 		 "\"ticket\":\"%s\",\"index\":\"orders\",\"key\":%zu,"
 		 "\"entry\":%s}",
-		 which + 1, client->ticket, which * 37 % (TARGETS * 100),
+		 id + 1, client->ticket, id * 37 % (TARGETS * 100),
 		 client->entry);
 	client->calls[client->ncalls++] =
 		mesh_call(f->mesh, node, EV_ENTRY, body);
@@ -133,20 +134,21 @@
 
 static void do_entry(struct fuzz *f)
 {
-	size_t which;
+	size_t id;
 
 	if (!f->nclients)
 		return;
-	which = f->nclients - 1 - pick(f, f->nclients < 6 ? f->nclients : 6);
-	if (!*f->clients[which].ticket && !read_ticket(f, &f->clients[which]))
+	id = f->nclients - 1 -
+	     random_below(f, f->nclients < 6 ? f->nclients : 6);
+	if (!*f->clients[id].ticket && !read_ticket(f, &f->clients[id]))
 		return;
-	send_entry(f, which, some_node(f));
-	if (pick(f, 3) == 0)
-		send_entry(f, which, some_node(f));
+	send_entry(f, id, random_node(f));
+	if (random_below(f, 3) == 0)
+		send_entry(f, id, random_node(f));
 }
 
 /* A caller's own id, no ticket, two nodes at once: never two runs. */
-static void do_bare_entry(struct fuzz *f)
+static void do_entry_without_ticket(struct fuzz *f)
 {
 	struct client *client = &f->clients[f->nclients];
 	char body[240];
@@ -159,30 +161,31 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"b%zu\","
 		 "\"index\":\"orders\",\"key\":5,\"entry\":%s}",
 		 f->nclients, client->entry);
-	client->ticket_call = mesh_call(f->mesh, some_node(f), EV_ENTRY, body);
-	mesh_call(f->mesh, some_node(f), EV_ENTRY, body);
+	client->ticket_call =
+		mesh_call(f->mesh, random_node(f), EV_ENTRY, body);
+	mesh_call(f->mesh, random_node(f), EV_ENTRY, body);
 }
 
 static void do_cut(struct fuzz *f)
 {
-	int a = some_node(f);
-	int b = some_node(f);
+	int a = random_node(f);
+	int b = random_node(f);
 
 	if (a != b)
-		mesh_cut(f->mesh, a, b, pick(f, 2));
+		mesh_cut(f->mesh, a, b, random_below(f, 2));
 }
 
 static void do_pause(struct fuzz *f)
 {
-	int i = some_node(f);
+	int i = random_node(f);
 
 	f->disturbed[i] = true;
-	mesh_pause(f->mesh, i, (int64_t)pick(f, 3000000));
+	mesh_pause(f->mesh, i, (int64_t)random_below(f, 3000000));
 }
 
 static void do_kill(struct fuzz *f)
 {
-	int i = some_node(f);
+	int i = random_node(f);
 
 	f->disturbed[i] = true;
 	if (f->mesh->nodes[i].up)
@@ -193,7 +196,7 @@
 
 static void do_leave(struct fuzz *f)
 {
-	int i = some_node(f);
+	int i = random_node(f);
 
 	f->disturbed[i] = true;
 	mesh_feed(f->mesh, i, (struct event){ .type = EV_LEAVE });
@@ -205,20 +208,21 @@
 	mesh_publish_fleet(f->mesh, &f->layout);
 }
 
-static void do_publish(struct fuzz *f)
+static void do_publish_fleet(struct fuzz *f)
 {
-	switch (pick(f, 5)) {
+	switch (random_below(f, 5)) {
 	case 0:
-		f->layout.out_domain = (int)pick(f, DOMAINS + 1) - 1;
+		f->layout.out_domain = (int)random_below(f, DOMAINS + 1) - 1;
 		break;
 	case 1:
-		f->layout.leaving_target = (int)pick(f, TARGETS * 2) - 1;
+		f->layout.leaving_target =
+			(int)random_below(f, TARGETS * 2) - 1;
 		if (f->layout.leaving_target >= TARGETS)
 			f->layout.leaving_target = -1;
 		break;
 	case 2:
 		f->layout.snapshot++;
-		f->layout.split = pick(f, 2);
+		f->layout.split = random_below(f, 2);
 		break;
 	default:
 		break;
@@ -226,30 +230,30 @@
 	publish_fleet(f);
 }
 
-static void do_lists(struct fuzz *f)
+static void do_publish_lists(struct fuzz *f)
 {
 	char *lists = mesh_lists(++f->lists_version, 5000, 5000, DEADLINE_MS,
-				 DEADLINE_MS, pick(f, 2) ? 1 : 0.5);
+				 DEADLINE_MS, random_below(f, 2) ? 1 : 0.5);
 
-	if (pick(f, 6) == 0)
+	if (random_below(f, 6) == 0)
 		lists[strlen(lists) / 2] = '#'; /* to be refused */
 	mesh_publish(f->mesh, DOC_LISTS, lists);
 	free(lists);
 }
 
-static void do_platform(struct fuzz *f)
+static void do_platform_fault(struct fuzz *f)
 {
-	if (pick(f, 2))
+	if (random_below(f, 2))
 		f->mesh->platform_down = !f->mesh->platform_down;
 	else
-		f->mesh->nodes[some_node(f)].reads_stale_docs ^= 1;
+		f->mesh->nodes[random_node(f)].reads_stale_docs ^= 1;
 }
 
-static void do_target(struct fuzz *f)
+static void do_target_fault(struct fuzz *f)
 {
-	struct mesh_target *target = some_target(f);
+	struct mesh_target *target = random_target(f);
 
-	switch (pick(f, 7)) {
+	switch (random_below(f, 7)) {
 	case 0:
 		mesh_cold(f->mesh, target);
 		break;
@@ -260,13 +264,15 @@
 		target->draining = !target->draining;
 		break;
 	case 3:
-		target->lacks = pick(f, 2) ? f->layout.snapshot : UINT64_MAX;
+		target->lacks =
+			random_below(f, 2) ? f->layout.snapshot : UINT64_MAX;
 		break;
 	case 4:
 		target->closes_after_run = !target->closes_after_run;
 		break;
 	case 5:
-		target->reply_version = pick(f, 2) ? f->layout.snapshot : 0;
+		target->reply_version =
+			random_below(f, 2) ? f->layout.snapshot : 0;
 		break;
 	default:
 		target->never_replies = !target->never_replies;
@@ -274,11 +280,12 @@
 	}
 }
 
-static void do_wire(struct fuzz *f)
+static void do_network_faults(struct fuzz *f)
 {
-	f->mesh->drop_pm = pick(f, 2) ? (int)pick(f, 60) : 0;
-	f->mesh->dup_pm = pick(f, 2) ? (int)pick(f, 200) : 0;
-	f->mesh->jitter_us = pick(f, 2) ? (int)pick(f, 30000) + 1 : 0;
+	f->mesh->drop_pm = random_below(f, 2) ? (int)random_below(f, 60) : 0;
+	f->mesh->dup_pm = random_below(f, 2) ? (int)random_below(f, 200) : 0;
+	f->mesh->jitter_us =
+		random_below(f, 2) ? (int)random_below(f, 30000) + 1 : 0;
 }
 
 static void step(struct fuzz *f)
@@ -287,15 +294,17 @@
 		int weight;
 		void (*fn)(struct fuzz *f);
 	} commands[] = {
-		{ 40, do_ask },	      { 12, do_new_client }, { 24, do_entry },
-		{ 3, do_cut },	      { 2, do_pause },	     { 2, do_kill },
-		{ 1, do_leave },      { 3, do_publish },     { 2, do_lists },
-		{ 2, do_bare_entry }, { 2, do_platform },    { 5, do_target },
-		{ 2, do_wire },
+		{ 40, do_question },	  { 12, do_new_client },
+		{ 24, do_entry },	  { 3, do_cut },
+		{ 2, do_pause },	  { 2, do_kill },
+		{ 1, do_leave },	  { 3, do_publish_fleet },
+		{ 2, do_publish_lists },  { 2, do_entry_without_ticket },
+		{ 2, do_platform_fault }, { 5, do_target_fault },
+		{ 2, do_network_faults },
 	};
-	int roll = (int)pick(f, 100);
+	int roll = (int)random_below(f, 100);
 
-	mesh_run(f->mesh, (int64_t)pick(f, 20000));
+	mesh_run(f->mesh, (int64_t)random_below(f, 20000));
 	for (size_t i = 0; i < sizeof(commands) / sizeof(*commands); i++) {
 		roll -= commands[i].weight;
 		if (roll >= 0)
@@ -328,7 +337,7 @@
 		target->lacks = UINT64_MAX;
 		target->reply_version = 0;
 	}
-	mesh_run(mesh, HEAL_US);
+	mesh_run(mesh, RECOVERY_US);
 }
 
 static void check_answer(struct fuzz *f, size_t id)
@@ -345,9 +354,10 @@
 	if (json_object_get(doc, "rows")) {
 		fault = rows_fault(doc, terms);
 		if (fault)
-			fail(f, fault, id);
+			record_fault(f, fault, id);
 		if (rows + missing != TARGETS && rows + missing != 2 * TARGETS)
-			fail(f, "the map of the question is not whole", id);
+			record_fault(f, "the map of the question is not whole",
+				     id);
 	}
 	json_decref(doc);
 }
@@ -358,22 +368,22 @@
 		struct mesh_answer *answer = &f->mesh->answers[id];
 
 		if (answer->count > 1)
-			fail(f, "answered twice", id);
+			record_fault(f, "answered twice", id);
 		if (answer->count)
 			check_answer(f, id);
 		if (f->disturbed[answer->node] || !answer->node_up)
 			continue;
 		if (!answer->count)
-			fail(f, "never answered", id);
+			record_fault(f, "never answered", id);
 		else if (memmem(answer->body.ptr, answer->body.len, "\"rows\"",
 				6) &&
 			 answer->at - answer->asked_at >
-				 DEADLINE_MS * 1000 + SLACK_US)
-			fail(f, "answered late", id);
+				 DEADLINE_MS * 1000 + ANSWER_SLACK_US)
+			record_fault(f, "answered late", id);
 	}
 }
 
-static bool says(struct fuzz *f, size_t call, const char *outcome)
+static bool answer_contains(struct fuzz *f, size_t call, const char *outcome)
 {
 	const struct buf *body = &f->mesh->answers[call].body;
 
@@ -390,21 +400,24 @@
 		uint64_t runs = mesh_entry_runs(f->mesh, client->entry);
 
 		if (runs > 1)
-			fail(f, "an entry ran twice", i);
+			record_fault(f, "an entry ran twice", i);
 		for (size_t j = 0; j < client->ncalls; j++) {
-			if (says(f, client->calls[j], "\"not_run\"") && runs)
-				fail(f, "\"not run\" ran", i);
-			if (says(f, client->calls[j], "\"done\"") && !runs)
-				fail(f, "\"done\" did not run", i);
+			if (answer_contains(f, client->calls[j],
+					    "\"not_run\"") &&
+			    runs)
+				record_fault(f, "\"not run\" ran", i);
+			if (answer_contains(f, client->calls[j], "\"done\"") &&
+			    !runs)
+				record_fault(f, "\"done\" did not run", i);
 		}
 	}
 }
 
-static void load(struct fuzz *f, int64_t us)
+static void send_load(struct fuzz *f, int64_t us)
 {
-	for (int64_t t = 0; t < us; t += LOAD_STEP_US) {
-		do_ask(f);
-		mesh_run(f->mesh, LOAD_STEP_US);
+	for (int64_t t = 0; t < us; t += LOAD_INTERVAL_US) {
+		do_question(f);
+		mesh_run(f->mesh, LOAD_INTERVAL_US);
 	}
 }
 
@@ -412,22 +425,22 @@
 			  const char *what)
 {
 	if (f->mesh->targets[target].last_start > since)
-		fail(f, what, target);
+		record_fault(f, what, target);
 }
 
 /* Published under load: in force everywhere, and no new work after a while. */
-static void check_out(struct fuzz *f)
+static void check_domain_out(struct fuzz *f)
 {
-	int out = (int)pick(f, DOMAINS);
-	int leaving_target = (int)pick(f, TARGETS);
+	int out = (int)random_below(f, DOMAINS);
+	int leaving_target = (int)random_below(f, TARGETS);
 	struct mesh *mesh = f->mesh;
 	int64_t since;
 
 	f->layout.out_domain = out;
 	f->layout.leaving_target = leaving_target;
 	publish_fleet(f);
-	since = mesh->now + OUT_US;
-	load(f, OUT_US * 5 / 4);
+	since = mesh->now + TAKE_EFFECT_US;
+	send_load(f, TAKE_EFFECT_US * 5 / 4);
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
@@ -437,45 +450,46 @@
 	for (int i = 0; i < mesh->nnodes; i++)
 		if (mesh->nodes[i].up &&
 		    mesh->nodes[i].doc_versions[DOC_FLEET] != f->layout.version)
-			fail(f, "a document is not in force", (size_t)i);
+			record_fault(f, "a document is not in force",
+				     (size_t)i);
 	f->layout.out_domain = f->layout.leaving_target = -1;
 	publish_fleet(f);
-	load(f, OUT_US);
+	send_load(f, TAKE_EFFECT_US);
 }
 
 /* Paused while a domain is taken out, woken with requests in its sockets. */
-static void check_wake(struct fuzz *f)
+static void check_pause(struct fuzz *f)
 {
-	int out = (int)pick(f, DOMAINS);
+	int out = (int)random_below(f, DOMAINS);
 	int64_t since;
 
-	mesh_pause(f->mesh, 0, 2 * OUT_US);
+	mesh_pause(f->mesh, 0, 2 * TAKE_EFFECT_US);
 	f->disturbed[0] = true;
-	load(f, LOAD_STEP_US * 10);
+	send_load(f, LOAD_INTERVAL_US * 10);
 	f->layout.out_domain = out;
 	publish_fleet(f);
-	since = f->mesh->now + OUT_US;
-	load(f, 2 * OUT_US);
+	since = f->mesh->now + TAKE_EFFECT_US;
+	send_load(f, 2 * TAKE_EFFECT_US);
 	for (size_t i = 0; i < f->mesh->ntargets; i++)
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
 				      "new work by a node that woke");
 	f->layout.out_domain = -1;
 	publish_fleet(f);
-	load(f, OUT_US);
+	send_load(f, TAKE_EFFECT_US);
 }
 
 /* With one gate a target, a cold start never gets more than it bears. */
-static void check_cold(struct fuzz *f)
+static void check_cold_start(struct fuzz *f)
 {
 	for (size_t i = 0; i < f->mesh->ntargets; i++) {
 		f->mesh->targets[i].overruns = 0;
 		mesh_cold(f->mesh, &f->mesh->targets[i]);
 	}
-	load(f, OUT_US);
+	send_load(f, TAKE_EFFECT_US);
 	for (size_t i = 0; i < f->mesh->ntargets; i++)
 		if (f->mesh->targets[i].overruns)
-			fail(f, "a cold target fell over", i);
+			record_fault(f, "a cold target fell over", i);
 }
 
 /* A planned stop under load: whatever is sent until the end is answered. */
@@ -484,17 +498,17 @@
 	size_t from = f->mesh->nanswers;
 	size_t to;
 
-	for (int i = 0; i < STOP_BURST; i++)
-		do_ask(f);
+	for (int i = 0; i < STOP_QUESTIONS; i++)
+		do_question(f);
 	mesh_feed(f->mesh, 0, (struct event){ .type = EV_LEAVE });
-	load(f, OUT_US);
+	send_load(f, TAKE_EFFECT_US);
 	to = f->mesh->nanswers;
 	mesh_run(f->mesh, 2000000);
 	for (size_t id = from; id < to; id++) {
 		const struct mesh_answer *answer = &f->mesh->answers[id];
 
 		if (!answer->count && answer->node_up)
-			fail(f, "a planned stop lost a request", id);
+			record_fault(f, "a planned stop lost a request", id);
 	}
 }
 
@@ -517,27 +531,27 @@
 	SAFEGUARD(no_pause_check),
 };
 
-static const char *turned_off;
+static const char *disabled_safeguard;
 
-static void turn_off(struct fuzz *f)
+static void disable_safeguard(struct fuzz *f)
 {
 	for (size_t i = 0; i < sizeof(safeguards) / sizeof(*safeguards); i++) {
-		if (strcmp(safeguards[i].name, turned_off))
+		if (strcmp(safeguards[i].name, disabled_safeguard))
 			continue;
 		for (int n = 0; n < f->mesh->nnodes; n++)
 			*((bool *)&f->mesh->nodes[n].opt.off +
 			  safeguards[i].offset) = true;
 		return;
 	}
-	fprintf(stderr, "fuzz: no safeguard \"%s\"\n", turned_off);
+	fprintf(stderr, "fuzz: no safeguard \"%s\"\n", disabled_safeguard);
 	exit(2);
 }
 
 /* Return: whether all held; @fault tells else. */
-static bool run(uint64_t seed, int steps, char *fault, size_t size)
+static bool run_seed(uint64_t seed, int steps, char *fault, size_t size)
 {
 	struct fuzz *f = xcalloc(1, sizeof(*f));
-	bool held;
+	bool passed;
 
 	f->rng.seed = seed;
 	f->layout = mesh_layout(3 + (int)(seed % 4), DOMAINS, TARGETS);
@@ -545,28 +559,28 @@
 	f->mesh = mesh_create(
 		seed, &f->layout,
 		mesh_lists(1, 5000, 5000, DEADLINE_MS, DEADLINE_MS, 1));
-	if (turned_off)
-		turn_off(f);
+	if (disabled_safeguard)
+		disable_safeguard(f);
 	mesh_start_all(f->mesh);
 	for (int i = 0; i < steps && !f->mesh->fault; i++)
 		step(f);
 	heal(f);
-	check_out(f);
-	check_wake(f);
-	check_cold(f);
+	check_domain_out(f);
+	check_pause(f);
+	check_cold_start(f);
 	check_stop(f);
 	check_answers(f);
 	check_entries(f);
 	if (f->mesh->fault)
-		fail(f, f->mesh->fault, 0);
-	held = !*f->fault;
+		record_fault(f, f->mesh->fault, 0);
+	passed = !*f->fault;
 	snprintf(fault, size, "%s", f->fault);
 	mesh_destroy(f->mesh);
 	free(f);
-	return held;
+	return passed;
 }
 
-static int shortest(uint64_t seed, int steps)
+static int shortest_failing_prefix(uint64_t seed, int steps)
 {
 	char fault[160];
 	int low = 0;
@@ -574,7 +588,7 @@
 	while (low + 1 < steps) {
 		int mid = (low + steps) / 2;
 
-		if (run(seed, mid, fault, sizeof(fault)))
+		if (run_seed(seed, mid, fault, sizeof(fault)))
 			low = mid;
 		else
 			steps = mid;
@@ -589,23 +603,24 @@
 	int steps = argc > 3 ? atoi(argv[3]) : 400;
 	int failed = 0;
 
-	turned_off = argc > 4 ? argv[4] : NULL;
+	disabled_safeguard = argc > 4 ? argv[4] : NULL;
 	apr_initialize();
 	for (uint64_t seed = first; seed < first + count; seed++) {
 		char fault[160];
 
-		if (run(seed, steps, fault, sizeof(fault)))
+		if (run_seed(seed, steps, fault, sizeof(fault)))
 			continue;
 		failed++;
-		if (turned_off) {
+		if (disabled_safeguard) {
 			printf("without it, seed %llu: %s\n",
 			       (unsigned long long)seed, fault);
 			break;
 		}
 		printf("seed %llu: %s; shortest failing prefix: %d steps\n",
-		       (unsigned long long)seed, fault, shortest(seed, steps));
+		       (unsigned long long)seed, fault,
+		       shortest_failing_prefix(seed, steps));
 	}
 	printf("fuzz: %llu seeds of %d steps, %d failed\n",
 	       (unsigned long long)count, steps, failed);
-	return turned_off ? !failed : failed != 0;
+	return disabled_safeguard ? !failed : failed != 0;
 }
