--- a/tests/check_fetch.c
+++ b/tests/check_fetch.c
@@ -13,21 +13,21 @@
 #include "suite.h"
 
 enum {
-	ROUNDS = 2000
+	LOOP_STEPS_MAX = 2000
 };
 
-/** struct closer - target that answers the first request, then reads and
+/** struct server - target that answers the first request, then reads and
  *  closes: its own book of whole requests that it has read */
-struct closer {
+struct server {
 	struct loop *loop;
 	int listener;
 	struct watch *watch;
-	int reads;
-	int replies;
+	int requests_read;
+	int replies_sent;
 };
 
 struct conn {
-	struct closer *closer;
+	struct server *server;
 	struct watch *watch;
 	int fd;
 };
@@ -38,13 +38,13 @@
 				 "{}";
 	struct conn *conn = ctx;
 	char data[4096];
-	ssize_t got = read(conn->fd, data, sizeof(data));
+	ssize_t len = read(conn->fd, data, sizeof(data));
 
 	(void)events;
-	if (got > 0) {
-		conn->closer->reads++;
-		if (conn->closer->reads == 1) {
-			conn->closer->replies++;
+	if (len > 0) {
+		conn->server->requests_read++;
+		if (conn->server->requests_read == 1) {
+			conn->server->replies_sent++;
 			ck_assert(write(conn->fd, ok, sizeof(ok) - 1) > 0);
 			return;
 		}
@@ -56,39 +56,39 @@
 
 static void on_accept(void *ctx, int events)
 {
-	struct closer *closer = ctx;
+	struct server *server = ctx;
 	struct conn *conn = calloc(1, sizeof(*conn));
 
 	(void)events;
-	conn->closer = closer;
-	conn->fd = accept(closer->listener, NULL, NULL);
+	conn->server = server;
+	conn->fd = accept(server->listener, NULL, NULL);
 	conn->watch =
-		loop_add(closer->loop, conn->fd, APR_POLLIN, on_conn, conn);
+		loop_add(server->loop, conn->fd, APR_POLLIN, on_conn, conn);
 }
 
-static uint16_t closer_listen(struct closer *closer)
+static uint16_t server_listen(struct server *server)
 {
 	struct sockaddr_in sin = { .sin_family = AF_INET };
 	socklen_t len = sizeof(sin);
 
 	inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
-	closer->listener = socket(AF_INET, SOCK_STREAM, 0);
-	ck_assert(!bind(closer->listener, (struct sockaddr *)&sin, len));
-	ck_assert(!listen(closer->listener, 8));
-	getsockname(closer->listener, (struct sockaddr *)&sin, &len);
-	closer->watch = loop_add(closer->loop, closer->listener, APR_POLLIN,
-				 on_accept, closer);
+	server->listener = socket(AF_INET, SOCK_STREAM, 0);
+	ck_assert(!bind(server->listener, (struct sockaddr *)&sin, len));
+	ck_assert(!listen(server->listener, 8));
+	getsockname(server->listener, (struct sockaddr *)&sin, &len);
+	server->watch = loop_add(server->loop, server->listener, APR_POLLIN,
+				 on_accept, server);
 	return ntohs(sin.sin_port);
 }
 
 /* Lets the kept connections see their end, then stops listening. */
-static void closer_end(struct closer *closer)
+static void server_stop(struct server *server)
 {
 	for (int i = 0; i < 5; i++)
-		loop_step(closer->loop);
-	loop_del(closer->watch);
-	close(closer->listener);
-	loop_destroy(closer->loop);
+		loop_step(server->loop);
+	loop_del(server->watch);
+	close(server->listener);
+	loop_destroy(server->loop);
 }
 
 static void on_done(void *ctx, uint64_t id, const struct fetch_reply *reply)
@@ -101,7 +101,7 @@
 	out->status = 1;
 }
 
-static struct fetch_reply post(struct closer *closer, struct fetcher *fetcher,
+static struct fetch_reply post(struct server *server, struct fetcher *fetcher,
 			       uint16_t port, bool once)
 {
 	struct fetch_reply reply = { 0 };
@@ -117,8 +117,8 @@
 				     .done = on_done,
 				     .ctx = &reply,
 			     });
-	for (int i = 0; i < ROUNDS && !reply.status; i++)
-		loop_step(closer->loop);
+	for (int i = 0; i < LOOP_STEPS_MAX && !reply.status; i++)
+		loop_step(server->loop);
 	buf_free(&url);
 	return reply;
 }
@@ -130,43 +130,43 @@
 START_TEST(test_resend)
 {
 	bool once = _i;
-	struct closer closer = { 0 };
+	struct server server = { 0 };
 	struct fetcher *fetcher;
 	struct fetch_reply reply;
 	uint16_t port;
 
-	closer.loop = loop_create(NULL);
-	fetcher = fetcher_create(closer.loop, 4096);
-	port = closer_listen(&closer);
-	reply = post(&closer, fetcher, port, false);
+	server.loop = loop_create(NULL);
+	fetcher = fetcher_create(server.loop, 4096);
+	port = server_listen(&server);
+	reply = post(&server, fetcher, port, false);
 	ck_assert_int_eq(reply.result, FETCH_OK);
-	reply = post(&closer, fetcher, port, once);
+	reply = post(&server, fetcher, port, once);
 	ck_assert_int_eq(reply.result, FETCH_BROKEN);
-	ck_assert_int_eq(closer.reads, once ? 2 : 3);
+	ck_assert_int_eq(server.requests_read, once ? 2 : 3);
 	ck_assert_int_eq(reply.resent, once ? 0 : 1);
 	fetcher_destroy(fetcher);
-	closer_end(&closer);
+	server_stop(&server);
 }
 END_TEST
 
 /* Nobody listens: no byte was sent, so "not run" would be true. */
 START_TEST(test_refused)
 {
-	struct closer closer = { 0 };
+	struct server server = { 0 };
 	struct fetcher *fetcher;
 	struct fetch_reply reply;
 	uint16_t port;
 
-	closer.loop = loop_create(NULL);
-	fetcher = fetcher_create(closer.loop, 4096);
-	port = closer_listen(&closer);
-	loop_del(closer.watch);
-	close(closer.listener);
-	reply = post(&closer, fetcher, port, true);
+	server.loop = loop_create(NULL);
+	fetcher = fetcher_create(server.loop, 4096);
+	port = server_listen(&server);
+	loop_del(server.watch);
+	close(server.listener);
+	reply = post(&server, fetcher, port, true);
 	ck_assert_int_eq(reply.result, FETCH_REFUSED);
-	ck_assert_int_eq(closer.reads, 0);
+	ck_assert_int_eq(server.requests_read, 0);
 	fetcher_destroy(fetcher);
-	loop_destroy(closer.loop);
+	loop_destroy(server.loop);
 }
 END_TEST
 
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -22,7 +22,7 @@
 /** struct input - a text, and what its error must name (NULL: accepted) */
 struct input {
 	const char *text;
-	const char *names;
+	const char *expected_error;
 };
 
 #define ADDRS \
@@ -58,10 +58,12 @@
 	struct error err = { 0 };
 	struct config *config = config_parse("vm.json", str_of(in->text), &err);
 
-	ck_assert_msg(!config == !!in->names, "%s: %s", in->text, err.text);
-	if (in->names) {
+	ck_assert_msg(!config == !!in->expected_error, "%s: %s", in->text,
+		      err.text);
+	if (in->expected_error) {
 		ck_assert_int_eq(err.code, ERR_SETTINGS);
-		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
+		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
+			      err.text);
 		ck_assert(strstr(err.text, "vm.json"));
 	}
 	config_free(config);
@@ -101,16 +103,18 @@
 	struct error err = { 0 };
 	struct lists *parsed = lists_parse(str_of(in->text), &err);
 
-	ck_assert_msg(!parsed == !!in->names, "%s: %s", in->text, err.text);
-	if (in->names) {
+	ck_assert_msg(!parsed == !!in->expected_error, "%s: %s", in->text,
+		      err.text);
+	if (in->expected_error) {
 		ck_assert_int_eq(err.code, ERR_LIST);
-		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
+		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
+			      err.text);
 	}
 	lists_free(parsed);
 }
 END_TEST
 
-#define HEAD \
+#define FLEET_HEAD \
 	"{\"version\":1,\"domains\":[{\"name\":\"a\",\"state\":" \
 	"\"in\"}],\"vms\":[],\"targets\":["
 #define TARGET(name, port) \
@@ -121,8 +125,8 @@
 	"{\"id\":" id ",\"index\":\"i\",\"from\":" from ",\"to\":" to \
 	",\"replicas\":[\"" target "\"]}"
 #define FLEET(targets, shards) \
-	HEAD targets "],\"snapshots\":[{\"version\":1,\"shards\":[" shards \
-		     "]}]}"
+	FLEET_HEAD targets \
+		"],\"snapshots\":[{\"version\":1,\"shards\":[" shards "]}]}"
 
 static const struct input fleets[] = {
 	{ FLEET(TARGET("t", "1"), SHARD("1", "0", "9", "t")), NULL },
@@ -137,10 +141,10 @@
 	{ FLEET(TARGET("t", "1") "," TARGET("t", "2"), ""), "twice" },
 	{ FLEET(TARGET("t", "1") "," TARGET("u", "1"), ""), "twice" },
 	{ FLEET(TARGET("t", "x"), ""), "ip:port" },
-	{ HEAD "],\"snapshots\":[{\"version\":1,\"shards\":[]},"
-	       "{\"version\":2,\"shards\":[]}]}",
+	{ FLEET_HEAD "],\"snapshots\":[{\"version\":1,\"shards\":[]},"
+		     "{\"version\":2,\"shards\":[]}]}",
 	  "go down" },
-	{ HEAD "]}", "snapshots" },
+	{ FLEET_HEAD "]}", "snapshots" },
 };
 
 START_TEST(test_fleet)
@@ -149,15 +153,18 @@
 	struct error err = { 0 };
 	struct fleet *fleet = fleet_parse(str_of(in->text), &err);
 
-	ck_assert_msg(!fleet == !!in->names, "%s: %s", in->text, err.text);
-	if (in->names)
-		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
+	ck_assert_msg(!fleet == !!in->expected_error, "%s: %s", in->text,
+		      err.text);
+	if (in->expected_error)
+		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
+			      err.text);
 	fleet_unref(fleet);
 }
 END_TEST
 
-/** struct large - a document that is within 1 MiB, and long in one list */
-struct large {
+/** struct large_document - a document that is within 1 MiB, and long in one
+ * list */
+struct large_document {
 	const char *head;
 	const char *item; /* with its number, twice at most */
 	int count;
@@ -168,7 +175,7 @@
 #define LARGE_FLEET "{\"version\":1,\"domains\":["
 #define LARGE_VMS LARGE_FLEET "{\"name\":\"a\",\"state\":\"in\"}],\"vms\":["
 
-static const struct large larges[] = {
+static const struct large_document large_documents[] = {
 	{ "{\"version\":1,\"plans\":[],\"allowances\":[",
 	  "{\"plan\":\"p%d\",\"indexes\":[],\"entries\":[],"
 	  "\"deadline_ms\":9}",
@@ -193,19 +200,20 @@
 	  "{\"version\":1%07d,\"shards\":[]}", 20000, "]}", true },
 };
 
-static void write_large(const struct large *large, struct buf *text)
+static void build_large_document(const struct large_document *doc,
+				 struct buf *text)
 {
-	buf_str_add(text, str_of(large->head));
-	for (int i = 0; i < large->count; i++) {
-		int number = large->count - i;
+	buf_str_add(text, str_of(doc->head));
+	for (int i = 0; i < doc->count; i++) {
+		int number = doc->count - i;
 
 		buf_str_add(text, i ? STR(",") : STR(""));
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wformat-nonliteral"
-		buf_printf(text, large->item, number, number);
+		buf_printf(text, doc->item, number, number);
 #pragma GCC diagnostic pop
 	}
-	buf_str_add(text, str_of(large->tail));
+	buf_str_add(text, str_of(doc->tail));
 	ck_assert_uint_le(text->len, DOC_MAX);
 }
 
@@ -220,8 +228,8 @@
 	struct fleet *fleet = NULL;
 	struct lists *parsed = NULL;
 
-	write_large(&larges[_i], &text);
-	if (larges[_i].fleet)
+	build_large_document(&large_documents[_i], &text);
+	if (large_documents[_i].fleet)
 		fleet = fleet_parse(buf_str(&text), &err);
 	else
 		parsed = lists_parse(buf_str(&text), &err);
@@ -232,27 +240,28 @@
 }
 END_TEST
 
-#define WHO "\"customer\":\"c\",\"request_id\":\"r\""
+#define CALLER "\"customer\":\"c\",\"request_id\":\"r\""
 
-static const struct input asks[] = {
-	{ "{" WHO ",\"indexes\":[\"i\"]}", NULL },
-	{ "{" WHO ",\"indexes\":[\"i\"],\"shards\":[3,1],\"terms\":\"t\"}",
+static const struct input questions[] = {
+	{ "{" CALLER ",\"indexes\":[\"i\"]}", NULL },
+	{ "{" CALLER ",\"indexes\":[\"i\"],\"shards\":[3,1],\"terms\":\"t\"}",
 	  NULL },
-	{ "{" WHO ",\"indexes\":[]}", "indexes" },
-	{ "{" WHO ",\"indexes\":[\"i\",\"i\"]}", "twice" },
-	{ "{" WHO ",\"indexes\":[\"i\"],\"shards\":[1,1]}", "twice" },
-	{ "{" WHO ",\"indexes\":[\"i\"],\"shards\":[0]}", "shards" },
-	{ "{" WHO ",\"indexes\":[\"i\"],\"deadline_ms\":-1}", "deadline_ms" },
-	{ "{" WHO ",\"indexes\":[\"i\"],\"terms\":7}", "terms" },
-	{ "{" WHO ",\"indexes\":[\"i\"],\"page\":7}", "page" },
+	{ "{" CALLER ",\"indexes\":[]}", "indexes" },
+	{ "{" CALLER ",\"indexes\":[\"i\",\"i\"]}", "twice" },
+	{ "{" CALLER ",\"indexes\":[\"i\"],\"shards\":[1,1]}", "twice" },
+	{ "{" CALLER ",\"indexes\":[\"i\"],\"shards\":[0]}", "shards" },
+	{ "{" CALLER ",\"indexes\":[\"i\"],\"deadline_ms\":-1}",
+	  "deadline_ms" },
+	{ "{" CALLER ",\"indexes\":[\"i\"],\"terms\":7}", "terms" },
+	{ "{" CALLER ",\"indexes\":[\"i\"],\"page\":7}", "page" },
 	{ "{\"request_id\":\"r\",\"indexes\":[\"i\"]}", "customer" },
 	{ "[]", "object" },
 	{ "", "line" },
 };
 
-START_TEST(test_ask)
+START_TEST(test_question)
 {
-	const struct input *in = &asks[_i];
+	const struct input *in = &questions[_i];
 	struct error err = { 0 };
 	apr_pool_t *pool;
 	struct ask ask;
@@ -260,19 +269,20 @@
 
 	apr_pool_create(&pool, NULL);
 	code = ask_parse(str_of(in->text), pool, &ask, &err);
-	ck_assert_int_eq(code, in->names ? ERR_BAD_REQUEST : 0);
-	if (in->names)
-		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
+	ck_assert_int_eq(code, in->expected_error ? ERR_BAD_REQUEST : 0);
+	if (in->expected_error)
+		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
+			      err.text);
 	apr_pool_destroy(pool);
 }
 END_TEST
 
 static const struct input entries[] = {
-	{ "{" WHO ",\"index\":\"i\",\"key\":1,\"entry\":{}}", NULL },
-	{ "{" WHO ",\"index\":\"i\",\"key\":1,\"entry\":[]}", "entry" },
-	{ "{" WHO ",\"index\":\"i\",\"entry\":{}}", "key" },
-	{ "{" WHO ",\"key\":1,\"entry\":{}}", "index" },
-	{ "{" WHO ",\"index\":\"i\",\"key\":1,\"entry\":{},\"ticket\":\"\"}",
+	{ "{" CALLER ",\"index\":\"i\",\"key\":1,\"entry\":{}}", NULL },
+	{ "{" CALLER ",\"index\":\"i\",\"key\":1,\"entry\":[]}", "entry" },
+	{ "{" CALLER ",\"index\":\"i\",\"entry\":{}}", "key" },
+	{ "{" CALLER ",\"key\":1,\"entry\":{}}", "index" },
+	{ "{" CALLER ",\"index\":\"i\",\"key\":1,\"entry\":{},\"ticket\":\"\"}",
 	  "ticket" },
 };
 
@@ -286,9 +296,10 @@
 
 	apr_pool_create(&pool, NULL);
 	code = entry_parse(str_of(in->text), false, pool, &entry, &err);
-	ck_assert_int_eq(code, in->names ? ERR_BAD_REQUEST : 0);
-	if (in->names)
-		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
+	ck_assert_int_eq(code, in->expected_error ? ERR_BAD_REQUEST : 0);
+	if (in->expected_error)
+		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
+			      err.text);
 	apr_pool_destroy(pool);
 }
 END_TEST
@@ -314,12 +325,12 @@
 START_TEST(test_target_reply)
 {
 	const struct reply_case *in = &replies[_i];
-	struct fetched got = { .result = FETCH_OK };
+	struct fetched fetched = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
-	target_parse_reply(str_of(in->body), in->status, &got, &rows);
-	ck_assert_int_eq(got.result, in->result);
-	ck_assert_int_eq(got.status, in->status);
+	target_parse_reply(str_of(in->body), in->status, &fetched, &rows);
+	ck_assert_int_eq(fetched.result, in->result);
+	ck_assert_int_eq(fetched.status, in->status);
 	buf_free(&rows);
 }
 END_TEST
@@ -349,7 +360,7 @@
 	struct msg msgs[3];
 	char texts[3][40];
 	struct buf out = { 0 };
-	struct frame back;
+	struct frame decoded;
 	struct error err;
 
 	for (int i = 0; i < 3; i++)
@@ -360,20 +371,20 @@
 				      .msgs = msgs,
 				      .count = 3 },
 		     &out);
-	for (size_t cut = 0; cut < out.len; cut++)
-		ck_assert_int_eq(
-			frame_decode((struct str){ out.ptr, cut }, &back, &err),
-			0);
-	ck_assert_int_eq(frame_decode(buf_str(&out), &back, &err),
+	for (size_t prefix = 0; prefix < out.len; prefix++)
+		ck_assert_int_eq(frame_decode((struct str){ out.ptr, prefix },
+					      &decoded, &err),
+				 0);
+	ck_assert_int_eq(frame_decode(buf_str(&out), &decoded, &err),
 			 (int)out.len);
-	ck_assert_uint_eq(back.count, 3);
+	ck_assert_uint_eq(decoded.count, 3);
 	for (int i = 0; i < 3; i++) {
-		ck_assert_uint_eq(back.msgs[i].id, msgs[i].id);
-		ck_assert_int_eq(back.msgs[i].status, msgs[i].status);
-		ck_assert(back.msgs[i].remaining_us == msgs[i].remaining_us);
-		ck_assert(str_eq(back.msgs[i].body, msgs[i].body));
+		ck_assert_uint_eq(decoded.msgs[i].id, msgs[i].id);
+		ck_assert_int_eq(decoded.msgs[i].status, msgs[i].status);
+		ck_assert(decoded.msgs[i].remaining_us == msgs[i].remaining_us);
+		ck_assert(str_eq(decoded.msgs[i].body, msgs[i].body));
 	}
-	frame_free(&back);
+	frame_free(&decoded);
 	buf_free(&out);
 }
 END_TEST
@@ -392,7 +403,7 @@
 		struct msg msg;
 		char text[40];
 		struct buf out = { 0 };
-		struct frame back;
+		struct frame decoded;
 		struct error err;
 
 		random_msg(&rng, &msg, text);
@@ -405,15 +416,15 @@
 		for (uint64_t flips = rng_below(&rng, 6); flips; flips--)
 			out.ptr[rng_below(&rng, out.len)] ^=
 				(char)(1 << rng_below(&rng, 8));
-		if (frame_decode(buf_str(&out), &back, &err) > 0) {
-			for (size_t i = 0; i < back.count; i++)
-				mesh_feed(
-					mesh, 0,
-					(struct event){ .type = EV_MSG,
-							.from = back.from,
-							.incarnation = 5,
-							.msg = &back.msgs[i] });
-			frame_free(&back);
+		if (frame_decode(buf_str(&out), &decoded, &err) > 0) {
+			for (size_t i = 0; i < decoded.count; i++)
+				mesh_feed(mesh, 0,
+					  (struct event){
+						  .type = EV_MSG,
+						  .from = decoded.from,
+						  .incarnation = 5,
+						  .msg = &decoded.msgs[i] });
+			frame_free(&decoded);
 		}
 		buf_free(&out);
 	}
@@ -470,18 +481,18 @@
 }
 END_TEST
 
-#define LOOP(test, table) \
+#define ADD_LOOP_TEST(test, table) \
 	tcase_add_loop_test(tcase, test, 0, sizeof(table) / sizeof(*(table)))
 
 static void add_tests(TCase *tcase)
 {
-	LOOP(test_settings, settings);
-	LOOP(test_lists, lists);
-	LOOP(test_fleet, fleets);
-	LOOP(test_large_document, larges);
-	LOOP(test_ask, asks);
-	LOOP(test_entry, entries);
-	LOOP(test_target_reply, replies);
+	ADD_LOOP_TEST(test_settings, settings);
+	ADD_LOOP_TEST(test_lists, lists);
+	ADD_LOOP_TEST(test_fleet, fleets);
+	ADD_LOOP_TEST(test_large_document, large_documents);
+	ADD_LOOP_TEST(test_question, questions);
+	ADD_LOOP_TEST(test_entry, entries);
+	ADD_LOOP_TEST(test_target_reply, replies);
 	tcase_add_loop_test(tcase, test_frame_round_trip, 0, 20);
 	tcase_add_loop_test(tcase, test_frame_damaged, 0, 10);
 	tcase_add_loop_test(tcase, test_timers, 0, 10);
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -25,13 +25,13 @@
 struct waiter {
 	struct http_request *req;
 	enum doc_kind kind;
-	int64_t until;
+	int64_t expires_at;
 };
 
 struct platform {
 	struct loop *loop;
-	struct buf now[DOC_KINDS];
-	struct buf old[DOC_KINDS];
+	struct buf current[DOC_KINDS];
+	struct buf previous[DOC_KINDS];
 	bool down;
 	bool stale;
 	struct waiter waiters[WAITERS];
@@ -41,20 +41,20 @@
 
 static void publish(struct platform *p, enum doc_kind kind, struct str body)
 {
-	p->old[kind].len = 0;
-	buf_str_add(&p->old[kind], buf_str(&p->now[kind]));
-	p->now[kind].len = 0;
-	buf_str_add(&p->now[kind], body);
+	p->previous[kind].len = 0;
+	buf_str_add(&p->previous[kind], buf_str(&p->current[kind]));
+	p->current[kind].len = 0;
+	buf_str_add(&p->current[kind], body);
 }
 
-static struct str served(struct platform *p, enum doc_kind kind)
+static struct str served_doc(struct platform *p, enum doc_kind kind)
 {
-	bool old = p->stale && p->old[kind].len;
+	bool old = p->stale && p->previous[kind].len;
 
-	return buf_str(old ? &p->old[kind] : &p->now[kind]);
+	return buf_str(old ? &p->previous[kind] : &p->current[kind]);
 }
 
-static void wake(struct platform *p, enum doc_kind kind)
+static void reply_to_waiters(struct platform *p, enum doc_kind kind)
 {
 	for (size_t i = p->nwaiters; i-- > 0;) {
 		struct waiter w = p->waiters[i];
@@ -62,7 +62,7 @@
 		if (w.kind != kind)
 			continue;
 		p->waiters[i] = p->waiters[--p->nwaiters];
-		http_reply(w.req, 200, served(p, kind));
+		http_reply(w.req, 200, served_doc(p, kind));
 	}
 }
 
@@ -74,17 +74,17 @@
 }
 
 static int64_t query_int(struct http_request *req, const char *key,
-			 int64_t other)
+			 int64_t fallback)
 {
 	struct str value = http_query(req, key);
 
-	return value.len ? strtoll(value.ptr, NULL, 10) : other;
+	return value.len ? strtoll(value.ptr, NULL, 10) : fallback;
 }
 
-static void read_doc(struct platform *p, struct http_request *req,
-		     enum doc_kind kind)
+static void serve_doc(struct platform *p, struct http_request *req,
+		      enum doc_kind kind)
 {
-	struct str body = served(p, kind);
+	struct str body = served_doc(p, kind);
 	int64_t wait = query_int(req, "wait_ms", 0) * 1000;
 
 	p->calls++;
@@ -100,7 +100,7 @@
 	}
 }
 
-static void set(struct platform *p, struct http_request *req)
+static void set_behaviour(struct platform *p, struct http_request *req)
 {
 	p->down = query_int(req, "down", p->down);
 	p->stale = query_int(req, "stale", p->stale);
@@ -119,26 +119,26 @@
 		const char *name = doc_name((enum doc_kind)kind);
 
 		if (str_eq(req->path, STR("/lists")) && kind == DOC_LISTS) {
-			read_doc(p, req, DOC_LISTS);
+			serve_doc(p, req, DOC_LISTS);
 			return;
 		}
 		if (str_eq(req->path, STR("/fleet")) && kind == DOC_FLEET) {
-			read_doc(p, req, DOC_FLEET);
+			serve_doc(p, req, DOC_FLEET);
 			return;
 		}
 		if (req->path.len > 9 && !strcmp(req->path.ptr + 9, name)) {
 			publish(p, (enum doc_kind)kind, req->body);
-			wake(p, (enum doc_kind)kind);
+			reply_to_waiters(p, (enum doc_kind)kind);
 		}
 	}
 	if (str_eq(req->path, STR("/set")))
-		set(p, req);
+		set_behaviour(p, req);
 	buf_printf(&out, "{\"calls\":%llu}", (unsigned long long)p->calls);
 	http_reply(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
-static void on_gone(void *ctx, struct http_request *req)
+static void on_disconnect(void *ctx, struct http_request *req)
 {
 	struct platform *p = ctx;
 
@@ -150,7 +150,7 @@
 	}
 }
 
-static void expire(void *ctx)
+static void expire_waiters(void *ctx)
 {
 	struct platform *p = ctx;
 	int64_t now = loop_now();
@@ -158,7 +158,7 @@
 	for (size_t i = p->nwaiters; i-- > 0;) {
 		struct waiter w = p->waiters[i];
 
-		if (now < w.until)
+		if (now < w.expires_at)
 			continue;
 		p->waiters[i] = p->waiters[--p->nwaiters];
 		http_reply(w.req, 304, STR(""));
@@ -176,15 +176,15 @@
 	}
 	apr_initialize();
 	p->loop = loop_create(NULL);
-	if (file_read(argv[2], DOC_MAX, &p->now[DOC_LISTS], &err) ||
-	    file_read(argv[3], DOC_MAX, &p->now[DOC_FLEET], &err) ||
+	if (file_read(argv[2], DOC_MAX, &p->current[DOC_LISTS], &err) ||
+	    file_read(argv[3], DOC_MAX, &p->current[DOC_FLEET], &err) ||
 	    !http_listen(p->loop, str_of(argv[1]), BODY_MAX,
-			 (struct http_handler){ on_request, on_gone, p },
+			 (struct http_handler){ on_request, on_disconnect, p },
 			 &err)) {
 		fprintf(stderr, "fake-platform: %s\n", err.text);
 		return 1;
 	}
-	loop_hook(p->loop, (struct loop_hook){ expire, NULL, p });
+	loop_hook(p->loop, (struct loop_hook){ expire_waiters, NULL, p });
 	loop_run(p->loop);
 	return 0;
 }
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -3,7 +3,7 @@
  * loopback address, with slots, connection cost, cold start, stragglers,
  * versions, drain, shedding and lying reports. Keeps the true books.
  *
- *   fake-targets IP:PORT FLEET.json [KEY=VALUE]...   (keys: struct knobs)
+ *   fake-targets IP:PORT FLEET.json [KEY=VALUE]...   (keys: struct options)
  *   GET /set?target=NAME|all&domain=NAME&KEY=VALUE...
  *   GET /book         totals and a line a target
  *   GET /reset        forget the books
@@ -28,8 +28,8 @@
 	BODY_MAX = 1024 * 1024
 };
 
-/** struct knobs - behaviour; each can be set for all or for one target */
-struct knobs {
+/** struct options - behaviour; each can be set for all or for one target */
+struct options {
 	int64_t service_us; /* mean service time of a leaf request */
 	int64_t connect_us; /* added to a connection's first request */
 	int64_t cold_us; /* length of a cold start */
@@ -48,30 +48,30 @@
 	int64_t padding; /* bytes added to each row */
 };
 
-struct leaf;
+struct target;
 
-struct work {
+struct request {
 	struct http_request *req;
-	struct leaf *leaf;
+	struct target *target;
 	uint64_t number;
 	uint64_t job;
 	bool running;
 	bool is_entry;
 	int64_t extra_us;
-	struct work *next;
+	struct request *next;
 };
 
-struct leaf {
-	struct farm *farm;
-	const struct fleet_target *listed;
+struct target {
+	struct host *host;
+	const struct fleet_target *config;
 	struct http_server *server;
-	struct knobs knobs;
+	struct options options;
 	uint64_t boot;
-	int64_t up_at; /* takes no requests before */
+	int64_t accepts_at; /* takes no requests before */
 	int64_t cold_until;
-	struct work *works;
+	struct request *requests;
 	int busy;
-	int waiting;
+	int queued;
 	int peak;
 	int peak_cold;
 	uint64_t started;
@@ -83,112 +83,113 @@
 	int64_t last_work;
 };
 
-struct farm {
+struct host {
 	struct loop *loop;
 	struct fleet *fleet;
-	struct leaf *leafs;
+	struct target *targets;
 	struct timers timers;
 	struct rng rng;
-	apr_hash_t *works; /* number -> work */
+	apr_hash_t *requests; /* number -> work */
 	apr_hash_t *runs; /* entry hash -> count */
 	apr_pool_t *pool;
-	uint64_t last;
+	uint64_t last_number;
 };
 
-struct knob {
+struct option {
 	const char *name;
 	size_t offset;
 };
 
-#define KNOB(name) \
+#define OPTION(name) \
 	{ \
-#name, offsetof(struct knobs, name) \
+#name, offsetof(struct options, name) \
 	}
-static const struct knob knob_table[] = {
-	KNOB(service_us), KNOB(connect_us),  KNOB(cold_us),
-	KNOB(cold_bears), KNOB(straggle_pm), KNOB(factor),
-	KNOB(draining),	  KNOB(lie_idle),    KNOB(shed),
-	KNOB(close),	  KNOB(truncate),    KNOB(wrong_version),
-	KNOB(lacks),	  KNOB(dead),	     KNOB(mute),
-	KNOB(padding),
+static const struct option option_table[] = {
+	OPTION(service_us), OPTION(connect_us),	 OPTION(cold_us),
+	OPTION(cold_bears), OPTION(straggle_pm), OPTION(factor),
+	OPTION(draining),   OPTION(lie_idle),	 OPTION(shed),
+	OPTION(close),	    OPTION(truncate),	 OPTION(wrong_version),
+	OPTION(lacks),	    OPTION(dead),	 OPTION(mute),
+	OPTION(padding),
 };
 enum {
-	KNOBS = sizeof(knob_table) / sizeof(*knob_table)
+	OPTIONS = sizeof(option_table) / sizeof(*option_table)
 };
 
-static int64_t *knob_at(struct knobs *knobs, size_t i)
+static int64_t *option_at(struct options *options, size_t i)
 {
-	return (int64_t *)((char *)knobs + knob_table[i].offset);
+	return (int64_t *)((char *)options + option_table[i].offset);
 }
 
 static int64_t query_int(struct http_request *req, const char *key,
-			 int64_t other)
+			 int64_t fallback)
 {
 	struct str value = http_query(req, key);
 
-	return value.len ? strtoll(value.ptr, NULL, 10) : other;
+	return value.len ? strtoll(value.ptr, NULL, 10) : fallback;
 }
 
-static bool is_cold(const struct leaf *leaf)
+static bool is_cold(const struct target *target)
 {
-	return loop_now() < leaf->cold_until;
+	return loop_now() < target->cold_until;
 }
 
-static void go_cold(struct leaf *leaf)
+static void start_cold(struct target *target)
 {
-	leaf->boot = rng_next(&leaf->farm->rng);
-	leaf->up_at = loop_now() + RESTART_US;
-	leaf->cold_until = leaf->up_at + leaf->knobs.cold_us;
+	target->boot = rng_next(&target->host->rng);
+	target->accepts_at = loop_now() + RESTART_US;
+	target->cold_until = target->accepts_at + target->options.cold_us;
 }
 
-static void head_json(const struct leaf *leaf, struct buf *out)
+static void add_reply_head(const struct target *target, struct buf *out)
 {
 	buf_printf(out, "{\"boot\":\"%llx\",\"load\":%d,\"draining\":%s",
-		   (unsigned long long)leaf->boot,
-		   leaf->knobs.lie_idle ? 0 : leaf->busy + leaf->waiting,
-		   leaf->knobs.draining ? "true" : "false");
+		   (unsigned long long)target->boot,
+		   target->options.lie_idle ? 0 : target->busy + target->queued,
+		   target->options.draining ? "true" : "false");
 }
 
-static void work_free(struct work *work)
+static void request_free(struct request *request)
 {
-	struct leaf *leaf = work->leaf;
-	struct work **at = &leaf->works;
+	struct target *target = request->target;
+	struct request **at = &target->requests;
 
-	while (*at != work)
+	while (*at != request)
 		at = &(*at)->next;
-	*at = work->next;
-	if (work->running)
-		leaf->busy--;
+	*at = request->next;
+	if (request->running)
+		target->busy--;
 	else
-		leaf->waiting--;
-	apr_hash_set(leaf->farm->works, &work->number, sizeof(work->number),
-		     NULL);
-	free(work);
+		target->queued--;
+	apr_hash_set(target->host->requests, &request->number,
+		     sizeof(request->number), NULL);
+	free(request);
 }
 
-static int64_t service_time(struct leaf *leaf, const struct work *work)
+static int64_t service_time(struct target *target,
+			    const struct request *request)
 {
-	struct rng *rng = &leaf->farm->rng;
-	int64_t mean = leaf->knobs.service_us;
+	struct rng *rng = &target->host->rng;
+	int64_t mean = target->options.service_us;
 	int64_t time = mean / 2 + (int64_t)rng_below(rng, (uint64_t)mean + 1);
 
-	if ((int64_t)rng_below(rng, 1000) < leaf->knobs.straggle_pm)
-		time *= leaf->knobs.factor;
-	if (is_cold(leaf))
+	if ((int64_t)rng_below(rng, 1000) < target->options.straggle_pm)
+		time *= target->options.factor;
+	if (is_cold(target))
 		time *= COLD_SLOWDOWN;
-	return time + work->extra_us;
+	return time + request->extra_us;
 }
 
-static void count_run(struct leaf *leaf, struct str body)
+static void count_run(struct target *target, struct str body)
 {
-	apr_hash_t *runs = leaf->farm->runs;
+	apr_hash_t *runs = target->host->runs;
 	uint64_t key = str_hash(body);
 	uint64_t *count = apr_hash_get(runs, &key, sizeof(key));
 
-	leaf->entries++;
+	target->entries++;
 	if (!count) {
 		uint64_t *pair =
-			apr_pcalloc(leaf->farm->pool, 2 * sizeof(uint64_t));
+			apr_pcalloc(target->host->pool, 2 * sizeof(uint64_t));
 
 		pair[0] = key;
 		count = &pair[1];
@@ -197,72 +198,73 @@
 	++*count;
 }
 
-static void start(struct leaf *leaf, struct work *work)
+static void start_request(struct target *target, struct request *request)
 {
-	work->running = true;
-	leaf->waiting--;
-	leaf->busy++;
-	leaf->started++;
-	leaf->last_work = loop_now();
-	if (leaf->busy > leaf->peak)
-		leaf->peak = leaf->busy;
-	if (is_cold(leaf) && leaf->busy > leaf->peak_cold)
-		leaf->peak_cold = leaf->busy;
-	if (work->is_entry)
-		count_run(leaf, work->req->body);
-	timer_add(&leaf->farm->timers, loop_now() + service_time(leaf, work),
-		  TIMER_JOB, work->number);
+	request->running = true;
+	target->queued--;
+	target->busy++;
+	target->started++;
+	target->last_work = loop_now();
+	if (target->busy > target->peak)
+		target->peak = target->busy;
+	if (is_cold(target) && target->busy > target->peak_cold)
+		target->peak_cold = target->busy;
+	if (request->is_entry)
+		count_run(target, request->req->body);
+	timer_add(&target->host->timers,
+		  loop_now() + service_time(target, request), TIMER_JOB,
+		  request->number);
 }
 
-static void fill(struct leaf *leaf)
+static void start_queued(struct target *target)
 {
-	struct work *oldest;
+	struct request *oldest;
 
-	while (leaf->busy < leaf->listed->slots) {
+	while (target->busy < target->config->slots) {
 		oldest = NULL;
-		for (struct work *w = leaf->works; w; w = w->next)
-			if (!w->running)
-				oldest = w;
+		for (struct request *r = target->requests; r; r = r->next)
+			if (!r->running)
+				oldest = r;
 		if (!oldest)
 			return;
-		start(leaf, oldest);
+		start_request(target, oldest);
 	}
 }
 
 /* More than a cold target bears: it falls over and starts cold once more. */
-static void fall_over(struct leaf *leaf)
+static void crash_overloaded(struct target *target)
 {
-	leaf->overruns++;
-	while (leaf->works) {
-		http_abort(leaf->works->req);
-		work_free(leaf->works);
+	target->overruns++;
+	while (target->requests) {
+		http_abort(target->requests->req);
+		request_free(target->requests);
 	}
-	go_cold(leaf);
+	start_cold(target);
 }
 
-static void reply_short(struct leaf *leaf, struct http_request *req, int status,
-			const char *field)
+static void reply_field(struct target *target, struct http_request *req,
+			int status, const char *field)
 {
 	struct buf out = { 0 };
 
-	head_json(leaf, &out);
+	add_reply_head(target, &out);
 	buf_printf(&out, ",%s}", field);
 	http_reply(req, status, buf_str(&out));
 	buf_free(&out);
 }
 
-static void reply_work(struct leaf *leaf, const struct work *work)
+static void reply_request(struct target *target, const struct request *request)
 {
-	struct http_request *req = work->req;
+	struct http_request *req = request->req;
 	int64_t shard = query_int(req, "shard", 0);
 	int64_t version = query_int(req, "version", 0);
 	struct buf out = { 0 };
 
-	if (leaf->knobs.wrong_version)
+	if (target->options.wrong_version)
 		version++;
-	head_json(leaf, &out);
-	buf_printf(&out, ",\"job\":%llu", (unsigned long long)work->job);
-	if (work->is_entry) {
+	add_reply_head(target, &out);
+	buf_printf(&out, ",\"job\":%llu", (unsigned long long)request->job);
+	if (request->is_entry) {
 		buf_printf(&out, ",\"entry\":{\"recorded\":%.*s}}",
 			   STR_ARG(req->body));
 	} else {
@@ -274,160 +276,162 @@
 			   (long long)shard, (long long)version);
 		buf_json_add(&out, http_query(req, "terms"));
 		buf_printf(&out, ",\"pad\":\"%*s\"}]}",
-			   (int)leaf->knobs.padding, "");
+			   (int)target->options.padding, "");
 	}
-	if (leaf->knobs.truncate)
+	if (target->options.truncate)
 		out.len /= 2;
 	http_reply(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
-static void finish(struct farm *farm, uint64_t number)
+static void finish_request(struct host *host, uint64_t number)
 {
-	struct work *work = apr_hash_get(farm->works, &number, sizeof(number));
+	struct request *request =
+		apr_hash_get(host->requests, &number, sizeof(number));
 
-	if (!work)
+	if (!request)
 		return;
 
-	struct leaf *leaf = work->leaf;
+	struct target *target = request->target;
 
-	if (leaf->knobs.close)
-		http_abort(work->req);
-	else if (!(work->is_entry && leaf->knobs.mute))
-		reply_work(leaf, work);
-	work_free(work);
-	fill(leaf);
+	if (target->options.close)
+		http_abort(request->req);
+	else if (!(request->is_entry && target->options.mute))
+		reply_request(target, request);
+	request_free(request);
+	start_queued(target);
 }
 
-static void accept_work(struct leaf *leaf, struct http_request *req,
-			bool is_entry)
+static void accept_request(struct target *target, struct http_request *req,
+			   bool is_entry)
 {
-	struct farm *farm = leaf->farm;
-	int in_hand = leaf->busy + leaf->waiting;
+	struct host *host = target->host;
+	int in_flight = target->busy + target->queued;
 
-	if (leaf->knobs.draining) {
-		reply_short(leaf, req, 503, "\"error\":\"draining\"");
+	if (target->options.draining) {
+		reply_field(target, req, 503, "\"error\":\"draining\"");
 		return;
 	}
-	if (leaf->knobs.shed || leaf->waiting >= QUEUE_MAX) {
-		leaf->sheds++;
-		reply_short(leaf, req, 503, "\"error\":\"shed\"");
+	if (target->options.shed || target->queued >= QUEUE_MAX) {
+		target->sheds++;
+		reply_field(target, req, 503, "\"error\":\"shed\"");
 		return;
 	}
-	if (leaf->knobs.lacks == query_int(req, "version", -1)) {
-		reply_short(leaf, req, 409, "\"error\":\"version\"");
+	if (target->options.lacks == query_int(req, "version", -1)) {
+		reply_field(target, req, 409, "\"error\":\"version\"");
 		return;
 	}
 
-	struct work *work = xcalloc(1, sizeof(*work));
-
-	work->req = req;
-	work->leaf = leaf;
-	work->number = ++farm->last;
-	work->job = (uint64_t)query_int(req, "job", 0);
-	work->is_entry = is_entry;
-	work->extra_us = req->first ? leaf->knobs.connect_us : 0;
-	work->next = leaf->works;
-	leaf->works = work;
-	leaf->waiting++;
-	apr_hash_set(farm->works, &work->number, sizeof(work->number), work);
-	if (is_cold(leaf) && in_hand >= leaf->knobs.cold_bears) {
-		if (in_hand + 1 > leaf->peak_cold)
-			leaf->peak_cold = in_hand + 1;
-		fall_over(leaf);
+	struct request *request = xcalloc(1, sizeof(*request));
+
+	request->req = req;
+	request->target = target;
+	request->number = ++host->last_number;
+	request->job = (uint64_t)query_int(req, "job", 0);
+	request->is_entry = is_entry;
+	request->extra_us = req->first ? target->options.connect_us : 0;
+	request->next = target->requests;
+	target->requests = request;
+	target->queued++;
+	apr_hash_set(host->requests, &request->number, sizeof(request->number),
+		     request);
+	if (is_cold(target) && in_flight >= target->options.cold_bears) {
+		if (in_flight + 1 > target->peak_cold)
+			target->peak_cold = in_flight + 1;
+		crash_overloaded(target);
 		return;
 	}
-	fill(leaf);
+	start_queued(target);
 }
 
-static void cancel(struct leaf *leaf, struct http_request *req)
+static void cancel(struct target *target, struct http_request *req)
 {
 	uint64_t job = (uint64_t)query_int(req, "job", 0);
 
-	leaf->cancels++;
-	for (struct work *w = leaf->works; w; w = w->next) {
-		if (w->job != job || w->is_entry)
+	target->cancels++;
+	for (struct request *r = target->requests; r; r = r->next) {
+		if (r->job != job || r->is_entry)
 			continue;
-		leaf->wasted += w->running;
-		reply_short(leaf, w->req, 499, "\"error\":\"cancelled\"");
-		work_free(w);
-		fill(leaf);
+		target->wasted += r->running;
+		reply_field(target, r->req, 499, "\"error\":\"cancelled\"");
+		request_free(r);
+		start_queued(target);
 		break;
 	}
-	reply_short(leaf, req, 200, "\"health\":\"ok\"");
+	reply_field(target, req, 200, "\"health\":\"ok\"");
 }
 
 static void on_request(void *ctx, struct http_request *req)
 {
-	struct leaf *leaf = ctx;
+	struct target *target = ctx;
 
-	if (leaf->knobs.dead || loop_now() < leaf->up_at)
+	if (target->options.dead || loop_now() < target->accepts_at)
 		http_abort(req);
 	else if (str_eq(req->path, STR("/leaf")))
-		accept_work(leaf, req, false);
+		accept_request(target, req, false);
 	else if (str_eq(req->path, STR("/entry")))
-		accept_work(leaf, req, true);
+		accept_request(target, req, true);
 	else if (str_eq(req->path, STR("/cancel")))
-		cancel(leaf, req);
+		cancel(target, req);
 	else
-		reply_short(leaf, req, 200, "\"health\":\"ok\"");
+		reply_field(target, req, 200, "\"health\":\"ok\"");
 }
 
-static void on_gone(void *ctx, struct http_request *req)
+static void on_disconnect(void *ctx, struct http_request *req)
 {
-	struct leaf *leaf = ctx;
+	struct target *target = ctx;
 
-	for (struct work *w = leaf->works; w; w = w->next) {
-		if (w->req != req)
+	for (struct request *r = target->requests; r; r = r->next) {
+		if (r->req != req)
 			continue;
-		leaf->wasted += w->running;
-		work_free(w);
-		fill(leaf);
+		target->wasted += r->running;
+		request_free(r);
+		start_queued(target);
 		return;
 	}
 }
 
 /* Control. */
 
-static void restart(struct leaf *leaf)
+static void restart(struct target *target)
 {
-	fall_over(leaf);
-	leaf->overruns--;
+	crash_overloaded(target);
+	target->overruns--;
 }
 
-static void set_leaf(struct leaf *leaf, struct http_request *req)
+static void set_target(struct target *target, struct http_request *req)
 {
-	for (size_t i = 0; i < KNOBS; i++) {
-		int64_t *value = knob_at(&leaf->knobs, i);
+	for (size_t i = 0; i < OPTIONS; i++) {
+		int64_t *value = option_at(&target->options, i);
 
-		*value = query_int(req, knob_table[i].name, *value);
+		*value = query_int(req, option_table[i].name, *value);
 	}
 	if (query_int(req, "restart", 0))
-		restart(leaf);
+		restart(target);
 }
 
-static void set(struct farm *farm, struct http_request *req)
+static void set_targets(struct host *host, struct http_request *req)
 {
 	struct str name = http_query(req, "target");
 	struct str domain = http_query(req, "domain");
 
-	for (size_t i = 0; i < farm->fleet->ntargets; i++) {
-		struct leaf *leaf = &farm->leafs[i];
+	for (size_t i = 0; i < host->fleet->ntargets; i++) {
+		struct target *target = &host->targets[i];
 
 		if (name.len && !str_eq(name, STR("all")) &&
-		    !str_eq(name, leaf->listed->name))
+		    !str_eq(name, target->config->name))
 			continue;
-		if (domain.len && !str_eq(domain, leaf->listed->domain->name))
+		if (domain.len && !str_eq(domain, target->config->domain->name))
 			continue;
-		set_leaf(leaf, req);
+		set_target(target, req);
 	}
 }
 
-static uint64_t max_runs(struct farm *farm)
+static uint64_t max_runs(struct host *host)
 {
 	uint64_t most = 0;
 
-	for (apr_hash_index_t *it = apr_hash_first(NULL, farm->runs); it;
+	for (apr_hash_index_t *it = apr_hash_first(NULL, host->runs); it;
 	     it = apr_hash_next(it)) {
 		void *value;
 
@@ -438,123 +442,125 @@
 	return most;
 }
 
-static void book(struct farm *farm, struct buf *out)
+static void print_counters(struct host *host, struct buf *out)
 {
 	buf_printf(out, "{\"entries\":%u,\"max_runs\":%llu,\"now_us\":%lld",
-		   apr_hash_count(farm->runs),
-		   (unsigned long long)max_runs(farm), (long long)loop_now());
+		   apr_hash_count(host->runs),
+		   (unsigned long long)max_runs(host), (long long)loop_now());
 	buf_str_add(out, STR(",\"targets\":["));
-	for (size_t i = 0; i < farm->fleet->ntargets; i++) {
-		const struct leaf *leaf = &farm->leafs[i];
+	for (size_t i = 0; i < host->fleet->ntargets; i++) {
+		const struct target *target = &host->targets[i];
 
 		buf_printf(out, "%s{\"target\":", i ? "," : "");
-		buf_json_add(out, leaf->listed->name);
+		buf_json_add(out, target->config->name);
 		buf_printf(out,
 			   ",\"domain\":\"%.*s\",\"busy\":%d"
 			   ",\"waiting\":%d",
-			   STR_ARG(leaf->listed->domain->name), leaf->busy,
-			   leaf->waiting);
+			   STR_ARG(target->config->domain->name), target->busy,
+			   target->queued);
 		buf_printf(out,
 			   ",\"started\":%llu,\"entries\":%llu,\"peak\":%d"
 			   ",\"peak_cold\":%d,\"overruns\":%llu",
-			   (unsigned long long)leaf->started,
-			   (unsigned long long)leaf->entries, leaf->peak,
-			   leaf->peak_cold, (unsigned long long)leaf->overruns);
+			   (unsigned long long)target->started,
+			   (unsigned long long)target->entries, target->peak,
+			   target->peak_cold,
+			   (unsigned long long)target->overruns);
 		buf_printf(out,
 			   ",\"sheds\":%llu,\"cancels\":%llu,\"wasted\":%llu"
 			   ",\"last_work_us\":%lld}",
-			   (unsigned long long)leaf->sheds,
-			   (unsigned long long)leaf->cancels,
-			   (unsigned long long)leaf->wasted,
-			   (long long)leaf->last_work);
+			   (unsigned long long)target->sheds,
+			   (unsigned long long)target->cancels,
+			   (unsigned long long)target->wasted,
+			   (long long)target->last_work);
 	}
 	buf_str_add(out, STR("]}"));
 }
 
-static void reset(struct farm *farm)
+static void reset_counters(struct host *host)
 {
-	for (size_t i = 0; i < farm->fleet->ntargets; i++) {
-		struct leaf *leaf = &farm->leafs[i];
+	for (size_t i = 0; i < host->fleet->ntargets; i++) {
+		struct target *target = &host->targets[i];
 
-		leaf->peak = leaf->peak_cold = 0;
-		leaf->started = leaf->entries = leaf->sheds = 0;
-		leaf->cancels = leaf->overruns = leaf->wasted = 0;
+		target->peak = target->peak_cold = 0;
+		target->started = target->entries = target->sheds = 0;
+		target->cancels = target->overruns = target->wasted = 0;
 	}
-	apr_hash_clear(farm->runs);
+	apr_hash_clear(host->runs);
 }
 
 static void on_control(void *ctx, struct http_request *req)
 {
-	struct farm *farm = ctx;
+	struct host *host = ctx;
 	struct buf out = { 0 };
 
 	if (str_eq(req->path, STR("/set")))
-		set(farm, req);
+		set_targets(host, req);
 	if (str_eq(req->path, STR("/reset")))
-		reset(farm);
-	book(farm, &out);
+		reset_counters(host);
+	print_counters(host, &out);
 	http_reply(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
-static void run(void *ctx)
+static void run_timers(void *ctx)
 {
-	struct farm *farm = ctx;
+	struct host *host = ctx;
 	struct timer timer;
 
-	while (timer_pop(&farm->timers, loop_now(), &timer))
-		finish(farm, timer.id);
+	while (timer_pop(&host->timers, loop_now(), &timer))
+		finish_request(host, timer.id);
 }
 
 static int64_t wait_us(void *ctx)
 {
-	struct farm *farm = ctx;
-	int64_t next = timer_next(&farm->timers);
+	struct host *host = ctx;
+	int64_t next = timer_next(&host->timers);
 
 	if (next == INT64_MAX)
 		return -1;
 	return next > loop_now() ? next - loop_now() : 0;
 }
 
-static void parse_knobs(struct knobs *knobs, int argc, char **argv)
+static void parse_options(struct options *options, int argc, char **argv)
 {
-	*knobs = (struct knobs){ .service_us = 3000,
-				 .connect_us = 1000,
-				 .cold_us = 1000000,
-				 .cold_bears = 1,
-				 .factor = 10,
-				 .lacks = -2 };
+	*options = (struct options){ .service_us = 3000,
+				     .connect_us = 1000,
+				     .cold_us = 1000000,
+				     .cold_bears = 1,
+				     .factor = 10,
+				     .lacks = -2 };
 	for (int i = 0; i < argc; i++) {
 		char *equals = strchr(argv[i], '=');
 
-		for (size_t k = 0; equals && k < KNOBS; k++)
-			if (strlen(knob_table[k].name) ==
+		for (size_t k = 0; equals && k < OPTIONS; k++)
+			if (strlen(option_table[k].name) ==
 				    (size_t)(equals - argv[i]) &&
-			    !strncmp(argv[i], knob_table[k].name,
+			    !strncmp(argv[i], option_table[k].name,
 				     (size_t)(equals - argv[i])))
-				*knob_at(knobs, k) =
+				*option_at(options, k) =
 					strtoll(equals + 1, NULL, 10);
 	}
 }
 
-static int open_leafs(struct farm *farm, const struct knobs *knobs,
-		      struct error *err)
+static int open_targets(struct host *host, const struct options *options,
+			struct error *err)
 {
-	size_t count = farm->fleet->ntargets;
+	size_t count = host->fleet->ntargets;
 
-	farm->leafs = xcalloc(count, sizeof(struct leaf));
+	host->targets = xcalloc(count, sizeof(struct target));
 	for (size_t i = 0; i < count; i++) {
-		struct leaf *leaf = &farm->leafs[i];
-
-		leaf->farm = farm;
-		leaf->listed = &farm->fleet->targets[i];
-		leaf->knobs = *knobs;
-		leaf->boot = rng_next(&farm->rng);
-		leaf->server = http_listen(
-			farm->loop, leaf->listed->addr, BODY_MAX,
-			(struct http_handler){ on_request, on_gone, leaf },
-			err);
-		if (!leaf->server)
+		struct target *target = &host->targets[i];
+
+		target->host = host;
+		target->config = &host->fleet->targets[i];
+		target->options = *options;
+		target->boot = rng_next(&host->rng);
+		target->server =
+			http_listen(host->loop, target->config->addr, BODY_MAX,
+				    (struct http_handler){
+					    on_request, on_disconnect, target },
+				    err);
+		if (!target->server)
 			return err->code;
 	}
 	return 0;
@@ -562,32 +568,32 @@
 
 int main(int argc, char **argv)
 {
-	struct farm *farm = xcalloc(1, sizeof(*farm));
+	struct host *host = xcalloc(1, sizeof(*host));
 	struct error err = { 0 };
 	struct buf body = { 0 };
-	struct knobs knobs;
+	struct options options;
 
 	if (argc < 3) {
 		fprintf(stderr, "usage: fake-targets IP:PORT FLEET [KEY=N]\n");
 		return 2;
 	}
 	apr_initialize();
-	apr_pool_create(&farm->pool, NULL);
-	farm->works = apr_hash_make(farm->pool);
-	farm->runs = apr_hash_make(farm->pool);
-	farm->rng.seed = 1;
-	farm->loop = loop_create(NULL);
-	parse_knobs(&knobs, argc - 3, argv + 3);
+	apr_pool_create(&host->pool, NULL);
+	host->requests = apr_hash_make(host->pool);
+	host->runs = apr_hash_make(host->pool);
+	host->rng.seed = 1;
+	host->loop = loop_create(NULL);
+	parse_options(&options, argc - 3, argv + 3);
 	if (!file_read(argv[2], DOC_MAX, &body, &err))
-		farm->fleet = fleet_parse(buf_str(&body), &err);
-	if (!farm->fleet || open_leafs(farm, &knobs, &err) ||
-	    !http_listen(farm->loop, str_of(argv[1]), BODY_MAX,
-			 (struct http_handler){ on_control, NULL, farm },
+		host->fleet = fleet_parse(buf_str(&body), &err);
+	if (!host->fleet || open_targets(host, &options, &err) ||
+	    !http_listen(host->loop, str_of(argv[1]), BODY_MAX,
+			 (struct http_handler){ on_control, NULL, host },
 			 &err)) {
 		fprintf(stderr, "fake-targets: %s\n", err.text);
 		return 1;
 	}
-	loop_hook(farm->loop, (struct loop_hook){ run, wait_us, farm });
-	loop_run(farm->loop);
+	loop_hook(host->loop, (struct loop_hook){ run_timers, wait_us, host });
+	loop_run(host->loop);
 	return 0;
 }
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -14,7 +14,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void take_frame(struct str in)
+static void fuzz_frame(struct str in)
 {
 	struct frame frame;
 	struct error err;
@@ -23,28 +23,28 @@
 		frame_free(&frame);
 }
 
-static void take_fleet(struct str in)
+static void fuzz_fleet(struct str in)
 {
 	struct error err;
 
 	fleet_unref(fleet_parse(in, &err));
 }
 
-static void take_lists(struct str in)
+static void fuzz_lists(struct str in)
 {
 	struct error err;
 
 	lists_free(lists_parse(in, &err));
 }
 
-static void take_settings(struct str in)
+static void fuzz_settings(struct str in)
 {
 	struct error err;
 
 	config_free(config_parse("vm.json", in, &err));
 }
 
-static void take_caller(struct str in)
+static void fuzz_caller(struct str in)
 {
 	struct error err;
 	struct entry entry;
@@ -57,7 +57,7 @@
 	apr_pool_destroy(pool);
 }
 
-static void take_reply(struct str in)
+static void fuzz_target_reply(struct str in)
 {
 	struct fetched got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
@@ -66,7 +66,7 @@
 	buf_free(&rows);
 }
 
-static void take_platform(struct str in)
+static void fuzz_platform(struct str in)
 {
 	struct vm_settings settings;
 	struct store_reply page;
@@ -84,7 +84,7 @@
 	apr_pool_destroy(pool);
 }
 
-static void take_parcel(struct str in)
+static void fuzz_parcel(struct str in)
 {
 	struct member_entry *members;
 	struct store_item *items;
@@ -100,8 +100,8 @@
 }
 
 static void (*const decoders[])(struct str in) = {
-	take_frame,  take_fleet, take_lists,	take_settings,
-	take_caller, take_reply, take_platform, take_parcel,
+	fuzz_frame,  fuzz_fleet,	fuzz_lists,    fuzz_settings,
+	fuzz_caller, fuzz_target_reply, fuzz_platform, fuzz_parcel,
 };
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
--- a/tests/rows.c
+++ b/tests/rows.c
@@ -3,10 +3,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ROUNDING 2e-6
+#define ROUNDING_ERROR 2e-6
 
-static const char *row_fault(json_t *row, json_t *seen, json_int_t snapshot,
-			     const char *terms)
+static const char *row_fault(json_t *row, json_t *seen_shards,
+			     json_int_t snapshot, const char *terms)
 {
 	const char *text = json_string_value(json_object_get(row, "terms"));
 	char shard[24];
@@ -17,22 +17,22 @@
 		return "rows of another question";
 	if (json_integer_value(json_object_get(row, "version")) != snapshot)
 		return "rows of two snapshots";
-	if (json_object_get(seen, shard))
+	if (json_object_get(seen_shards, shard))
 		return "a shard counted twice";
-	json_object_set_new(seen, shard, json_true());
+	json_object_set_new(seen_shards, shard, json_true());
 	return NULL;
 }
 
 const char *rows_fault(json_t *doc, const char *terms)
 {
 	json_t *rows = json_object_get(doc, "rows");
-	double count = (double)json_array_size(rows);
-	double all = count +
-		     (double)json_array_size(json_object_get(doc, "missing"));
+	double merged = (double)json_array_size(rows);
+	double total = merged +
+		       (double)json_array_size(json_object_get(doc, "missing"));
 	json_int_t snapshot =
 		json_integer_value(json_object_get(doc, "snapshot"));
 	double coverage = json_number_value(json_object_get(doc, "coverage"));
-	json_t *seen = json_object();
+	json_t *seen_shards = json_object();
 	const char *fault = NULL;
 	json_t *row;
 	size_t i;
@@ -40,14 +40,15 @@
 	json_array_foreach(rows, i, row)
 	{
 		if (!fault)
-			fault = row_fault(row, seen, snapshot, terms);
+			fault = row_fault(row, seen_shards, snapshot, terms);
 	}
-	json_decref(seen);
+	json_decref(seen_shards);
 	if (fault)
 		return fault;
-	if (all < 1)
+	if (total < 1)
 		return "an answer about no shard";
-	if (coverage > count / all || coverage < count / all - ROUNDING)
+	if (coverage > merged / total ||
+	    coverage < merged / total - ROUNDING_ERROR)
 		return "coverage is not what was merged";
 	return NULL;
 }
