--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -12,31 +12,31 @@
 	DELIVER_FRAME,
 	DELIVER_TICK,
 	DELIVER_DOC,
-	DELIVER_REQUEST, /* reaches a target */
-	DELIVER_SERVICE_DONE, /* a target ends its work */
+	DELIVER_REQUEST, /* a request reaches its target */
+	DELIVER_SERVICE_DONE, /* a target has finished a request */
 	DELIVER_REPLY, /* a target's reply reaches the node */
 	DELIVER_PEER_LOST,
 	DELIVER_CALL,
 };
 
-/** struct delivery - something that happens at a time */
+/** struct delivery - scheduled event */
 struct delivery {
 	int64_t at;
 	uint64_t seq;
 	enum delivery_kind kind;
 	int node;
-	uint64_t incarnation; /* of the node that it is for */
+	uint64_t incarnation; /* of the receiving node; 0 matches any */
 	int from;
 	enum doc_kind doc;
 	enum event_type event;
-	uint64_t id;
+	uint64_t id; /* of the request, or index of the answer */
 	struct buf bytes;
 };
 
-/** struct request - a request at a target, and then its reply */
+/** struct request - request to a target, and later its reply */
 struct request {
 	uint64_t number;
-	uint64_t fetch_id; /* id in the effect */
+	uint64_t fetch_id; /* id of the FX_FETCH effect */
 	uint64_t job;
 	int node;
 	uint64_t incarnation;
@@ -46,16 +46,15 @@
 	uint64_t version;
 	struct buf terms;
 	struct buf body;
-	uint64_t boot; /* of the target when it was sent */
-	int64_t timeout_at; /* when the shell gives up */
+	uint64_t boot; /* boot id of the target when it was sent */
+	int64_t timeout_at; /* when the shell would report a timeout */
 	bool running;
 	struct fetched fetched;
 	struct buf rows;
 };
 
-/* A process that restarts takes no connections for this long. */
 enum {
-	RESTART_US = 50000,
+	RESTART_US = 50000, /* no connections are accepted meanwhile */
 	FETCH_GRACE_US = 2000000
 };
 
@@ -125,7 +124,7 @@
 	return us;
 }
 
-/* A hop between a front, anywhere, and something in a failure domain. */
+/* Delay between a front in a random failure domain and another process. */
 static int64_t front_network_delay(struct mesh *mesh)
 {
 	bool same_domain = rng_below(&mesh->rng, mesh->fleet->ndomains) == 0;
@@ -236,7 +235,7 @@
 				      .id = request->number });
 }
 
-/* A cold target with more than it bears falls over: all of its work breaks. */
+/* A cold target over its limit crashes: all its running requests break. */
 static void crash_overloaded(struct mesh *mesh, struct mesh_target *target)
 {
 	target->overruns++;
@@ -331,7 +330,7 @@
 	} else if (target->closes_without_run && request->kind == FETCH_ENTRY) {
 		finish_request(mesh, request, FETCH_BROKEN, 0);
 	} else if (request->boot != target->boot) {
-		/* It was on its way over a connection to the old process. */
+		/* It was in flight on a connection to the old process. */
 		finish_request(mesh, request, FETCH_BROKEN, 0);
 	} else if (target->draining) {
 		finish_request(mesh, request, FETCH_OK, 503);
@@ -477,7 +476,7 @@
 		int64_t delay_us = network_delay(mesh, node->opt.domain,
 						 mesh->nodes[to].opt.domain);
 
-		/* The front has the reply already, see struct mesh. */
+		/* The front has the reply already, see @permits. */
 		if (mesh->permits && msg.kind == MSG_LEAF_REPLY)
 			delay_us = 0;
 
@@ -579,9 +578,9 @@
 					   ? (n->lists ? n->lists->version : 0)
 					   : (n->fleet ? n->fleet->version : 0);
 
-		/* What must hold at all times, checked at every event. */
+		/* Invariant, checked after every event. */
 		if (version < node->doc_versions[kind])
-			mesh->fault = "a document's version went back";
+			mesh->fault = "a document's version decreased";
 		node->doc_versions[kind] = version;
 	}
 	apply_effects(mesh, i);
@@ -643,8 +642,8 @@
 	if (!node->up || (delivery->incarnation &&
 			  delivery->incarnation != node->opt.incarnation))
 		return false;
-	/* A paused process finds all of it in its sockets when it wakes, as it
-	 * was when it came. */
+	/* A resumed process finds in its sockets what arrived during the
+	 * pause, with the content of that time. */
 	if (mesh->now < node->paused_until) {
 		if (delivery->kind == DELIVER_DOC && !delivery->bytes.len)
 			buf_str_add(&delivery->bytes,
@@ -752,7 +751,7 @@
 	return id;
 }
 
-/* Operators' and nature's acts. */
+/* Operations and faults. */
 
 void mesh_publish(struct mesh *mesh, enum doc_kind kind, const char *body)
 {
--- a/tests/mesh.h
+++ b/tests/mesh.h
@@ -5,11 +5,12 @@
 #include "../node.h"
 
 /**
- * DOC: several whole reducers in one test
+ * DOC: deterministic simulation of a cluster
  *
- * Carries effects between node reducers, targets that keep true books, and a
- * platform, in virtual time. Delivery can be delayed, dropped, duplicated and
- * cut; everything follows from the seed.
+ * Runs several node reducers in one process and delivers their effects to each
+ * other, to simulated targets and to a simulated platform, in virtual time.
+ * Delivery can be delayed, dropped, duplicated or cut. The targets count what
+ * they ran, for the tests to check against. The seed determines the whole run.
  */
 
 enum {
@@ -19,11 +20,11 @@
 };
 
 /**
- * struct mesh_layout - a fleet document for tests
- * @out_domain: failure domain that is taken out, -1 for none
- * @leaving_target: target that the list calls leaving, -1 for none
- * @snapshot: newest of the two versions that it lists; @split: the newer one
- *            has twice as many shards (repartition)
+ * struct mesh_layout - parameters of a generated fleet document
+ * @out_domain: failure domain in state "out", -1 for none
+ * @leaving_target: target in state "leaving", -1 for none
+ * @snapshot: newer of the two snapshot versions listed, 0 for 2
+ * @split: the newer snapshot has twice as many shards (repartition)
  */
 struct mesh_layout {
 	uint64_t version;
@@ -45,28 +46,28 @@
 	char addr[32];
 	bool up;
 	int64_t paused_until;
-	bool stopped; /* FX_STOP was seen */
-	int64_t tick_at; /* earliest tick that is scheduled */
+	bool stopped; /* the reducer has emitted FX_STOP */
+	int64_t tick_at; /* earliest scheduled tick */
 	uint64_t doc_versions[DOC_KINDS]; /* highest version in force */
-	uint64_t reads_stale_docs; /* reads the platform's old documents */
+	uint64_t reads_stale_docs; /* reads previous documents */
 	uint64_t platform_cut;
 };
 
-/** struct mesh_target - true state and books of a target */
+/** struct mesh_target - state of a simulated target and its counters */
 struct mesh_target {
 	const struct fleet_target *config;
 	uint64_t boot;
 	int64_t up_at;
 	int64_t cold_until;
-	int64_t service_us; /* 0: the mesh's */
+	int64_t service_us; /* 0: default of struct mesh */
 	bool draining;
 	bool dead;
-	bool closes_after_run; /* reads, runs and closes */
-	bool closes_without_run; /* reads and closes, and runs nothing */
-	bool hangs; /* takes connections and never answers */
-	bool never_replies; /* runs entries, never answers */
-	uint64_t lacks;
-	uint64_t reply_version; /* 0: what was asked for */
+	bool closes_after_run; /* runs, then closes without reply */
+	bool closes_without_run; /* reads an entry, closes, never runs */
+	bool hangs; /* accepts connections, never replies */
+	bool never_replies; /* runs entries without a reply */
+	uint64_t lacks; /* snapshot version that it does not have */
+	uint64_t reply_version; /* 0: requested version */
 	int busy;
 	int peak;
 	int peak_cold;
@@ -83,7 +84,7 @@
 	int status;
 	int count;
 	int node;
-	bool node_up; /* when it was asked */
+	bool node_up; /* at @asked_at */
 	struct buf body;
 };
 
@@ -92,18 +93,18 @@
 	int nnodes;
 	struct mesh_target targets[MESH_TARGETS_MAX];
 	size_t ntargets;
-	struct fleet *fleet; /* what the targets were made from */
+	struct fleet *fleet; /* document that lists @targets */
 	struct buf docs[DOC_KINDS];
 	struct buf old_docs[DOC_KINDS];
 	bool platform_down;
 	bool cut[MESH_NODES_MAX][MESH_NODES_MAX];
 	int64_t now;
 	int64_t latency_us; /* one way, between nodes and to targets */
-	/* Leased permits, emulated in their favour: what the gate sends is the
-	 * permit to a front, which sends to the target itself; the reply goes
-	 * straight to the front, and gives the permit back at once. */
+	/* Models leased permits optimistically: the gate sends the permit to a
+	 * front, which sends the leaf request to the target itself. The reply
+	 * goes directly to the front and returns the permit without delay. */
 	bool permits;
-	int64_t far_us; /* added between failure domains */
+	int64_t far_us; /* added to @latency_us between failure domains */
 	int64_t service_us;
 	int64_t cold_us;
 	int cold_max_inflight;
@@ -117,17 +118,17 @@
 	size_t count;
 	size_t cap;
 	uint64_t seq;
-	int crashes; /* targets that ended under a deadly question */
-	apr_hash_t *runs; /* entry text -> count */
-	apr_hash_t *requests;
+	int crashes; /* caused by deadly questions */
+	apr_hash_t *runs; /* hash of an entry's text -> count */
+	apr_hash_t *requests; /* number -> struct request */
 	apr_pool_t *pool;
 	struct mesh_answer *answers;
 	size_t nanswers;
-	const char *fault; /* first broken invariant */
-	struct buf *trace; /* dump of all effects, when set */
+	const char *fault; /* violated invariant, NULL if none */
+	struct buf *trace; /* if set, receives a dump of all effects */
 };
 
-/** mesh_create() - nodes and targets of @layout; @lists is freed. */
+/** mesh_create() - create a mesh for @layout; takes ownership of @lists. */
 struct mesh *mesh_create(uint64_t seed, const struct mesh_layout *layout,
 			 char *lists);
 void mesh_destroy(struct mesh *mesh);
@@ -136,27 +137,33 @@
 void mesh_start_all(struct mesh *mesh);
 void mesh_kill(struct mesh *mesh, int i);
 void mesh_pause(struct mesh *mesh, int i, int64_t us);
-/** mesh_cut() - cut or mend the link between @a and @b, both ways. */
+/** mesh_cut() - cut or restore the link between @a and @b, both ways. */
 void mesh_cut(struct mesh *mesh, int a, int b, bool cut);
 void mesh_publish(struct mesh *mesh, enum doc_kind kind, const char *body);
 void mesh_run(struct mesh *mesh, int64_t us);
-/** mesh_call() - send a caller's body to node @i; returns an answer index. */
+/**
+ * mesh_call() - send a caller's request to node @i
+ *
+ * Return: index of its answer.
+ */
 size_t mesh_call(struct mesh *mesh, int i, enum event_type type,
 		 const char *body);
 struct mesh_target *mesh_target(struct mesh *mesh, const char *name);
 uint64_t mesh_entry_runs(struct mesh *mesh, const char *entry);
 
-/** Terms of a question that crashes each target that runs it. */
+/** Terms of a question that crashes every target that runs it. */
 #define MESH_DEADLY "deadly"
 
-/** mesh_feed() - hand an event to node @i and take its effects. */
+/** mesh_feed() - pass an event to node @i and apply its effects. */
 void mesh_feed(struct mesh *mesh, int i, struct event event);
+/** mesh_cold() - restart @target, which breaks its running requests. */
 void mesh_cold(struct mesh *mesh, struct mesh_target *target);
 
-/** mesh_layout() - two replicas a shard, two slots a target, all in. */
+/** mesh_layout() - two replicas per shard, two slots per target, all in. */
 struct mesh_layout mesh_layout(int nodes, int domains, int targets);
-/** mesh_fleet() - the document, on the heap. */
+/** mesh_fleet() - fleet document for @layout; the caller frees it. */
 char *mesh_fleet(const struct mesh_layout *layout);
 void mesh_publish_fleet(struct mesh *mesh, const struct mesh_layout *layout);
+/** mesh_lists() - lists document with one customer; the caller frees it. */
 char *mesh_lists(uint64_t version, double rate, double burst, int soft_ms,
 		 int deadline_ms, double floor);
--- a/tests/run.py
+++ b/tests/run.py
@@ -35,7 +35,7 @@
     "no_ticket": "an entry ran twice",
     "no_domain_check": "new work in a domain taken out",
     "no_leaving_check": "new work at a leaving target",
-    "no_version_order": "a document's version went back",
+    "no_version_order": "a document's version decreased",
     "no_drain": "a planned stop lost a request",
     "no_pause_check": "new work by a node that woke",
 }
