--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -1,6 +1,6 @@
 /*
- * The product's own interface under a question that crashes each target that
- * runs it: how often it still reaches targets, and what becomes of others.
+ * Serving while one question crashes every target that runs it: how often it
+ * still reaches targets, and whether other questions are answered.
  */
 #include <stdio.h>
 #include <string.h>
@@ -17,11 +17,10 @@
 	DOMAINS = 3,
 	TARGETS = 6,
 	ROUNDS = 12,
-	/* Tries that may reach targets later than this after the third crash.
-	 */
+	/* Rounds with a crash later than DETECTION_US after the third crash. */
 	LATE_ROUNDS_MAX = 3,
 	DETECTION_US = 4 * SECOND,
-	/* From this round on others must be answered whole. */
+	/* From this round on, other questions must get complete answers. */
 	RECOVERED_ROUND = 5,
 };
 
@@ -55,7 +54,10 @@
 		      sizeof("\"complete\":true") - 1);
 }
 
-/** struct deadly_case - @kill: a node is replaced each round, all in turn */
+/**
+ * struct deadly_case - a variant of the test
+ * @kill: restart one node per round, all in turn
+ */
 struct deadly_case {
 	const char *name;
 	bool kill;
@@ -67,8 +69,9 @@
 };
 
 /*
- * The question crashes the targets of all shards, is retried at their other
- * replicas, and comes again at another node; all others lose their answers.
+ * Guards against a question that crashes the targets of all shards, is retried
+ * at their other replicas and repeated at another node, so that all other
+ * questions lose their answers.
  */
 START_TEST(test_deadly_question_is_stopped)
 {
@@ -102,15 +105,15 @@
 	}
 	ck_assert_int_ge(mesh->crashes, 3);
 	ck_assert_msg(late_rounds <= LATE_ROUNDS_MAX,
-		      "%s: %d late tries, %d targets ended", c->name,
+		      "%s: %d rounds with late crashes, %d crashes", c->name,
 		      late_rounds, mesh->crashes);
 	mesh_destroy(mesh);
 }
 END_TEST
 
 /*
- * A harmless question is under way at the same targets each time that the
- * deadly one comes. It is not taken for it.
+ * A harmless question is in flight at the same targets each time that the
+ * deadly one arrives. It must not be mistaken for the deadly one.
  */
 START_TEST(test_other_question_is_served)
 {
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -1,6 +1,7 @@
 /*
- * What must hold at all times, a case a failure, over whole reducers with true
- * books at the targets. tests/fuzz.c finds what is not thought of here.
+ * Invariants under known failures, one failure or pair of failures per case,
+ * checked against the counters of simulated targets. tests/fuzz.c covers
+ * combinations that no case lists.
  */
 #include <math.h>
 #include <stdio.h>
@@ -46,7 +47,7 @@
 	return layout;
 }
 
-/* Version 2 of the fleet, with one failure domain out. */
+/* Publishes version 2 of the fleet document with @domain out. */
 static void publish_domain_out(struct mesh *mesh, int domain)
 {
 	struct mesh_layout layout = layout_of(mesh, 2);
@@ -136,7 +137,7 @@
 	return mesh_call(mesh, i, EV_ENTRY, body);
 }
 
-/* The node that is the gate of @target. */
+/* Index of the node that owns the gate of @target. */
 static int find_gate(struct mesh *mesh, const char *target)
 {
 	uint64_t key = str_hash(str_of(target));
@@ -154,7 +155,7 @@
 	ck_abort_msg("no gate for %s", target);
 }
 
-/* Until the gate has granted a slot; the go is on its way or to be sent. */
+/* Runs until the gate has granted a slot; the go may be in flight by then. */
 static void run_until_grant(struct mesh *mesh, int gate)
 {
 	for (int i = 0; i < 200 && !gate_open(mesh->nodes[gate].node); i++)
@@ -172,9 +173,9 @@
 }
 
 /* 1. One snapshot.
- * A caller asks while snapshot 3 takes the place of 2, and one replica of each
- * shard answers from 3 already. The rows of 3 are dropped, the other replica
- * is asked, and the answer is whole and all of 2. */
+ * Snapshot 3 replaces 2 during a question, and one replica of each shard
+ * already answers from 3. The rows of 3 are dropped, the other replica gets a
+ * request, and the answer is complete and entirely from 2. */
 static void snapshot_changes(struct mesh *mesh)
 {
 	size_t id;
@@ -189,8 +190,8 @@
 }
 
 /* 1. Repartition.
- * The map of snapshot 3 has twice as many shards. A question that began on 2
- * ends on the map of 2; the next one is on 3. No range counts twice. */
+ * Snapshot 3 has twice as many shards. A question that began on 2 ends with the
+ * shard map of 2; the next one uses 3. No key range is counted twice. */
 static void repartition(struct mesh *mesh)
 {
 	struct mesh_layout layout = layout_of(mesh, 2);
@@ -213,8 +214,8 @@
 }
 
 /* 1. No target has the newest snapshot.
- * All of them say that they lack 2. The question starts once more, as a whole,
- * on 1, and says so. */
+ * All targets reply that they lack 2. The whole question restarts on 1, and the
+ * answer reports snapshot 1. */
 static void snapshot_lost(struct mesh *mesh)
 {
 	size_t id;
@@ -228,8 +229,8 @@
 }
 
 /* 2. A shard with no replica.
- * Both replicas of shard 1 are dead. The answer has the other five shards,
- * says 5/6, rounded down, and names the shard and the cause. */
+ * Both replicas of shard 1 are dead. The answer has the other five shards, a
+ * coverage of 5/6, rounded down, and names the missing shard and the cause. */
 static void shard_lost(struct mesh *mesh)
 {
 	size_t id;
@@ -244,7 +245,7 @@
 }
 
 /* 2. Loss of one failure domain.
- * Each shard has a replica in another domain: coverage stays whole. */
+ * Each shard has a replica in another domain, so coverage stays 1. */
 static void domain_lost(struct mesh *mesh)
 {
 	size_t id;
@@ -257,8 +258,8 @@
 }
 
 /* 2. Both replicas of a shard restart at once.
- * They take no connections for 50 ms. A plan that wants all coverage has time
- * until its deadline, so the shard is asked again until it answers. */
+ * They accept no connections for 50 ms. A plan with a coverage floor of 1 has
+ * time until its deadline, so the shard is retried until it replies. */
 static void both_replicas_restart(struct mesh *mesh)
 {
 	size_t id;
@@ -272,8 +273,8 @@
 }
 
 /* 3. Cold start without a report, under load.
- * Targets restart one after another; their reports say idle. By their own
- * books none ever has two requests at a time while it bears one. */
+ * Targets restart one after another and report no load. By their own counters,
+ * none ever has two concurrent requests while its limit is one. */
 static void cold_start(struct mesh *mesh)
 {
 	for (size_t i = 0; i < mesh->ntargets; i++) {
@@ -287,9 +288,9 @@
 	}
 }
 
-/* 3. The worst overlap: a cut between the nodes, and cold targets.
- * Each side takes itself for the gate of all targets. Every new gate starts
- * at one request, so two sides give two at the most. */
+/* 3. The worst overlap: a network partition and cold targets.
+ * Each side owns the gates of all targets in its own view. Every new gate
+ * starts with one request, so two sides send two at most. */
 static void cold_start_two_gates(struct mesh *mesh)
 {
 	mesh->cold_max_inflight = 8;
@@ -304,7 +305,7 @@
 }
 
 /* 3. Cold start and the gate is killed (a pair).
- * The next gate knows nothing of the target and starts it as cold too. */
+ * The next gate has no state of the target and treats it as cold too. */
 static void cold_start_gate_killed(struct mesh *mesh)
 {
 	send_load(mesh, 3 * SECOND);
@@ -316,9 +317,10 @@
 	ck_assert_int_eq((int)mesh_target(mesh, "t0")->overruns, 0);
 }
 
-/* 3. Cold start and the gate is stopped as planned (a pair).
- * The gate has a request at the target when it hands it over. The next gate
- * waits for its word, so the target never has two; what was warm stays warm. */
+/* 3. Cold start and a planned stop of the gate (a pair).
+ * The gate has a request in flight at the target when it hands it over. The
+ * next gate waits for the handover, so the target never has two requests; a
+ * warm target stays warm. */
 static void cold_start_gate_leaves(struct mesh *mesh)
 {
 	int gate = find_gate(mesh, "t0");
@@ -329,7 +331,8 @@
 	mesh_cold(mesh, mesh_target(mesh, "t0"));
 	send_load(mesh, 500 * MS);
 	mesh_target(mesh, "t0")->service_us = 40 * MS;
-	mesh_target(mesh, "t1")->dead = true; /* so t0 is the only replica */
+	mesh_target(mesh, "t1")->dead =
+		true; /* leaves t0 as the only replica */
 	for (int i = 0; i < 60; i++) {
 		if (i == 20)
 			mesh_feed(mesh, gate,
@@ -347,7 +350,8 @@
 }
 
 /* 4. Domain out, and the platform goes down right after (a pair).
- * Whoever read the list passes it on; nobody needs the platform again. */
+ * Nodes that have read the list pass it on; no node has to read the platform
+ * again. */
 static void domain_out_platform_down(struct mesh *mesh)
 {
 	int64_t since;
@@ -361,7 +365,7 @@
 }
 
 /* 4. Domain out while one node cannot reach the platform.
- * It learns from its peers. */
+ * It receives the list from its peers. */
 static void domain_out_node_cut(struct mesh *mesh)
 {
 	int64_t since;
@@ -374,8 +378,8 @@
 }
 
 /* 4. Domain out while both watchers cannot reach the platform (a pair).
- * Nobody has read it for a while, by the heartbeats, so the third node looks.
- */
+ * The heartbeats show that no node has read it for a while, so the third node
+ * reads it. */
 static void domain_out_watchers_cut(struct mesh *mesh)
 {
 	int64_t since;
@@ -391,7 +395,8 @@
 }
 
 /* 4. Domain out while one node reaches neither platform nor peers.
- * It cannot know. It refuses as "isolated" instead of going on. */
+ * It cannot receive the list, so it refuses as "isolated" instead of going on.
+ */
 static void domain_out_node_isolated(struct mesh *mesh)
 {
 	int64_t since;
@@ -409,7 +414,7 @@
 }
 
 /* 4. Domain out while the gate is paused (a pair).
- * It wakes with requests in its sockets and confirms its view first. */
+ * It resumes with requests in its sockets and confirms its view first. */
 static void domain_out_gate_paused(struct mesh *mesh)
 {
 	int64_t since;
@@ -423,9 +428,9 @@
 	ck_assert(!domain_started_since(mesh, 1, since));
 }
 
-/* 4. Domain out while the gate is paused, and a reading that says "nothing
- * newer" has lain in its socket since before. Taken for fresh it would confirm
- * the old view; it counts for nothing. */
+/* 4. Domain out while the gate is paused, with a platform reply "nothing newer"
+ * in its socket that was sent before. Taken as current, it would confirm the
+ * old view; it is ignored. */
 static void domain_out_stale_read(struct mesh *mesh)
 {
 	int64_t since;
@@ -444,7 +449,7 @@
 }
 
 /* 4. A domain returns under load.
- * Its targets come back cold, one request at a time, and coverage holds. */
+ * Its targets restart cold, with one request at a time, and none is overrun. */
 static void domain_returns(struct mesh *mesh)
 {
 	publish_domain_out(mesh, 1);
@@ -461,8 +466,8 @@
 }
 
 /* 5. Late and reordered replies, one request id for all callers.
- * Replies take up to 80 ms longer and some come twice. Each caller gets one
- * answer, whole, with its own terms. */
+ * Replies take up to 80 ms longer and some are duplicated. Each caller gets one
+ * answer, with rows for its own terms only. */
 static void replies_reordered(struct mesh *mesh)
 {
 	size_t ids[60];
@@ -496,8 +501,8 @@
 }
 
 /* 6. The gate is paused between grant and go.
- * It wakes after the deadline with the go in its socket. The caller was told
- * "unknown", in time; the entry does not run after that. */
+ * It resumes after the deadline with the go in its socket. The caller has got
+ * "unknown" or "not run" by then; the entry does not run after that. */
 static void go_expires(struct mesh *mesh)
 {
 	int gate = find_gate(mesh, "t0");
@@ -517,7 +522,7 @@
 }
 
 /* 6. The issuer is killed between grant and go.
- * No go is ever sent; the grant ends; nothing runs. */
+ * No go is ever sent; the grant expires; nothing runs. */
 static void issuer_killed_before_go(struct mesh *mesh)
 {
 	int gate = find_gate(mesh, "t0");
@@ -533,7 +538,8 @@
 	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
 }
 
-/* 6. A target that sheds says that it did not run it: "not run" is true. */
+/* 6. All targets shed the entry and reply that they did not run it, so the
+ * outcome is "not run". */
 static void entry_shed(struct mesh *mesh)
 {
 	char ticket[160];
@@ -550,7 +556,7 @@
 }
 
 /* 6. The reply of a target that shed the entry is lost.
- * Nobody can tell that it did not run: "unknown", and no later run. */
+ * Whether it ran cannot be determined: "unknown", and no later run. */
 static void shed_reply_lost(struct mesh *mesh)
 {
 	char ticket[160];
@@ -565,8 +571,8 @@
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
 }
 
-/* 6. The entry is given up while its grant is on the way.
- * The caller is told "not run" at its deadline of 1 ms; the grant comes at
+/* 6. The entry reaches its deadline while its grant is in flight.
+ * The caller gets "not run" at its deadline of 1 ms; the grant arrives at
  * about 2 ms and is not used; the gate gets its slot back. */
 static void given_up_before_grant(struct mesh *mesh)
 {
@@ -591,7 +597,8 @@
 	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
 }
 
-/* 7. One ticket, two nodes at once, and again later: one run, one outcome. */
+/* 7. One ticket sent to two nodes at once, and again later: one run, and the
+ * same outcome each time. */
 static void entry_two_nodes(struct mesh *mesh)
 {
 	char ticket[160];
@@ -608,7 +615,7 @@
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
-/* 7. A caller's own id without a ticket, at two nodes at once.
+/* 7. A caller's own id without a ticket, sent to two nodes at once.
  * Both answer "not run" with a ticket; nothing runs. */
 static void entry_no_ticket(struct mesh *mesh)
 {
@@ -622,7 +629,7 @@
 }
 
 /* 7. The issuer ran it and was killed; a new VM has its address (a pair).
- * The repeat is answered "unknown": the new process knows nothing of it. */
+ * The repeat is answered "unknown": the new process has no record of it. */
 static void issuer_replaced(struct mesh *mesh)
 {
 	char ticket[160];
@@ -640,9 +647,9 @@
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
-/* 7. A cut with both sides live.
+/* 7. A network partition with both sides live.
  * The issuer's side runs the entry; the other side answers "unknown" and
- * never runs it, though it owns the same targets by its own view. */
+ * never runs it, though it owns the same targets in its own view. */
 static void entry_during_partition(struct mesh *mesh)
 {
 	char ticket[160];
@@ -661,8 +668,8 @@
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
-/* 7. The target runs the entry and closes without a reply, and the issuer is
- * paused meanwhile (a pair). "Unknown", once, and one run. */
+/* 7. The target runs the entry and closes without a reply while the issuer is
+ * paused (a pair). One answer, "unknown", and one run. */
 static void entry_reply_lost(struct mesh *mesh)
 {
 	char ticket[160];
@@ -679,8 +686,8 @@
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 1);
 }
 
-/* 8. The VM list is late: the target says itself that it drains.
- * Its first such reply ends new work; the other replica takes over. */
+/* 8. A target reports that it drains before the fleet document lists it so.
+ * Its first such reply stops new requests; the other replica takes over. */
 static void target_drains(struct mesh *mesh)
 {
 	int64_t since;
@@ -698,7 +705,7 @@
 		       1) < 1e-9);
 }
 
-/* 8. The list calls a target leaving that does not know it yet. */
+/* 8. The fleet document lists a target as leaving that still accepts work. */
 static void target_listed_leaving(struct mesh *mesh)
 {
 	struct mesh_layout layout = layout_of(mesh, 2);
@@ -711,9 +718,9 @@
 	ck_assert(mesh_target(mesh, "t2")->last_start <= since);
 }
 
-/* 9. All nodes are stopped one after another, each replaced, under load.
- * The balancer goes on sending for a second after the stop began, and there
- * is a second signal. All that was sent is answered, and none refused. */
+/* 9. All nodes are stopped and replaced one after another, under load.
+ * The load balancer keeps sending for a second after the stop began, and a
+ * second signal arrives. All requests are answered, and none is refused. */
 static void rolling_stop(struct mesh *mesh)
 {
 	for (int i = 0; i < 3; i++) {
@@ -734,8 +741,8 @@
 	}
 }
 
-/* 9. Two of three nodes are stopped at the same moment, with questions open and
- * an entry under way. All of it is answered, whole and done. */
+/* 9. Two of three nodes are stopped at the same moment, with open questions and
+ * an entry in flight. All questions are answered, and the entry is done. */
 static void two_stop_at_once(struct mesh *mesh)
 {
 	char ticket[160];
@@ -761,8 +768,8 @@
 		ck_assert_int_eq(mesh->answers[id].status, 200);
 }
 
-/* 9. A node that leaves issues no tickets that would outlive it: it asks a
- * peer for one, and the caller does not notice. */
+/* 9. A leaving node issues no tickets that would outlive it: it requests one
+ * from a peer, which the caller need not notice. */
 static void ticket_while_leaving(struct mesh *mesh)
 {
 	char ticket[160];
@@ -778,7 +785,8 @@
 }
 
 /* 10. A replaced node reads a stale platform (a pair).
- * It asks its peers first and never puts the old document in force. */
+ * It requests the document from its peers first and never puts the old one in
+ * force. */
 static void stale_platform_new_node(struct mesh *mesh)
 {
 	publish_version(mesh, 2);
@@ -793,8 +801,8 @@
 	ck_assert_int_eq((int)mesh->nodes[0].doc_versions[DOC_FLEET], 2);
 }
 
-/* 10. A document that is refused leaves the last accepted in force, and the
- * next good one is taken. */
+/* 10. A refused document leaves the last accepted one in force, and the next
+ * valid one is accepted. */
 static void document_refused(struct mesh *mesh)
 {
 	char *lists = mesh_lists(3, 10, 10, 400, 400, 1);
@@ -814,8 +822,8 @@
 	free(lists);
 }
 
-/* 10. Two publications at once, and one reader is stale (operators' race).
- * All end on the later one. */
+/* 10. Two publications at once, and one reader is stale (a race of operators).
+ * All nodes end with the later one. */
 static void two_publications(struct mesh *mesh)
 {
 	mesh->nodes[1].reads_stale_docs = 1;
@@ -828,7 +836,8 @@
 				 3);
 }
 
-/* 10. The platform is down for an hour: service and documents stay. */
+/* 10. The platform is down for an hour: nodes keep serving with
+ * the documents that they have. */
 static void platform_down_long(struct mesh *mesh)
 {
 	size_t id;
@@ -840,7 +849,7 @@
 	ck_assert(fabs(answer_number(mesh, id, "coverage") - 1) < 1e-9);
 }
 
-/* Plans: the fleet together lets in the plan's rate and no more. */
+/* Plans: all nodes together admit the plan's rate and no more. */
 static void plan_limit(struct mesh *mesh)
 {
 	char *lists = mesh_lists(2, 50, 10, 400, 400, 1);
@@ -858,15 +867,15 @@
 	mesh_run(mesh, SECOND);
 	for (size_t id = from; id < mesh->nanswers; id++)
 		accepted += mesh->answers[id].status == 200;
-	/* 4 s at 50 a second, and the burst. */
+	/* 4 s at 50/s, and the burst. */
 	ck_assert_int_le(accepted, 4 * 50 + 10 + 5);
 	ck_assert_int_ge(accepted, 4 * 50 * 9 / 10);
 }
 
-/* A target that takes connections and never answers (frozen).
- * Each of its slots is lost for the deadline and 2 s more. After two such
- * requests it counts as down and is only probed; coverage holds, and it gets
- * work again when it answers. */
+/* A target that accepts connections and never replies (frozen).
+ * Each of its slots is blocked for the deadline and 2 s more. After two such
+ * requests it counts as down and is only probed; coverage stays 1, and it gets
+ * requests again once it replies. */
 static void target_hangs(struct mesh *mesh)
 {
 	uint64_t started;
@@ -917,10 +926,10 @@
 	{ "domain out, watchers cut", domain_out_watchers_cut },
 	{ "domain out, node isolated", domain_out_node_isolated },
 	{ "domain out, gate paused", domain_out_gate_paused },
-	{ "domain out, reading aged", domain_out_stale_read },
+	{ "domain out, stale read", domain_out_stale_read },
 	{ "domain returns", domain_returns },
 	{ "replies reordered", replies_reordered },
-	{ "go ages", go_expires },
+	{ "go expires", go_expires },
 	{ "issuer killed before go", issuer_killed_before_go },
 	{ "entry shed", entry_shed },
 	{ "shed reply lost", shed_reply_lost },
@@ -928,7 +937,7 @@
 	{ "entry at two nodes", entry_two_nodes },
 	{ "entry without a ticket", entry_no_ticket },
 	{ "issuer replaced", issuer_replaced },
-	{ "entry under a cut", entry_during_partition },
+	{ "entry during a partition", entry_during_partition },
 	{ "entry's reply lost", entry_reply_lost },
 	{ "target drains", target_drains },
 	{ "target listed as leaving", target_listed_leaving },
@@ -957,8 +966,8 @@
 }
 END_TEST
 
-/* The end of a grant turned off: the aged go runs the entry after all. This
- * shows that "go ages" sees what it is there for. */
+/* With grant expiry turned off, the late go runs the entry. This shows that the
+ * case "go expires" detects the failure. */
 START_TEST(test_grant_expiry_off)
 {
 	struct mesh *mesh = create_mesh(3);
