--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -1,11 +1,12 @@
 /*
- * Stateful fuzzing: several whole reducers against an oracle that keeps the
- * targets' true books. Prints the shortest failing prefix.
+ * Stateful fuzzing: several node reducers get random commands and faults, and
+ * an oracle checks their answers against the counters of simulated targets.
+ * Prints the shortest failing prefix of a seed's steps.
  *
  *   fuzz [FIRST_SEED COUNT [STEPS [SAFEGUARD]]]
  *
  * With a SAFEGUARD, a field of struct safeguards, that one is turned off and
- * the run has to find it out: exit code 0 when some seed fails.
+ * the run must detect it: exit code 0 if a seed fails.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -30,7 +31,7 @@
 	STOP_QUESTIONS = 30,
 };
 
-/** struct client - a caller with one entry and one ticket */
+/** struct client - caller with one entry and one ticket */
 struct client {
 	size_t ticket_call;
 	char ticket[160];
@@ -48,7 +49,8 @@
 	size_t nclients;
 	size_t questions;
 	char fault[160];
-	bool disturbed[MESH_NODES_MAX]; /* paused or killed: no timeliness */
+	bool disturbed[MESH_NODES_MAX]; /* paused, killed or stopped: may not
+					   answer in time */
 };
 
 static uint64_t random_below(struct fuzz *f, uint64_t bound)
@@ -147,7 +149,7 @@
 		send_entry(f, id, random_node(f));
 }
 
-/* A caller's own id, no ticket, two nodes at once: never two runs. */
+/* An entry without a ticket, sent twice at once, must not run twice. */
 static void do_entry_without_ticket(struct fuzz *f)
 {
 	struct client *client = &f->clients[f->nclients];
@@ -236,7 +238,7 @@
 				 DEADLINE_MS, random_below(f, 2) ? 1 : 0.5);
 
 	if (random_below(f, 6) == 0)
-		lists[strlen(lists) / 2] = '#'; /* to be refused */
+		lists[strlen(lists) / 2] = '#'; /* makes it invalid */
 	mesh_publish(f->mesh, DOC_LISTS, lists);
 	free(lists);
 }
@@ -356,8 +358,10 @@
 		if (fault)
 			record_fault(f, fault, id);
 		if (rows + missing != TARGETS && rows + missing != 2 * TARGETS)
-			record_fault(f, "the map of the question is not whole",
-				     id);
+			record_fault(
+				f,
+				"rows and missing shards do not add up to the shard map",
+				id);
 	}
 	json_decref(doc);
 }
@@ -387,7 +391,7 @@
 {
 	const struct buf *body = &f->mesh->answers[call].body;
 
-	/* About the ticket itself, not about what became of the entry. */
+	/* A ticket error does not report the outcome of the entry. */
 	if (!body->len || memmem(body->ptr, body->len, "ticket_m", 8))
 		return false;
 	return memmem(body->ptr, body->len, outcome, strlen(outcome));
@@ -405,10 +409,15 @@
 			if (answer_contains(f, client->calls[j],
 					    "\"not_run\"") &&
 			    runs)
-				record_fault(f, "\"not run\" ran", i);
+				record_fault(
+					f, "an entry answered \"not run\" ran",
+					i);
 			if (answer_contains(f, client->calls[j], "\"done\"") &&
 			    !runs)
-				record_fault(f, "\"done\" did not run", i);
+				record_fault(
+					f,
+					"an entry answered \"done\" did not run",
+					i);
 		}
 	}
 }
@@ -428,7 +437,8 @@
 		record_fault(f, what, target);
 }
 
-/* Published under load: in force everywhere, and no new work after a while. */
+/* A fleet document published under load comes into force at all nodes, and
+ * excluded targets get no new requests after TAKE_EFFECT_US. */
 static void check_domain_out(struct fuzz *f)
 {
 	int out = (int)random_below(f, DOMAINS);
@@ -450,14 +460,16 @@
 	for (int i = 0; i < mesh->nnodes; i++)
 		if (mesh->nodes[i].up &&
 		    mesh->nodes[i].doc_versions[DOC_FLEET] != f->layout.version)
-			record_fault(f, "a document is not in force",
+			record_fault(f,
+				     "the published document is not in force",
 				     (size_t)i);
 	f->layout.out_domain = f->layout.leaving_target = -1;
 	publish_fleet(f);
 	send_load(f, TAKE_EFFECT_US);
 }
 
-/* Paused while a domain is taken out, woken with requests in its sockets. */
+/* A node is paused while a domain is taken out, and resumes with requests in
+ * its sockets. */
 static void check_pause(struct fuzz *f)
 {
 	int out = (int)random_below(f, DOMAINS);
@@ -473,13 +485,13 @@
 	for (size_t i = 0; i < f->mesh->ntargets; i++)
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
-				      "new work by a node that woke");
+				      "new work by a node that was paused");
 	f->layout.out_domain = -1;
 	publish_fleet(f);
 	send_load(f, TAKE_EFFECT_US);
 }
 
-/* With one gate a target, a cold start never gets more than it bears. */
+/* With one gate per target, a cold target is never overloaded. */
 static void check_cold_start(struct fuzz *f)
 {
 	for (size_t i = 0; i < f->mesh->ntargets; i++) {
@@ -489,10 +501,10 @@
 	send_load(f, TAKE_EFFECT_US);
 	for (size_t i = 0; i < f->mesh->ntargets; i++)
 		if (f->mesh->targets[i].overruns)
-			record_fault(f, "a cold target fell over", i);
+			record_fault(f, "a cold target was overloaded", i);
 }
 
-/* A planned stop under load: whatever is sent until the end is answered. */
+/* A planned stop under load answers every request sent before its end. */
 static void check_stop(struct fuzz *f)
 {
 	size_t from = f->mesh->nanswers;
@@ -512,7 +524,7 @@
 	}
 }
 
-/** struct safeguard - one that can be turned off by name */
+/** struct safeguard - safeguard that can be turned off by name */
 struct safeguard {
 	const char *name;
 	size_t offset;
@@ -543,11 +555,11 @@
 			  safeguards[i].offset) = true;
 		return;
 	}
-	fprintf(stderr, "fuzz: no safeguard \"%s\"\n", disabled_safeguard);
+	fprintf(stderr, "fuzz: unknown safeguard \"%s\"\n", disabled_safeguard);
 	exit(2);
 }
 
-/* Return: whether all held; @fault tells else. */
+/* Return: true if all checks passed, otherwise @fault holds the reason. */
 static bool run_seed(uint64_t seed, int steps, char *fault, size_t size)
 {
 	struct fuzz *f = xcalloc(1, sizeof(*f));
@@ -612,7 +624,7 @@
 			continue;
 		failed++;
 		if (disabled_safeguard) {
-			printf("without it, seed %llu: %s\n",
+			printf("turned off, seed %llu fails: %s\n",
 			       (unsigned long long)seed, fault);
 			break;
 		}
--- a/tests/rows.c
+++ b/tests/rows.c
@@ -16,7 +16,7 @@
 	if (!text || strcmp(text, terms))
 		return "rows of another question";
 	if (json_integer_value(json_object_get(row, "version")) != snapshot)
-		return "rows of two snapshots";
+		return "rows of different snapshots";
 	if (json_object_get(seen_shards, shard))
 		return "a shard counted twice";
 	json_object_set_new(seen_shards, shard, json_true());
@@ -46,9 +46,9 @@
 	if (fault)
 		return fault;
 	if (total < 1)
-		return "an answer about no shard";
+		return "the answer covers no shard";
 	if (coverage > merged / total ||
 	    coverage < merged / total - ROUNDING_ERROR)
-		return "coverage is not what was merged";
+		return "coverage does not match the merged rows";
 	return NULL;
 }
--- a/tests/rows.h
+++ b/tests/rows.h
@@ -3,14 +3,14 @@
 #include <jansson.h>
 
 /**
- * rows_fault() - what is wrong with an answer of the stand-in targets
+ * rows_fault() - check an answer merged from the fake targets' rows
  * @doc: the answer; each row names its shard, snapshot and terms
- * @terms: the question's own
+ * @terms: terms of the question
  *
- * All rows must be of the answer's snapshot and of this question, no shard may
- * stand twice, and the coverage must be what the rows are of the whole map,
- * rounded down (all weights are 1 here).
+ * All rows must have the answer's snapshot and @terms, no shard may occur
+ * twice, and the coverage must be the share of the merged shards in the shard
+ * map, rounded down (all weights are 1 here).
  *
- * Return: NULL when all is right.
+ * Return: description of the first fault, NULL if there is none.
  */
 const char *rows_fault(json_t *doc, const char *terms);
--- a/tests/run.py
+++ b/tests/run.py
@@ -28,16 +28,16 @@
 ONCE_FAILED = ("10098",)  # entries that had gone came back from a peer
 SOAK_SEEDS, SOAK_SECONDS = ("1", "1"), "5"  # by hand: soak/soak.py
 SAFEGUARDS = {  # turned off: what the fuzzing must then say
-    "no_ramp": "a cold target fell over",
-    "no_version_check": "rows of two snapshots",
-    "no_coverage_merge": "coverage is not what was merged",
+    "no_ramp": "a cold target was overloaded",
+    "no_version_check": "rows of different snapshots",
+    "no_coverage_merge": "coverage does not match the merged rows",
     "no_attempt_match": "rows of another question",
     "no_ticket": "an entry ran twice",
     "no_domain_check": "new work in a domain taken out",
     "no_leaving_check": "new work at a leaving target",
     "no_version_order": "a document's version decreased",
     "no_drain": "a planned stop lost a request",
-    "no_pause_check": "new work by a node that woke",
+    "no_pause_check": "new work by a node that was paused",
 }
 SAFEGUARD_SEEDS = "60"  # it ends with the first that fails
 TEST_SECONDS = 600
