--- a/tests/check_fetch.c
+++ b/tests/check_fetch.c
@@ -1,5 +1,5 @@
 /*
- * What the HTTP client library does by itself, and what is allowed of it.
+ * Resending of requests by the HTTP client library, and how fetch restricts it.
  */
 #include <arpa/inet.h>
 #include <stdlib.h>
@@ -16,8 +16,12 @@
 	LOOP_STEPS_MAX = 2000
 };
 
-/** struct server - target that answers the first request, then reads and
- *  closes: its own book of whole requests that it has read */
+/**
+ * struct server - target that answers its first request only
+ * @requests_read: requests that it has read
+ *
+ * It reads every later request and closes the connection without a reply.
+ */
 struct server {
 	struct loop *loop;
 	int listener;
@@ -81,7 +85,7 @@
 	return ntohs(sin.sin_port);
 }
 
-/* Lets the kept connections see their end, then stops listening. */
+/* Lets kept-alive connections detect their end, then stops listening. */
 static void server_stop(struct server *server)
 {
 	for (int i = 0; i < 5; i++)
@@ -123,10 +127,10 @@
 	return reply;
 }
 
-/* A target reads a request on a kept connection and closes without a reply.
- * The library sends it again by itself: asked for two, the target reads three.
- * With "once", as entries are sent, it reads two, and the reply says that the
- * second may have run. */
+/* A target reads a request on a kept-alive connection and closes without a
+ * reply. The library resends it on its own, so the target reads three requests
+ * for two. With "once", as entries are sent, it reads two, and the result
+ * FETCH_BROKEN means that the second may have run. */
 START_TEST(test_resend)
 {
 	bool once = _i;
@@ -149,7 +153,7 @@
 }
 END_TEST
 
-/* Nobody listens: no byte was sent, so "not run" would be true. */
+/* Nothing listens on the port: no byte was sent, so "not run" is correct. */
 START_TEST(test_refused)
 {
 	struct server server = { 0 };
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -1,7 +1,7 @@
 /*
- * All that comes from outside: settings, lists, callers' bodies, frames,
- * targets' replies. Bad input gets a typed error that names the place; no
- * input, however damaged, does more than that.
+ * Parsers of external input: settings, lists, callers' bodies, frames and
+ * targets' replies. Invalid input must give a typed error that names the
+ * place, and must have no other effect however damaged it is.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -19,7 +19,10 @@
 #include "mesh.h"
 #include "suite.h"
 
-/** struct input - a text, and what its error must name (NULL: accepted) */
+/**
+ * struct input - a text to parse
+ * @expected_error: must occur in the error text, NULL if @text is valid
+ */
 struct input {
 	const char *text;
 	const char *expected_error;
@@ -162,11 +165,10 @@
 }
 END_TEST
 
-/** struct large_document - a document that is within 1 MiB, and long in one
- * list */
+/** struct large_document - a document within 1 MiB with one long list */
 struct large_document {
 	const char *head;
-	const char *item; /* with its number, twice at most */
+	const char *item; /* format; gets its number twice */
 	int count;
 	const char *tail;
 	bool fleet;
@@ -218,8 +220,8 @@
 }
 
 /*
- * An operator publishes a document that the platform takes, long in one of its
- * lists: no node put it in force, and the one before stayed.
+ * Guards against a document that the platform accepts, but that no node puts
+ * in force because one of its lists is long.
  */
 START_TEST(test_large_document)
 {
@@ -304,7 +306,7 @@
 }
 END_TEST
 
-/** struct reply_case - a target's body and status, and what it is taken for */
+/** struct reply_case - a target's reply and the expected result */
 struct reply_case {
 	const char *body;
 	int status;
@@ -353,7 +355,8 @@
 	};
 }
 
-/* Property: a frame comes back as it was, and a cut one asks for more. */
+/* Property: a frame decodes to what was encoded, and a truncated one needs more
+ * bytes. */
 START_TEST(test_frame_round_trip)
 {
 	struct rng rng = { .seed = (uint64_t)_i + 1 };
@@ -389,8 +392,8 @@
 }
 END_TEST
 
-/* Property: damaged bytes are a typed error, a wait for more, or a frame; and
- * what decodes is safe to hand to a running node. */
+/* Property: damaged bytes give an error, need more bytes, or decode to a frame;
+ * and a running node survives whatever decodes. */
 START_TEST(test_frame_damaged)
 {
 	struct rng rng = { .seed = (uint64_t)_i + 100 };
@@ -433,7 +436,7 @@
 }
 END_TEST
 
-/* Property: timers come out in order of time, then of adding. */
+/* Property: timers expire in order of time. */
 START_TEST(test_timers)
 {
 	struct rng rng = { .seed = (uint64_t)_i + 1 };
@@ -455,7 +458,7 @@
 }
 END_TEST
 
-/* Property: a quantile is never below the true one by more than a bucket. */
+/* Property: a quantile is at most one bucket below the true one. */
 START_TEST(test_latency)
 {
 	struct rng rng = { .seed = (uint64_t)_i + 1 };
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -1,11 +1,11 @@
 /*
- * Stand-in of the platform: publishes lists and fleet, can be down, stale
- * (for all readers or for one address) or slow, and counts each call.
+ * Fake platform: publishes the lists and fleet documents, can be down or stale,
+ * and counts calls.
  *
  *   fake-platform IP:PORT LISTS.json FLEET.json
- *   POST /publish/lists, /publish/fleet   publish a body
+ *   POST /publish/lists, /publish/fleet   publish the body
  *   GET /set?down=0|1&stale=0|1           change behaviour
- *   GET /book                             calls since the start
+ *   GET /book                             number of reads since the start
  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -1,12 +1,12 @@
 /*
- * Stand-in of the targets: hosts every leaf of a fleet document on its
- * loopback address, with slots, connection cost, cold start, stragglers,
- * versions, drain, shedding and lying reports. Keeps the true books.
+ * Fake targets: serves every target of a fleet document on its loopback
+ * address, with slots, connection cost, cold start, stragglers, snapshot
+ * versions, draining, shedding and false load reports. Counts what it ran.
  *
  *   fake-targets IP:PORT FLEET.json [KEY=VALUE]...   (keys: struct options)
  *   GET /set?target=NAME|all&domain=NAME&KEY=VALUE...
- *   GET /book         totals and a line a target
- *   GET /reset        forget the books
+ *   GET /book         totals, and the counters of each target
+ *   GET /reset        reset the counters
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -28,23 +28,23 @@
 	BODY_MAX = 1024 * 1024
 };
 
-/** struct options - behaviour; each can be set for all or for one target */
+/** struct options - behaviour of one target, set for all or one by one */
 struct options {
 	int64_t service_us; /* mean service time of a leaf request */
 	int64_t connect_us; /* added to a connection's first request */
 	int64_t cold_us; /* length of a cold start */
-	int64_t cold_bears; /* requests at a time while cold */
-	int64_t straggle_pm; /* stragglers per mille */
-	int64_t factor; /* how much slower a straggler is */
+	int64_t cold_bears; /* concurrent requests borne while cold */
+	int64_t straggle_pm; /* share of stragglers, per mille */
+	int64_t factor; /* slowdown of a straggler */
 	int64_t draining;
-	int64_t lie_idle; /* report no load, whatever is in progress */
-	int64_t shed; /* answer 503 to all */
-	int64_t close; /* read the request and close */
-	int64_t truncate; /* answer with a broken body */
+	int64_t lie_idle; /* report a load of 0 */
+	int64_t shed; /* reply 503 to all requests */
+	int64_t close; /* run the request, close without reply */
+	int64_t truncate; /* cut the body to half its length */
 	int64_t wrong_version;
 	int64_t lacks; /* snapshot version that it does not have */
 	int64_t dead; /* close every connection at once */
-	int64_t mute; /* run entries and never answer */
+	int64_t mute; /* run entries without a reply */
 	int64_t padding; /* bytes added to each row */
 };
 
@@ -67,7 +67,7 @@
 	struct http_server *server;
 	struct options options;
 	uint64_t boot;
-	int64_t accepts_at; /* takes no requests before */
+	int64_t accepts_at; /* end of the last restart */
 	int64_t cold_until;
 	struct request *requests;
 	int busy;
@@ -89,7 +89,7 @@
 	struct target *targets;
 	struct timers timers;
 	struct rng rng;
-	apr_hash_t *requests; /* number -> work */
+	apr_hash_t *requests; /* number -> struct request */
 	apr_hash_t *runs; /* entry hash -> count */
 	apr_pool_t *pool;
 	uint64_t last_number;
@@ -231,7 +231,7 @@
 	}
 }
 
-/* More than a cold target bears: it falls over and starts cold once more. */
+/* A cold target over its limit crashes and restarts cold. */
 static void crash_overloaded(struct target *target)
 {
 	target->overruns++;
@@ -574,7 +574,8 @@
 	struct options options;
 
 	if (argc < 3) {
-		fprintf(stderr, "usage: fake-targets IP:PORT FLEET [KEY=N]\n");
+		fprintf(stderr,
+			"usage: fake-targets IP:PORT FLEET [KEY=VALUE]...\n");
 		return 2;
 	}
 	apr_initialize();
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -1,6 +1,6 @@
 /*
- * Coverage-guided fuzzing (libFuzzer) of all that is decoded: the first byte
- * chooses the decoder. Built and run by scripts/fuzz.sh.
+ * Coverage-guided fuzzing (libFuzzer) of all decoders: the first byte selects
+ * the decoder. Built and run by scripts/fuzz.sh.
  */
 #include <apr_general.h>
 
