--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -50,6 +50,7 @@
 
 struct target;
 
+/** struct request - queued or running request of a target */
 struct request {
 	struct http_request *req;
 	struct target *target;
@@ -83,6 +84,7 @@
 	int64_t last_work;
 };
 
+/** struct host - process state that all fake targets share */
 struct host {
 	struct loop *loop;
 	struct fleet *fleet;
