--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -1,6 +1,6 @@
 /*
- * The product's own interface under a question that crashes each target that
- * runs it: how often it still reaches targets, and what becomes of others.
+ * Serving while one question crashes every target that runs it: how often it
+ * still reaches targets, and whether other questions are answered.
  */
 #include <stdio.h>
 #include <string.h>
@@ -17,15 +17,14 @@
 	DOMAINS = 3,
 	TARGETS = 6,
 	ROUNDS = 12,
-	/* Tries that may reach targets later than this after the third crash.
-	 */
-	LATE_MOST = 3,
-	STABLE_US = 4 * SECOND,
-	/* From this round on others must be answered whole. */
-	CALM_ROUND = 5,
+	/* Rounds with a crash later than DETECTION_US after the third crash. */
+	LATE_ROUNDS_MAX = 3,
+	DETECTION_US = 4 * SECOND,
+	/* From this round on, other questions must get complete answers. */
+	RECOVERED_ROUND = 5,
 };
 
-static struct mesh *begin(void)
+static struct mesh *create_started_mesh(void)
 {
 	struct mesh_layout layout = mesh_layout(NODES, DOMAINS, TARGETS);
 	struct mesh *mesh =
@@ -35,7 +34,7 @@
 	return mesh;
 }
 
-static size_t ask(struct mesh *mesh, int node, const char *terms)
+static size_t send_question(struct mesh *mesh, int node, const char *terms)
 {
 	char body[200];
 
@@ -46,7 +45,7 @@
 	return mesh_call(mesh, node, EV_ASK, body);
 }
 
-static bool is_whole(const struct mesh *mesh, size_t id)
+static bool is_complete(const struct mesh *mesh, size_t id)
 {
 	const struct mesh_answer *answer = &mesh->answers[id];
 
@@ -55,7 +54,10 @@
 		      sizeof("\"complete\":true") - 1);
 }
 
-/** struct deadly_case - @kill: a node is replaced each round, all in turn */
+/**
+ * struct deadly_case - a variant of the test
+ * @kill: restart one node per round, all in turn
+ */
 struct deadly_case {
 	const char *name;
 	bool kill;
@@ -67,15 +69,16 @@
 };
 
 /*
- * The question crashes the targets of all shards, is retried at their other
- * replicas, and comes again at another node; all others lose their answers.
+ * Guards against a question that crashes the targets of all shards, is retried
+ * at their other replicas and repeated at another node, so that all other
+ * questions lose their answers.
  */
 START_TEST(test_deadly_question_is_stopped)
 {
 	const struct deadly_case *c = &deadly_cases[_i];
-	struct mesh *mesh = begin();
-	int64_t third_at = 0;
-	int late = 0;
+	struct mesh *mesh = create_started_mesh();
+	int64_t third_crash_at = 0;
+	int late_rounds = 0;
 
 	for (int round = 0; round < ROUNDS; round++) {
 		int before = mesh->crashes;
@@ -87,48 +90,50 @@
 			mesh_start(mesh, round % NODES);
 			mesh_run(mesh, 4 * SECOND);
 		}
-		ask(mesh, round % NODES, MESH_DEADLY);
+		send_question(mesh, round % NODES, MESH_DEADLY);
 		mesh_run(mesh, 2 * SECOND);
-		late += third_at && mesh->now - third_at > STABLE_US &&
-			mesh->crashes > before;
-		if (!third_at && mesh->crashes >= 3)
-			third_at = mesh->now;
-		other = ask(mesh, (round + 1) % NODES, "other");
+		late_rounds += third_crash_at &&
+			       mesh->now - third_crash_at > DETECTION_US &&
+			       mesh->crashes > before;
+		if (!third_crash_at && mesh->crashes >= 3)
+			third_crash_at = mesh->now;
+		other = send_question(mesh, (round + 1) % NODES, "other");
 		mesh_run(mesh, SECOND);
-		if (round >= CALM_ROUND)
-			ck_assert_msg(is_whole(mesh, other), "%s: round %d",
+		if (round >= RECOVERED_ROUND)
+			ck_assert_msg(is_complete(mesh, other), "%s: round %d",
 				      c->name, round);
 	}
 	ck_assert_int_ge(mesh->crashes, 3);
-	ck_assert_msg(late <= LATE_MOST, "%s: %d late tries, %d targets ended",
-		      c->name, late, mesh->crashes);
+	ck_assert_msg(late_rounds <= LATE_ROUNDS_MAX,
+		      "%s: %d rounds with late crashes, %d crashes", c->name,
+		      late_rounds, mesh->crashes);
 	mesh_destroy(mesh);
 }
 END_TEST
 
 /*
- * A harmless question is under way at the same targets each time that the
- * deadly one comes. It is not taken for it.
+ * A harmless question is in flight at the same targets each time that the
+ * deadly one arrives. It must not be mistaken for the deadly one.
  */
 START_TEST(test_other_question_is_served)
 {
-	struct mesh *mesh = begin();
+	struct mesh *mesh = create_started_mesh();
 	size_t other;
 
 	for (int round = 0; round < ROUNDS; round++) {
-		ask(mesh, round % NODES, "other");
-		ask(mesh, round % NODES, MESH_DEADLY);
-		ask(mesh, (round + 1) % NODES, "other");
+		send_question(mesh, round % NODES, "other");
+		send_question(mesh, round % NODES, MESH_DEADLY);
+		send_question(mesh, (round + 1) % NODES, "other");
 		mesh_run(mesh, 2 * SECOND);
-		other = ask(mesh, (round + 2) % NODES, "other");
+		other = send_question(mesh, (round + 2) % NODES, "other");
 		mesh_run(mesh, SECOND);
-		ck_assert_msg(is_whole(mesh, other), "round %d", round);
+		ck_assert_msg(is_complete(mesh, other), "round %d", round);
 	}
 	mesh_destroy(mesh);
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_deadly_question_is_stopped, 0,
 			    sizeof(deadly_cases) / sizeof(*deadly_cases));
@@ -137,5 +142,5 @@
 
 int main(void)
 {
-	return suite_run("deadly-serve", add);
+	return suite_run("deadly-serve", add_tests);
 }
