--- a/soak/standins.py
+++ b/soak/fakes.py
@@ -36,15 +36,15 @@
     return await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-def message(status, headers, body):
+def response(status, headers, body):
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n"
     head += "".join(f"{k}: {v}\r\n" for k, v in headers.items())
     return head.encode() + b"\r\n" + body
 
 
-def part_records(leaf, request_id):
+def part_records(target_id, request_id):
     """What a target answers for its shard, known to the judge as well."""
-    seed = f"{leaf}/{request_id}".encode()
+    seed = f"{target_id}/{request_id}".encode()
     return [hashlib.md5(seed + bytes([i])).digest() for i in range(RECORDS)]
 
 
@@ -55,7 +55,7 @@
         self.keys = {}
         self.revision = 1
         self.changed = asyncio.Event()
-        self.down = False  # True: refuses; "silent": never answers
+        self.down = False  # True: refuses; "stalled": never answers
         self.calls = 0
 
     def put(self, key, value):
@@ -96,17 +96,18 @@
                 self.calls += 1
                 path, _, query = head[0].split()[1].partition("?")
                 args = dict(p.partition("=")[::2] for p in query.split("&"))
-                while self.down == "silent":
+                while self.down == "stalled":
                     await asyncio.sleep(0.1)
                 if self.down:
-                    writer.write(message(503, {}, b""))
+                    writer.write(response(503, {}, b""))
                 elif path == "/kv-range":
                     body = json.dumps(self.range(args["prefix"])).encode()
-                    writer.write(message(200, {}, body))
+                    writer.write(response(200, {}, body))
                 else:
-                    got = await self.watch(int(args["after"]),
-                                           int(args["wait_ms"]) / 1000)
-                    writer.write(message(200, {}, json.dumps(got).encode()))
+                    changes = await self.watch(int(args["after"]),
+                                               int(args["wait_ms"]) / 1000)
+                    writer.write(response(
+                        200, {}, json.dumps(changes).encode()))
                 await writer.drain()
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
@@ -114,7 +115,7 @@
             writer.close()
 
 
-class Books:
+class ExecutionLog:
     """What targets saw and ran, by request."""
 
     def __init__(self):
@@ -122,24 +123,24 @@
         self.late_arrivals = []
         self.crashes = []  # when, request, of each target that one ended
 
-    def ran(self, request_id, leaf):
-        self.runs.setdefault(request_id, []).append(leaf)
+    def record_run(self, request_id, target_id):
+        self.runs.setdefault(request_id, []).append(target_id)
 
 
-class Leaf:
+class Target:
     """A target: fields are faults, None or 0 when there is none."""
 
-    def __init__(self, ident, service, zone, books, work):
+    def __init__(self, ident, service, zone, execution_log, service_time):
         self.id, self.service, self.zone = ident, service, zone
-        self.books, self.work = books, work
+        self.execution_log, self.service_time = execution_log, service_time
         self.slots = asyncio.Semaphore(2)
-        self.drained_at = None
-        self.shed = self.lose = self.late_extra = 0.0
+        self.draining_since = None
+        self.shed_share = self.drop_share = self.duplicate_share = 0.0
         self.paused_until = 0.0
         self.server = None
         self.port = 0
         self.born = int(time.time() * 1000)
-        self.crash = None  # what the driver does when it ends
+        self.on_crash = None  # what the driver does when it ends
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1",
@@ -147,45 +148,46 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def entry(self, addr):
-        state = "draining" if self.drained_at else "ready"
+        state = "draining" if self.draining_since else "ready"
         return {"service": self.service, "addr": addr, "zone": self.zone,
                 "version": "v1", "slots": 2, "state": state,
                 "cold_left_ms": 0, "seq": 1, "born": self.born}
 
-    async def answer(self, head, body):
+    async def handle_request(self, head, body):
         request_id = head[1].get("request-id", "")
         if head[1].get("target-instance") not in (None, self.id):
-            return message(421, {"Instance-Id": self.id}, b"")
-        if self.drained_at and time.monotonic() - self.drained_at > 3.5:
-            self.books.late_arrivals.append((self.id, request_id))
-        if random.random() < self.shed:
-            return message(503, {"Not-Executed": "1"}, b"")
+            return response(421, {"Instance-Id": self.id}, b"")
+        if (self.draining_since
+                and time.monotonic() - self.draining_since > 3.5):
+            self.execution_log.late_arrivals.append((self.id, request_id))
+        if random.random() < self.shed_share:
+            return response(503, {"Not-Executed": "1"}, b"")
         async with self.slots:
-            self.books.ran(request_id, self.id)
+            self.execution_log.record_run(request_id, self.id)
             pause = self.paused_until - time.monotonic()
-            await asyncio.sleep(max(pause, 0) + self.work *
+            await asyncio.sleep(max(pause, 0) + self.service_time *
                                 random.uniform(0.5, 1.5))
         if DEADLY in head[0]:
-            self.books.crashes.append((time.monotonic(), request_id))
-            self.crash(self)
-        if DEADLY in head[0] or random.random() < self.lose:
+            self.execution_log.crashes.append((time.monotonic(), request_id))
+            self.on_crash(self)
+        if DEADLY in head[0] or random.random() < self.drop_share:
             return None
         parts = part_records(self.id, request_id)
         random.shuffle(parts)
         out = body or b"".join(parts)
-        return message(200, {"Request-Id": request_id,
-                             "Response-Stamp": f"{self.id}.{request_id}",
-                             "Server-Load": "1,0,2"}, out)
+        return response(200, {"Request-Id": request_id,
+                              "Response-Stamp": f"{self.id}.{request_id}",
+                              "Server-Load": "1,0,2"}, out)
 
     async def serve(self, reader, writer):
         try:
             while (head := await read_head(reader)):
                 body = await read_body(reader, head[1])
-                reply = await self.answer(head, body)
+                reply = await self.handle_request(head, body)
                 if reply is None:
                     break
                 writer.write(reply)
-                if random.random() < self.late_extra:
+                if random.random() < self.duplicate_share:
                     await writer.drain()
                     await asyncio.sleep(0.02)
                     writer.write(reply)
@@ -199,10 +201,10 @@
 class Proxy:
     """Stands before a target or the store; can delay, reset, cut, silence."""
 
-    def __init__(self, port_of):
-        self.port_of = port_of
+    def __init__(self, get_port):
+        self.get_port = get_port
         self.delay = 0.0
-        self.silent = self.one_way = self.refuses = False
+        self.stalled = self.replies_stalled = self.refuses = False
         self.conns = set()
         self.server = None
 
@@ -214,12 +216,12 @@
         for writer in list(self.conns):
             writer.transport.abort()
 
-    async def pump(self, reader, writer, back):
+    async def pump(self, reader, writer, is_reply):
         try:
             while (data := await reader.read(65536)):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                while self.silent or (back and self.one_way):
+                while self.stalled or (is_reply and self.replies_stalled):
                     await asyncio.sleep(0.05)
                 writer.write(data)
                 await writer.drain()
@@ -234,7 +236,7 @@
             return
         try:
             to_reader, to_writer = await asyncio.open_connection(
-                "127.0.0.1", self.port_of())
+                "127.0.0.1", self.get_port())
         except OSError:
             writer.transport.abort()
             return
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -9,18 +9,18 @@
 import tempfile
 import time
 
-import standins
+import fakes
 
-SHARDS, ZONES, SINGLES = 8, ("za", "zb", "zc"), 6
-TOP, LEAST, GOAL_MS, TIMEOUT_MS = 5, 0.75, 150, 1500
-WORK_S = 0.004
-CLIENTS = 12
+SHARDS, ZONES, SINGLE_TARGETS = 8, ("za", "zb", "zc"), 6
+TOP_K, MIN_SHARE, GOAL_MS, TIMEOUT_MS = 5, 0.75, 150, 1500
+SERVICE_TIME_S = 0.004
+CALLERS = 12
 # A caller gives up after this; nothing may be held longer.
-PATIENCE_S = 4.0
+CALLER_TIMEOUT_S = 4.0
 ROUTES = {"all": "/all/", "one": "/one/", "once": "/once/"}
-SERVED_AT_LAST = 0.9
+MIN_RECOVERED_SHARE = 0.9
 # Tries of a deadly request that may run once this long after its third crash.
-LATE_MOST, STABLE_S = 3, 4.0
+MAX_LATE_REQUESTS, LATE_AFTER_S = 3, 4.0
 
 
 class Fleet:
@@ -30,43 +30,44 @@
         self.program, self.args = program, args
         self.rng = random.Random(seed)
         self.dir = tempfile.mkdtemp(prefix=f"soak-{seed}-")
-        self.store, self.books = standins.Store(), standins.Books()
-        self.leafs, self.proxies, self.procs = [], {}, {}
-        self.answers, self.faults, self.said = [], [], []
-        self.version, self.set_name = 1, "s"
+        self.store, self.execution_log = (fakes.Store(),
+                                          fakes.ExecutionLog())
+        self.targets, self.proxies, self.procs = [], {}, {}
+        self.answers, self.violations, self.not_run_ids = [], [], []
+        self.version, self.shard_prefix = 1, "s"
         self.stopping = False
-        self.held, self.kinds, self.stdout = 0, {}, None
+        self.timed_out, self.route_kinds, self.stdout = 0, {}, None
 
     # Stand-ins.
 
-    async def add_leaf(self, service, zone):
-        leaf = standins.Leaf(f"i{len(self.leafs)}", service, zone, self.books,
-                             WORK_S)
-        leaf.crash = self.crash_leaf
-        await leaf.start()
-        proxy = standins.Proxy(lambda: leaf.port)
+    async def add_target(self, service, zone):
+        target = fakes.Target(f"i{len(self.targets)}", service, zone,
+                              self.execution_log, SERVICE_TIME_S)
+        target.on_crash = self.crash_target
+        await target.start()
+        proxy = fakes.Proxy(lambda: target.port)
         await proxy.start()
-        self.leafs.append(leaf)
-        self.proxies[leaf.id] = proxy
-        self.publish(leaf)
-        return leaf
+        self.targets.append(target)
+        self.proxies[target.id] = proxy
+        self.publish(target)
+        return target
 
-    def publish(self, leaf):
-        addr = f"127.0.0.1:{self.proxies[leaf.id].port}"
-        self.store.put(f"servers/{leaf.id}", leaf.entry(addr))
+    def publish(self, target):
+        addr = f"127.0.0.1:{self.proxies[target.id].port}"
+        self.store.put(f"servers/{target.id}", target.entry(addr))
 
     async def add_shards(self, name):
         for i in range(SHARDS):
             for j in range(2):
-                await self.add_leaf(f"{name}{i}", ZONES[(i + j) % 3])
+                await self.add_target(f"{name}{i}", ZONES[(i + j) % 3])
 
     def configure(self):
         common = {"host": "h.example", "timeout_ms": TIMEOUT_MS,
                   "goal_ms": GOAL_MS, "priority": 1, "max_attempts": 2}
-        shards = [f"{self.set_name}{i}" for i in range(SHARDS)]
+        shards = [f"{self.shard_prefix}{i}" for i in range(SHARDS)]
         routes = [
             dict(common, name="all", prefix=ROUTES["all"], kind="idempotent",
-                 gather=shards, top_k=TOP, min_share=LEAST),
+                 gather=shards, top_k=TOP_K, min_share=MIN_SHARE),
             dict(common, name="one", prefix=ROUTES["one"], kind="idempotent",
                  service="single"),
             dict(common, name="once", prefix=ROUTES["once"],
@@ -113,86 +114,87 @@
 
     # Faults: each waits, heals by itself, and may overlap with others.
 
-    def some_leaf(self):
-        return self.rng.choice(self.leafs)
+    def random_target(self):
+        return self.rng.choice(self.targets)
 
-    async def pause_leaf(self):
-        self.some_leaf().paused_until = time.monotonic() + 0.3
+    async def pause_target(self):
+        self.random_target().paused_until = time.monotonic() + 0.3
 
-    async def shed(self):
-        leaf = self.some_leaf()
-        leaf.shed = 0.7
+    async def shed_requests(self):
+        target = self.random_target()
+        target.shed_share = 0.7
         await asyncio.sleep(1)
-        leaf.shed = 0
+        target.shed_share = 0
 
-    async def lose(self):
-        leaf = self.some_leaf()
-        leaf.lose = 0.5
+    async def drop_replies(self):
+        target = self.random_target()
+        target.drop_share = 0.5
         await asyncio.sleep(1)
-        leaf.lose = 0
+        target.drop_share = 0
 
-    async def extra(self):
-        leaf = self.some_leaf()
-        leaf.late_extra = 0.5
+    async def duplicate_replies(self):
+        target = self.random_target()
+        target.duplicate_share = 0.5
         await asyncio.sleep(1)
-        leaf.late_extra = 0
+        target.duplicate_share = 0
 
-    async def link(self, field, value):
-        proxy = self.proxies[self.some_leaf().id]
+    async def degrade_link(self, field, value):
+        proxy = self.proxies[self.random_target().id]
         setattr(proxy, field, value)
         await asyncio.sleep(0.8)
         setattr(proxy, field, type(value)())
 
     async def delay_link(self):
-        await self.link("delay", 0.05)
+        await self.degrade_link("delay", 0.05)
 
-    async def silence_link(self):
-        await self.link("silent", True)
+    async def stall_link(self):
+        await self.degrade_link("stalled", True)
 
-    async def cut_one_way(self):
-        await self.link("one_way", True)
+    async def stall_replies(self):
+        await self.degrade_link("replies_stalled", True)
 
     async def reset_links(self):
         for proxy in self.rng.sample(list(self.proxies.values()), 5):
             proxy.reset()
 
-    async def drain_leaf(self):
-        leaf = self.some_leaf()
-        if leaf.drained_at or self.store.down or self.store_proxy.silent:
+    async def drain_target(self):
+        target = self.random_target()
+        if (target.draining_since or self.store.down
+                or self.store_proxy.stalled):
             return
-        await self.add_leaf(leaf.service, leaf.zone)
-        leaf.drained_at = time.monotonic()
-        self.publish(leaf)
+        await self.add_target(target.service, target.zone)
+        target.draining_since = time.monotonic()
+        self.publish(target)
 
-    def crash_leaf(self, leaf):
+    def crash_target(self, target):
         """It ends with all its connections, and comes back."""
-        proxy = self.proxies[leaf.id]
+        proxy = self.proxies[target.id]
         proxy.refuses = True
         proxy.reset()
-        asyncio.create_task(self.return_leaf(leaf, proxy))
+        asyncio.create_task(self.restart_target(target, proxy))
 
-    async def return_leaf(self, leaf, proxy):
+    async def restart_target(self, target, proxy):
         await asyncio.sleep(self.rng.uniform(0.6, 1.2))
         proxy.refuses = False
-        leaf.born += 1
-        self.publish(leaf)
+        target.born += 1
+        self.publish(target)
 
-    async def store_down(self):
-        self.store.down = self.rng.choice((True, "silent"))
+    async def fail_store(self):
+        self.store.down = self.rng.choice((True, "stalled"))
         await asyncio.sleep(1.5)
         self.store.down = False
 
-    async def store_silent(self):
-        self.store_proxy.silent = True
+    async def stall_store(self):
+        self.store_proxy.stalled = True
         await asyncio.sleep(1.0)
-        self.store_proxy.silent = False
+        self.store_proxy.stalled = False
         self.store_proxy.reset()
 
     async def reconfigure(self):
-        if self.set_name == "s" and self.rng.random() < 0.4:
+        if self.shard_prefix == "s" and self.rng.random() < 0.4:
             await self.add_shards("r")
             await asyncio.sleep(0.5)
-            self.set_name = "r"
+            self.shard_prefix = "r"
         self.version += 1
         self.configure()
 
@@ -200,7 +202,7 @@
         node = self.rng.randrange(self.args.nodes)
         self.signal_node(node, signal.SIGKILL)
         await asyncio.sleep(0.5)
-        self.restart(node)
+        self.restart_node(node)
 
     async def stop_node(self):
         node = self.rng.randrange(self.args.nodes)
@@ -213,10 +215,10 @@
             if proc.poll() is not None:
                 break
         else:
-            self.fault(f"node{node} has not ended 5 s after SIGTERM")
+            self.report(f"node{node} has not ended 5 s after SIGTERM")
             proc.kill()
             await asyncio.sleep(0.2)
-        self.restart(node)
+        self.restart_node(node)
 
     async def freeze_node(self):
         node = self.rng.randrange(self.args.nodes)
@@ -227,19 +229,19 @@
     async def hup_node(self):
         self.signal_node(self.rng.randrange(self.args.nodes), signal.SIGHUP)
 
-    def restart(self, node):
+    def restart_node(self, node):
         proc = self.procs[node]
         if not self.stopping and proc.poll() is not None:
             self.start_node(node)
 
     # Callers.
 
-    def fault(self, text):
-        self.faults.append(text)
+    def report(self, text):
+        self.violations.append(text)
 
-    async def ask(self, node, kind, request_id, path=None):
+    async def send_request(self, node, kind, request_id, path=None):
         """One request on a connection of its own; status, headers, body."""
-        self.kinds[request_id] = kind
+        self.route_kinds[request_id] = kind
         reader, writer = await asyncio.wait_for(asyncio.open_connection(
             self.ip(node), self.args.port + 11), 1.0)
         body = b"x" * 40 if kind == "once" else b""
@@ -250,11 +252,11 @@
                 f"Content-Length: {len(body)}\r\n\r\n")
         try:
             writer.write(head.encode() + body)
-            got = await standins.read_head(reader)
-            if not got:
+            reply = await fakes.read_head(reader)
+            if not reply:
                 return None
-            return (int(got[0].split()[1]), got[1],
-                    await standins.read_body(reader, got[1]))
+            return (int(reply[0].split()[1]), reply[1],
+                    await fakes.read_body(reader, reply[1]))
         finally:
             writer.close()
 
@@ -267,14 +269,15 @@
             count += 1
             start = time.monotonic()
             try:
-                got = await asyncio.wait_for(
-                    self.ask(node, kind, request_id), PATIENCE_S)
+                reply = await asyncio.wait_for(
+                    self.send_request(node, kind, request_id),
+                    CALLER_TIMEOUT_S)
             except asyncio.TimeoutError:
-                got = "held"
+                reply = "timed out"
             except (OSError, asyncio.IncompleteReadError, ValueError):
-                got = None
-            self.judge(kind, request_id, got)
-            self.answers.append((start, kind, got))
+                reply = None
+            self.check_reply(kind, request_id, reply)
+            self.answers.append((start, kind, reply))
             await asyncio.sleep(self.rng.uniform(0.005, 0.05))
 
     async def deadly_caller(self):
@@ -282,79 +285,80 @@
         count = 0
         while not self.stopping:
             node = self.rng.randrange(self.args.nodes)
-            request_id = f"{os.getpid()}-{standins.DEADLY}-{count}"
+            request_id = f"{os.getpid()}-{fakes.DEADLY}-{count}"
             count += 1
             try:
                 await asyncio.wait_for(
-                    self.ask(node, "all", request_id, standins.DEADLY),
-                    PATIENCE_S)
+                    self.send_request(node, "all", request_id, fakes.DEADLY),
+                    CALLER_TIMEOUT_S)
             except (OSError, asyncio.IncompleteReadError, ValueError,
                     asyncio.TimeoutError):
                 pass
             await asyncio.sleep(self.rng.uniform(0.1, 0.8))
 
-    def judge_deadly(self):
-        crashes = sorted(self.books.crashes)
+    def check_deadly(self):
+        crashes = sorted(self.execution_log.crashes)
         if len(crashes) < 3:
             return
-        late = {r for t, r in crashes if t > crashes[2][0] + STABLE_S}
-        if len(late) > LATE_MOST:
-            self.fault(f"{len(late)} late tries of a deadly request ran, "
-                       f"{len(crashes)} targets ended")
+        late = {r for t, r in crashes if t > crashes[2][0] + LATE_AFTER_S}
+        if len(late) > MAX_LATE_REQUESTS:
+            self.report(f"{len(late)} late tries of a deadly request ran, "
+                        f"{len(crashes)} targets ended")
 
-    def judge(self, kind, request_id, got):
-        if got in (None, "held"):
+    def check_reply(self, kind, request_id, reply):
+        if reply in (None, "timed out"):
             return
-        status, headers, body = got
+        status, headers, body = reply
         if status == 404:
-            self.fault(f"{request_id}: 404 for a route that exists")
+            self.report(f"{request_id}: 404 for a route that exists")
         if status == 503 and kind == "once":
             # The books are asked once more at the end: it must never run.
-            self.said.append(request_id)
+            self.not_run_ids.append(request_id)
         if status == 503 and not headers.get("retry-after"):
-            self.fault(f"{request_id}: 503 without a time to come back")
+            self.report(f"{request_id}: 503 without a time to come back")
         if status == 200 and kind == "all":
-            self.judge_merged(request_id, headers, body)
+            self.check_merged(request_id, headers, body)
         elif status == 200:
             stamp = headers.get("response-stamp", "")
             if not stamp.endswith("." + request_id):
-                self.fault(f"{request_id}: answer of another: {stamp}")
+                self.report(f"{request_id}: answer of another: {stamp}")
 
-    def judge_merged(self, request_id, headers, body):
+    def check_merged(self, request_id, headers, body):
         stamps = [s.strip() for s in headers["part-stamps"].split(",")]
-        leafs = [s.rpartition(".")[0] for s in stamps]
-        by_id = {leaf.id: leaf for leaf in self.leafs}
-        services = [by_id[leaf].service for leaf in leafs]
+        target_ids = [s.rpartition(".")[0] for s in stamps]
+        by_id = {target.id: target for target in self.targets}
+        services = [by_id[target_id].service for target_id in target_ids]
         if any(not s.endswith("." + request_id) for s in stamps):
-            self.fault(f"{request_id}: part of another request")
+            self.report(f"{request_id}: part of another request")
         if len(set(services)) != len(services):
-            self.fault(f"{request_id}: a shard counted twice")
+            self.report(f"{request_id}: a shard counted twice")
         if len({s[0] for s in services}) > 1:
-            self.fault(f"{request_id}: parts of two configurations")
+            self.report(f"{request_id}: parts of two configurations")
         if len(services) + int(headers.get("missing-parts", 0)) != SHARDS:
-            self.fault(f"{request_id}: parts and missing are not the whole")
-        if len(services) < LEAST * SHARDS:
-            self.fault(f"{request_id}: too few parts for an answer")
-        records = sorted((r for leaf in leafs for r in
-                          standins.part_records(leaf, request_id)),
+            self.report(f"{request_id}: parts and missing are not the whole")
+        if len(services) < MIN_SHARE * SHARDS:
+            self.report(f"{request_id}: too few parts for an answer")
+        records = sorted((r for target_id in target_ids for r in
+                          fakes.part_records(target_id, request_id)),
                          reverse=True)
-        if body != b"".join(records[:TOP]):
-            self.fault(f"{request_id}: not the greatest records")
-
-    def judge_books(self):
-        for request_id in self.said:
-            if self.books.runs.get(request_id):
-                self.fault(f"{request_id}: told not run, and it ran")
-        self.held = sum(got == "held" for _, _, got in self.answers)
-        for request_id, ran in self.books.runs.items():
-            if self.kinds.get(request_id) == "once" and len(ran) > 1:
-                self.fault(f"{request_id}: ran twice")
-        for leaf, request_id in self.books.late_arrivals:
-            self.fault(f"{request_id}: at {leaf} after it had left")
+        if body != b"".join(records[:TOP_K]):
+            self.report(f"{request_id}: not the greatest records")
+
+    def check_executions(self):
+        for request_id in self.not_run_ids:
+            if self.execution_log.runs.get(request_id):
+                self.report(f"{request_id}: told not run, and it ran")
+        self.timed_out = sum(reply == "timed out"
+                             for _, _, reply in self.answers)
+        for request_id, ran in self.execution_log.runs.items():
+            if self.route_kinds.get(request_id) == "once" and len(ran) > 1:
+                self.report(f"{request_id}: ran twice")
+        for target_id, request_id in self.execution_log.late_arrivals:
+            self.report(f"{request_id}: at {target_id} after it had left")
 
     # A run.
 
-    async def settle(self):
+    async def wait_ready(self):
         for _ in range(100):
             ready = 0
             for node in range(self.args.nodes):
@@ -362,41 +366,41 @@
                     reader, writer = await asyncio.open_connection(
                         self.ip(node), self.args.port + 12)
                     writer.write(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                    got = await asyncio.wait_for(
-                        standins.read_head(reader), 1)
-                    ready += bool(got) and got[0].split()[1] == "200"
+                    reply = await asyncio.wait_for(
+                        fakes.read_head(reader), 1)
+                    ready += bool(reply) and reply[0].split()[1] == "200"
                     writer.close()
                 except (OSError, asyncio.TimeoutError):
                     pass
             if ready == self.args.nodes:
                 return
             await asyncio.sleep(0.1)
-        self.fault("not all nodes were ready after 10 s")
-
-    async def trouble(self, until):
-        kinds = [self.pause_leaf, self.pause_leaf, self.shed, self.lose,
-                 self.extra, self.delay_link, self.silence_link,
-                 self.cut_one_way, self.reset_links, self.drain_leaf,
-                 self.store_down, self.store_silent, self.reconfigure,
-                 self.kill_node, self.stop_node, self.freeze_node,
-                 self.hup_node]
+        self.report("not all nodes were ready after 10 s")
+
+    async def inject_faults(self, until):
+        faults = [self.pause_target, self.pause_target, self.shed_requests,
+                  self.drop_replies, self.duplicate_replies, self.delay_link,
+                  self.stall_link, self.stall_replies, self.reset_links,
+                  self.drain_target, self.fail_store, self.stall_store,
+                  self.reconfigure, self.kill_node, self.stop_node,
+                  self.freeze_node, self.hup_node]
         tasks = []
         while time.monotonic() < until:
-            tasks.append(asyncio.create_task(self.rng.choice(kinds)()))
+            tasks.append(asyncio.create_task(self.rng.choice(faults)()))
             await asyncio.sleep(self.rng.uniform(0.05, 0.5))
         await asyncio.gather(*tasks)
 
-    async def served_at_last(self):
+    async def check_recovery(self):
         start = time.monotonic()
         await asyncio.sleep(2.0)
         late = [a for a in self.answers if a[0] > start + 0.5]
-        good = [a for a in late if a[2] and a[2] != "held"
-                and a[2][0] == 200]
-        if len(good) < SERVED_AT_LAST * len(late):
-            self.fault(f"after all was healed {len(good)} of {len(late)} "
-                       "were served")
+        served = [a for a in late if a[2] and a[2] != "timed out"
+                  and a[2][0] == 200]
+        if len(served) < MIN_RECOVERED_SHARE * len(late):
+            self.report(f"after all was healed {len(served)} of {len(late)} "
+                        "were served")
 
-    async def check_free(self):
+    async def check_addresses_free(self):
         """Two runs on the same addresses would judge each other's books."""
         for node in range(self.args.nodes):
             try:
@@ -408,33 +412,33 @@
             raise RuntimeError(f"{self.ip(node)}:{self.args.port + 11} is "
                                "taken; choose another --net or --port")
 
-    async def begin(self):
-        await self.check_free()
+    async def start_all(self):
+        await self.check_addresses_free()
         store = await asyncio.start_server(self.store.serve, "127.0.0.1", 0)
-        self.store_proxy = standins.Proxy(
+        self.store_proxy = fakes.Proxy(
             lambda: store.sockets[0].getsockname()[1])
         await self.store_proxy.start()
         await self.add_shards("s")
-        for i in range(SINGLES):
-            await self.add_leaf("single", ZONES[i % 3])
+        for i in range(SINGLE_TARGETS):
+            await self.add_target("single", ZONES[i % 3])
         self.configure()
         for node in range(self.args.nodes):
             self.start_node(node)
-        await self.settle()
+        await self.wait_ready()
 
     async def run(self):
-        await self.begin()
-        callers = [asyncio.create_task(self.caller(i)) for i in range(CLIENTS)]
+        await self.start_all()
+        callers = [asyncio.create_task(self.caller(i)) for i in range(CALLERS)]
         callers.append(asyncio.create_task(self.deadly_caller()))
-        await self.trouble(time.monotonic() + self.args.seconds)
+        await self.inject_faults(time.monotonic() + self.args.seconds)
         await asyncio.sleep(3.0)
-        await self.served_at_last()
+        await self.check_recovery()
         self.stopping = True
         await asyncio.gather(*callers)
         # What still stands open is cancelled with the loop, without a word.
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
-        self.judge_books()
-        self.judge_deadly()
+        self.check_executions()
+        self.check_deadly()
 
     def close(self):
         for proc in self.procs.values():
@@ -444,4 +448,4 @@
             proc.wait()
         for node, proc in self.procs.items():
             if proc.returncode not in (0, -signal.SIGKILL, -signal.SIGTERM):
-                self.fault(f"node{node} ended with {proc.returncode}")
+                self.report(f"node{node} ended with {proc.returncode}")
--- a/soak/soak.py
+++ b/soak/soak.py
@@ -35,13 +35,14 @@
             asyncio.run(fleet.run())
         finally:
             fleet.close()
-        good = sum(1 for a in fleet.answers if a[2] and a[2] != "held"
-                   and a[2][0] == 200)
-        print(f"seed {seed}: {len(fleet.answers)} requests, {good} served, "
-              f"{fleet.held} held, {len(fleet.faults)} faults", flush=True)
-        for text in fleet.faults[:10]:
+        served = sum(1 for a in fleet.answers
+                     if a[2] and a[2] != "timed out" and a[2][0] == 200)
+        print(f"seed {seed}: {len(fleet.answers)} requests, {served} served, "
+              f"{fleet.timed_out} held, {len(fleet.violations)} faults",
+              flush=True)
+        for text in fleet.violations[:10]:
             print(f"  {text}")
-        if fleet.faults:
+        if fleet.violations:
             failed += 1
             shutil.copytree(fleet.dir, f"out/soak/{seed}", dirs_exist_ok=True)
         shutil.rmtree(fleet.dir)
--- a/tests/tier_process.py
+++ b/tests/tier_process.py
@@ -11,7 +11,7 @@
                                 "..", "soak"))
 from fleet import Fleet  # noqa: E402  (stands in soak/)
 
-NET, SEED = 60, 1
+FIRST_NET, SEED = 60, 1
 
 
 def explain(fleet, request_id):
@@ -21,100 +21,104 @@
     return done.stdout
 
 
-async def fail(fleet, kind, spoil, status, cause):
+async def check_cause(fleet, kind, break_target, status, cause):
     """Spoils the targets, asks, and reads the cause from the logs."""
-    await fleet.begin()
-    for leaf in fleet.leafs:
-        spoil(leaf)
+    await fleet.start_all()
+    for target in fleet.targets:
+        break_target(target)
     # What the first meets is known to the node for the second.
-    await fleet.ask(0, kind, "warm-1")
-    got = await fleet.ask(0, kind, "bad-1")
-    assert got[0] == status, got
+    await fleet.send_request(0, kind, "warm-1")
+    reply = await fleet.send_request(0, kind, "bad-1")
+    assert reply[0] == status, reply
     await asyncio.sleep(0.5)
     asyncio.get_running_loop().set_exception_handler(lambda *_: None)
-    story = explain(fleet, "bad-1")
-    assert "Cause: " in story and cause in story, story
+    explanation = explain(fleet, "bad-1")
+    assert "Cause: " in explanation and cause in explanation, explanation
 
 
-def run_case(port, kind, spoil, status, cause):
-    args = argparse.Namespace(nodes=3, net=NET + port % 100, port=port,
+def run_case(port, kind, break_target, status, cause):
+    args = argparse.Namespace(nodes=3, net=FIRST_NET + port % 100, port=port,
                               seconds=1)
     fleet = Fleet(os.environ["BUILD"] + "/wasabimoor", SEED, args)
     try:
-        asyncio.run(fail(fleet, kind, spoil, status, cause))
+        asyncio.run(check_cause(fleet, kind, break_target, status, cause))
     finally:
         fleet.close()
 
 
 def test_refusal_explained(port):
     """All targets reject the entry: the caller hears 503, the log why."""
-    def spoil(leaf):
-        leaf.shed = 1.0
-    run_case(port, "once", spoil, 503, "rejected it as not run")
+    def break_target(target):
+        target.shed_share = 1.0
+    run_case(port, "once", break_target, 503, "rejected it as not run")
 
 
 def test_unknown_outcome_explained(port):
     """The reply is lost after the run: 502, and the target that may know."""
-    def spoil(leaf):
-        leaf.lose = 1.0
-    run_case(port + 1, "once", spoil, 502, "it may have run")
+    def break_target(target):
+        target.drop_share = 1.0
+    run_case(port + 1, "once", break_target, 502, "it may have run")
 
 
 def test_partial_answer_explained(port):
     """Both targets of a shard stand still: the answer leaves it out."""
-    def spoil(leaf):
-        if leaf.service == "s0":
-            leaf.paused_until = 1e12
-    run_case(port + 2, "all", spoil, 200, "soft deadline")
+    def break_target(target):
+        if target.service == "s0":
+            target.paused_until = 1e12
+    run_case(port + 2, "all", break_target, 200, "soft deadline")
 
 
 def test_blocked_request_explained(port):
     """A request that crashes its targets is refused; the log leads to them."""
-    args = argparse.Namespace(nodes=3, net=NET + 9, port=port + 4, seconds=1)
+    args = argparse.Namespace(nodes=3, net=FIRST_NET + 9, port=port + 4,
+                              seconds=1)
     fleet = Fleet(os.environ["BUILD"] + "/wasabimoor", SEED, args)
 
-    async def go():
-        await fleet.begin()
+    async def scenario():
+        await fleet.start_all()
         for i in range(8):
-            got = await fleet.ask(i % 3, "all", f"deadly-{i}", "deadly")
-            assert got[0] in (502, 503), got
+            reply = await fleet.send_request(i % 3, "all", f"deadly-{i}",
+                                             "deadly")
+            assert reply[0] in (502, 503), reply
             await asyncio.sleep(1.4)
-        assert got[0] == 503, got
+        assert reply[0] == 503, reply
         # Its caller may ask other things, which are answered.
-        got = await fleet.ask(0, "all", "harmless-1")
-        assert got[0] == 200, got
-        story = explain(fleet, "deadly-7")
-        crashed = fleet.books.crashes[0][1]
-        assert "crashed each target that ran them" in story, story
-        assert f'request="{crashed}"' in story, story
-        assert 'result="connection broke"' in story, story
+        reply = await fleet.send_request(0, "all", "harmless-1")
+        assert reply[0] == 200, reply
+        explanation = explain(fleet, "deadly-7")
+        crashed = fleet.execution_log.crashes[0][1]
+        assert "crashed each target that ran them" in explanation, explanation
+        assert f'request="{crashed}"' in explanation, explanation
+        assert 'result="connection broke"' in explanation, explanation
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
 
     try:
-        asyncio.run(go())
+        asyncio.run(scenario())
     finally:
         fleet.close()
 
 
 def test_stopped_reader(port):
     """Nobody reads a node's output: it serves on as before."""
-    args = argparse.Namespace(nodes=1, net=NET + 8, port=port + 3, seconds=1)
+    args = argparse.Namespace(nodes=1, net=FIRST_NET + 8, port=port + 3,
+                              seconds=1)
     fleet = Fleet(os.environ["BUILD"] + "/wasabimoor", SEED, args)
     read_end, write_end = os.pipe()
 
-    async def go():
+    async def scenario():
         fleet.stdout = write_end
-        await fleet.begin()
-        for leaf in fleet.leafs:
-            leaf.shed = 1.0
+        await fleet.start_all()
+        for target in fleet.targets:
+            target.shed_share = 1.0
         for i in range(400):
-            await fleet.ask(0, "once", f"r-{i}")
-        got = await asyncio.wait_for(fleet.ask(0, "once", "r-last"), 2)
-        assert got[0] == 503, got
+            await fleet.send_request(0, "once", f"r-{i}")
+        reply = await asyncio.wait_for(
+            fleet.send_request(0, "once", "r-last"), 2)
+        assert reply[0] == 503, reply
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
 
     try:
-        asyncio.run(go())
+        asyncio.run(scenario())
     finally:
         fleet.close()
         os.close(read_end)
