--- a/bench/load.c
+++ b/bench/load.c
@@ -23,10 +23,10 @@
 enum {
 	MAX_ADDRS = 64,
 	MAX_KINDS = 64,
-	ANSWER_MAX = 8 * 1024 * 1024
+	ANSWER_MAX_BYTES = 8 * 1024 * 1024
 };
 
-struct kind {
+struct kind_count {
 	char name[40];
 	uint64_t count;
 };
@@ -56,25 +56,25 @@
 	uint64_t hedges;
 	uint64_t broken;
 	uint64_t wrong;
-	struct kind kinds[MAX_KINDS]; /* of refusals */
-	struct kind missing[MAX_KINDS]; /* of shards */
+	struct kind_count refused[MAX_KINDS]; /* of refusals */
+	struct kind_count missing[MAX_KINDS]; /* of shards */
 };
 
-static void count_kind(struct kind *kinds, const char *name)
+static void count_kind(struct kind_count *kinds, const char *name)
 {
 	for (size_t i = 0; i < MAX_KINDS; i++) {
-		struct kind *kind = &kinds[i];
+		struct kind_count *entry = &kinds[i];
 
-		if (!*kind->name)
-			snprintf(kind->name, sizeof(kind->name), "%s", name);
-		if (strcmp(kind->name, name))
+		if (!*entry->name)
+			snprintf(entry->name, sizeof(entry->name), "%s", name);
+		if (strcmp(entry->name, name))
 			continue;
-		kind->count++;
+		entry->count++;
 		return;
 	}
 }
 
-static bool is_right(uint64_t id, json_t *doc)
+static bool is_valid_answer(uint64_t id, json_t *doc)
 {
 	char terms[32];
 
@@ -82,7 +82,7 @@
 	return !rows_fault(doc, terms);
 }
 
-static void take_answer(struct load *load, uint64_t id, json_t *doc)
+static void record_answer(struct load *load, uint64_t id, json_t *doc)
 {
 	size_t rows = json_array_size(json_object_get(doc, "rows"));
 	json_t *list = json_object_get(doc, "missing");
@@ -102,7 +102,7 @@
 	load->hedges +=
 		(uint64_t)json_integer_value(json_object_get(doc, "hedges"));
 	load->leafs += rows + missing;
-	if (!is_right(id, doc))
+	if (!is_valid_answer(id, doc))
 		load->wrong++;
 }
 
@@ -116,12 +116,12 @@
 	if (reply->result != FETCH_OK || !doc) {
 		load->broken++;
 	} else if (json_object_get(doc, "coverage")) {
-		take_answer(load, id, doc);
+		record_answer(load, id, doc);
 	} else {
 		const char *kind =
 			json_string_value(json_object_get(doc, "kind"));
 
-		count_kind(load->kinds, kind ? kind : "none");
+		count_kind(load->refused, kind ? kind : "none");
 	}
 	json_decref(doc);
 }
@@ -153,7 +153,7 @@
 	buf_free(&url);
 }
 
-static void run(void *ctx)
+static void send_due_questions(void *ctx)
 {
 	struct load *load = ctx;
 	double now = (double)loop_now();
@@ -178,7 +178,7 @@
 	return left > 0 ? left : 0;
 }
 
-static int by_value(const void *left, const void *right)
+static int compare_doubles(const void *left, const void *right)
 {
 	double a = *(const double *)left;
 	double b = *(const double *)right;
@@ -186,7 +186,7 @@
 	return a < b ? -1 : a > b;
 }
 
-static double at(const double *sorted, size_t count, double q)
+static double quantile(const double *sorted, size_t count, double q)
 {
 	size_t i = (size_t)(q * (double)count);
 
@@ -204,7 +204,7 @@
 	return count ? sum / (double)count : 0;
 }
 
-static void print_kinds(const char *name, const struct kind *kinds)
+static void print_kinds(const char *name, const struct kind_count *kinds)
 {
 	printf(",\"%s\":{", name);
 	for (size_t i = 0; i < MAX_KINDS && *kinds[i].name; i++)
@@ -213,13 +213,13 @@
 	printf("}");
 }
 
-static void print(struct load *load)
+static void print_report(struct load *load)
 {
 	double seconds = (double)(load->end - load->begin) / 1e6;
 	size_t n = load->answered;
 
-	qsort(load->latency, n, sizeof(double), by_value);
-	qsort(load->coverage, n, sizeof(double), by_value);
+	qsort(load->latency, n, sizeof(double), compare_doubles);
+	qsort(load->coverage, n, sizeof(double), compare_doubles);
 	printf("{\"sent\":%llu,\"answered\":%zu,\"complete\":%llu,"
 	       "\"broken\":%llu,\"wrong\":%llu,\"rate\":%.1f,"
 	       "\"goodput\":%.1f",
@@ -229,16 +229,17 @@
 	       (unsigned long long)load->wrong, (double)load->sent / seconds,
 	       (double)n / seconds);
 	printf(",\"p50_ms\":%.2f,\"p99_ms\":%.2f,\"p999_ms\":%.2f",
-	       at(load->latency, n, 0.5), at(load->latency, n, 0.99),
-	       at(load->latency, n, 0.999));
+	       quantile(load->latency, n, 0.5),
+	       quantile(load->latency, n, 0.99),
+	       quantile(load->latency, n, 0.999));
 	printf(",\"coverage_mean\":%.5f,\"coverage_p01\":%.5f,"
 	       "\"coverage_min\":%.5f",
-	       mean(load->coverage, n), at(load->coverage, n, 0.01),
-	       at(load->coverage, n, 0));
+	       mean(load->coverage, n), quantile(load->coverage, n, 0.01),
+	       quantile(load->coverage, n, 0));
 	printf(",\"requests_per_leaf\":%.4f,\"hedges\":%llu",
 	       load->leafs ? (double)load->requests / (double)load->leafs : 0,
 	       (unsigned long long)load->hedges);
-	print_kinds("refused", load->kinds);
+	print_kinds("refused", load->refused);
 	print_kinds("missing", load->missing);
 	printf("}\n");
 }
@@ -278,7 +279,7 @@
 	parse_indexes(&load, argv[5]);
 	load.rng.seed = argc > 6 ? strtoull(argv[6], NULL, 10) : 1;
 	load.loop = loop_create(NULL);
-	load.fetcher = fetcher_create(load.loop, ANSWER_MAX);
+	load.fetcher = fetcher_create(load.loop, ANSWER_MAX_BYTES);
 	load.begin = loop_now();
 	load.end = load.begin + (int64_t)(strtod(argv[3], NULL) * 1e6);
 	load.next_due = (double)load.begin;
@@ -286,9 +287,10 @@
 	load.due = xcalloc(load.cap, sizeof(*load.due));
 	load.latency = xcalloc(load.cap, sizeof(*load.latency));
 	load.coverage = xcalloc(load.cap, sizeof(*load.coverage));
-	loop_hook(load.loop, (struct loop_hook){ run, wait_us, &load });
+	loop_hook(load.loop,
+		  (struct loop_hook){ send_due_questions, wait_us, &load });
 	loop_run(load.loop);
-	print(&load);
+	print_report(&load);
 	fetcher_destroy(load.fetcher);
 	loop_destroy(load.loop);
 	buf_free(&load.indexes);
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -26,8 +26,8 @@
 	DOMAINS = 4
 };
 
-/** struct choice - one way of doing it, and the load that it is put under */
-struct choice {
+/** struct scenario - one way of doing it, and the load that it is put under */
+struct scenario {
 	const char *name;
 	double rate; /* questions a second */
 	int seconds;
@@ -42,11 +42,12 @@
 	int64_t service_us;
 	int64_t cold_us;
 	int soft_ms;
-	double floor;
-	int restart; /* every n-th target restarts at a third of the time */
-	int lacking; /* every n-th target lacks the newest snapshot */
+	double coverage_floor;
+	int restart_every; /* every n-th target restarts at a third of the time
+			    */
+	int lacks_every; /* every n-th target lacks the newest snapshot */
 	bool split; /* quota: 1/n instead of leases */
-	double plan; /* plan's rate, 0 for no limit */
+	double plan_rate; /* plan's rate, 0 for no limit */
 	int senders; /* nodes that the balancer sends to */
 	bool kill; /* the last node is killed at a third of the time */
 	bool stop; /* it is stopped as planned */
@@ -55,7 +56,7 @@
 
 static uint64_t seed = 1;
 
-static int by_value(const void *left, const void *right)
+static int compare_doubles(const void *left, const void *right)
 {
 	double a = *(const double *)left;
 	double b = *(const double *)right;
@@ -63,52 +64,55 @@
 	return a < b ? -1 : a > b;
 }
 
-static void configure(struct mesh *mesh, const struct choice *choice)
+static void configure(struct mesh *mesh, const struct scenario *scenario)
 {
 	for (int i = 0; i < NODES; i++) {
 		struct front_config *config =
 			&mesh->nodes[i].node->front->config;
 
-		config->hedge = !choice->no_hedge;
-		config->hedge_fixed_us = choice->fixed_us;
-		if (choice->quantile > 0)
-			config->hedge_quantile = choice->quantile;
-		config->admission = !choice->no_admission;
-		if (choice->split)
+		config->hedge = !scenario->no_hedge;
+		config->hedge_fixed_us = scenario->fixed_us;
+		if (scenario->quantile > 0)
+			config->hedge_quantile = scenario->quantile;
+		config->admission = !scenario->no_admission;
+		if (scenario->split)
 			mesh->nodes[i].node->quota->policy = QUOTA_SPLIT;
 	}
-	mesh->straggle_pm = choice->straggle_pm;
+	mesh->straggle_pm = scenario->straggle_pm;
 }
 
-static struct mesh *build(const struct choice *choice)
+static struct mesh *create_mesh(const struct scenario *scenario)
 {
 	struct mesh_layout layout = mesh_layout(NODES, DOMAINS, TARGETS);
-	double plan = choice->plan > 0 ? choice->plan : 1e6;
-	int soft_ms = choice->soft_ms ? choice->soft_ms : 400;
-	double floor = choice->floor > 0 ? choice->floor : 1;
-	struct mesh *mesh = mesh_create(
-		seed, &layout,
-		mesh_lists(1, plan, plan / 5 + 1, soft_ms, 400, floor));
+	double plan_rate = scenario->plan_rate > 0 ? scenario->plan_rate : 1e6;
+	int soft_ms = scenario->soft_ms ? scenario->soft_ms : 400;
+	double coverage_floor =
+		scenario->coverage_floor > 0 ? scenario->coverage_floor : 1;
+	struct mesh *mesh =
+		mesh_create(seed, &layout,
+			    mesh_lists(1, plan_rate, plan_rate / 5 + 1, soft_ms,
+				       400, coverage_floor));
 
 	mesh->latency_us = 100;
 	mesh->far_us = 1000;
 	mesh->straggle_factor = 10;
-	mesh->permits = choice->permits;
-	mesh->service_us = choice->service_us ? choice->service_us : 3 * MS;
-	mesh->cold_us = choice->cold_us ? choice->cold_us : SECOND;
+	mesh->permits = scenario->permits;
+	mesh->service_us = scenario->service_us ? scenario->service_us : 3 * MS;
+	mesh->cold_us = scenario->cold_us ? scenario->cold_us : SECOND;
 	for (int i = 0; i < NODES; i++) {
-		mesh->nodes[i].opt.direct = choice->direct;
+		mesh->nodes[i].opt.direct = scenario->direct;
 		mesh->nodes[i].opt.max_open = 4000;
-		mesh->nodes[i].opt.off.no_ramp = choice->no_ramp;
+		mesh->nodes[i].opt.off.no_ramp = scenario->no_ramp;
 	}
 	mesh_start_all(mesh);
 	return mesh;
 }
 
-static void load(struct mesh *mesh, const struct choice *choice, int64_t us)
+static void drive_load(struct mesh *mesh, const struct scenario *scenario,
+		       int64_t us)
 {
 	int64_t end = mesh->now + us;
-	int senders = choice->senders ? choice->senders : NODES;
+	int senders = scenario->senders ? scenario->senders : NODES;
 	struct rng rng = { .seed = seed + 99 };
 
 	while (mesh->now < end) {
@@ -118,17 +122,18 @@
 		mesh_call(mesh, (int)rng_below(&rng, (uint64_t)senders), EV_ASK,
 			  "{\"customer\":\"mill\",\"request_id\":\"r\","
 			  "\"indexes\":[\"orders\"]}");
-		mesh_run(mesh, (int64_t)(-log(1 - u) / choice->rate * 1e6));
+		mesh_run(mesh, (int64_t)(-log(1 - u) / scenario->rate * 1e6));
 	}
 }
 
-static void disturb(struct mesh *mesh, const struct choice *choice)
+static void apply_target_faults(struct mesh *mesh,
+				const struct scenario *scenario)
 {
-	for (size_t i = 0; choice->restart && i < mesh->ntargets;
-	     i += (size_t)choice->restart)
+	for (size_t i = 0; scenario->restart_every && i < mesh->ntargets;
+	     i += (size_t)scenario->restart_every)
 		mesh_cold(mesh, &mesh->targets[i]);
-	for (size_t i = 0; choice->lacking && i < mesh->ntargets;
-	     i += (size_t)choice->lacking)
+	for (size_t i = 0; scenario->lacks_every && i < mesh->ntargets;
+	     i += (size_t)scenario->lacks_every)
 		mesh->targets[i].lacks = 2;
 }
 
@@ -143,17 +148,18 @@
 	return 0;
 }
 
-static void lose_node(struct mesh *mesh, const struct choice *choice)
+static void apply_node_faults(struct mesh *mesh,
+			      const struct scenario *scenario)
 {
-	if (choice->kill)
+	if (scenario->kill)
 		mesh_kill(mesh, NODES - 1);
-	if (choice->stop)
+	if (scenario->stop)
 		mesh_feed(mesh, NODES - 1, (struct event){ .type = EV_LEAVE });
-	if (choice->kill_owner)
+	if (scenario->kill_owner)
 		mesh_kill(mesh, bucket_owner(mesh));
 }
 
-static uint64_t started(const struct mesh *mesh)
+static uint64_t requests_started(const struct mesh *mesh)
 {
 	uint64_t sum = 0;
 
@@ -175,7 +181,7 @@
 	return peak;
 }
 
-static void report(struct mesh *mesh, const struct choice *choice,
+static void report(struct mesh *mesh, const struct scenario *scenario,
 		   const char *part, size_t from, uint64_t before)
 {
 	size_t asked = mesh->nanswers - from;
@@ -204,50 +210,50 @@
 		latency[answered++] =
 			(double)(answer->at - answer->asked_at) / MS;
 	}
-	qsort(latency, answered, sizeof(*latency), by_value);
+	qsort(latency, answered, sizeof(*latency), compare_doubles);
 	printf("{\"part\":\"%s\",\"choice\":\"%s\",\"asked\":%zu,"
 	       "\"answered\":%zu,\"whole\":%zu,\"partial\":%zu",
-	       part, choice->name, asked, answered, whole, partial);
+	       part, scenario->name, asked, answered, whole, partial);
 	if (answered)
 		printf(",\"p50_ms\":%.2f,\"p99_ms\":%.2f,"
 		       "\"coverage_mean\":%.4f,\"requests_per_leaf\":%.4f",
 		       latency[answered / 2],
 		       latency[(size_t)(0.99 * (double)answered)],
 		       coverage / (double)answered,
-		       (double)(started(mesh) - before) /
+		       (double)(requests_started(mesh) - before) /
 			       ((double)answered * TARGETS));
 	printf(",\"peak_cold\":%d", peak_cold(mesh, &overruns));
 	printf(",\"overruns\":%llu,\"goodput\":%.1f}\n",
-	       (unsigned long long)overruns, (double)whole / choice->seconds);
+	       (unsigned long long)overruns, (double)whole / scenario->seconds);
 	fflush(stdout);
 	free(latency);
 }
 
-static void run(const char *part, const struct choice *choice)
+static void run_scenario(const char *part, const struct scenario *scenario)
 {
-	struct mesh *mesh = build(choice);
-	struct choice gentle = *choice;
+	struct mesh *mesh = create_mesh(scenario);
+	struct scenario warmup = *scenario;
 	uint64_t before;
 	size_t from;
 
-	gentle.rate = choice->plan > 0 ? choice->plan / 4 : 20;
-	configure(mesh, choice);
-	load(mesh, &gentle, 6 * SECOND);
+	warmup.rate = scenario->plan_rate > 0 ? scenario->plan_rate / 4 : 20;
+	configure(mesh, scenario);
+	drive_load(mesh, &warmup, 6 * SECOND);
 	mesh_run(mesh, SECOND);
 	for (size_t i = 0; i < mesh->ntargets; i++)
 		mesh->targets[i].overruns = 0;
 	from = mesh->nanswers;
-	before = started(mesh);
-	load(mesh, choice, choice->seconds * SECOND / 3);
-	disturb(mesh, choice);
-	lose_node(mesh, choice);
-	load(mesh, choice, choice->seconds * SECOND * 2LL / 3);
+	before = requests_started(mesh);
+	drive_load(mesh, scenario, scenario->seconds * SECOND / 3);
+	apply_target_faults(mesh, scenario);
+	apply_node_faults(mesh, scenario);
+	drive_load(mesh, scenario, scenario->seconds * SECOND * 2LL / 3);
 	mesh_run(mesh, SECOND);
-	report(mesh, choice, part, from, before);
+	report(mesh, scenario, part, from, before);
 	mesh_destroy(mesh);
 }
 
-static const struct choice gates[] = {
+static const struct scenario gates[] = {
 	{ .name = "gate, 30/s", .rate = 30, .seconds = 9 },
 	{ .name = "direct 1/n, 30/s",
 	  .rate = 30,
@@ -261,11 +267,11 @@
 	{ .name = "gate, tenth restarts",
 	  .rate = 60,
 	  .seconds = 9,
-	  .restart = 10 },
+	  .restart_every = 10 },
 	{ .name = "direct 1/n, tenth restarts",
 	  .rate = 60,
 	  .seconds = 9,
-	  .restart = 10,
+	  .restart_every = 10,
 	  .direct = true },
 	{ .name = "permits, 30/s", .rate = 30, .seconds = 9, .permits = true },
 	{ .name = "permits, 300/s",
@@ -275,11 +281,11 @@
 	{ .name = "permits, tenth restarts",
 	  .rate = 60,
 	  .seconds = 9,
-	  .restart = 10,
+	  .restart_every = 10,
 	  .permits = true },
 };
 
-static const struct choice hedging[] = {
+static const struct scenario hedging[] = {
 	{ .name = "no straggler, quantile", .rate = 60, .seconds = 15 },
 	{ .name = "no straggler, none",
 	  .rate = 60,
@@ -328,7 +334,7 @@
 };
 
 /* Slots carry 113 * 2 / 30 ms / 113 = 66 questions a second. */
-static const struct choice admission[] = {
+static const struct scenario admission[] = {
 	{ .name = "1.0x, steered",
 	  .rate = 66,
 	  .seconds = 9,
@@ -353,52 +359,55 @@
 	  .no_admission = true },
 };
 
-static const struct choice ramp[] = {
-	{ .name = "ramp, cold 1 s", .rate = 100, .seconds = 9, .restart = 10 },
+static const struct scenario ramp[] = {
+	{ .name = "ramp, cold 1 s",
+	  .rate = 100,
+	  .seconds = 9,
+	  .restart_every = 10 },
 	{ .name = "no ramp, cold 1 s",
 	  .rate = 100,
 	  .seconds = 9,
-	  .restart = 10,
+	  .restart_every = 10,
 	  .no_ramp = true },
 	{ .name = "ramp, cold 4 s",
 	  .rate = 100,
 	  .seconds = 12,
-	  .restart = 10,
+	  .restart_every = 10,
 	  .cold_us = 4 * SECOND },
 	{ .name = "no ramp, cold 4 s",
 	  .rate = 100,
 	  .seconds = 12,
-	  .restart = 10,
+	  .restart_every = 10,
 	  .cold_us = 4 * SECOND,
 	  .no_ramp = true },
 };
 
-static const struct choice quota[] = {
-	{ .name = "leases, even", .rate = 90, .seconds = 9, .plan = 30 },
+static const struct scenario quota[] = {
+	{ .name = "leases, even", .rate = 90, .seconds = 9, .plan_rate = 30 },
 	{ .name = "split, even",
 	  .rate = 90,
 	  .seconds = 9,
-	  .plan = 30,
+	  .plan_rate = 30,
 	  .split = true },
 	{ .name = "leases, two nodes",
 	  .rate = 90,
 	  .seconds = 9,
-	  .plan = 30,
+	  .plan_rate = 30,
 	  .senders = 2 },
 	{ .name = "split, two nodes",
 	  .rate = 90,
 	  .seconds = 9,
-	  .plan = 30,
+	  .plan_rate = 30,
 	  .split = true,
 	  .senders = 2 },
 	{ .name = "leases, owner killed",
 	  .rate = 90,
 	  .seconds = 9,
-	  .plan = 30,
+	  .plan_rate = 30,
 	  .kill_owner = true },
 };
 
-static const struct choice moves[] = {
+static const struct scenario moves[] = {
 	{ .name = "no move", .rate = 120, .seconds = 9, .senders = NODES - 1 },
 	{ .name = "gate killed",
 	  .rate = 120,
@@ -412,60 +421,60 @@
 	  .stop = true },
 };
 
-static const struct choice snapshots[] = {
+static const struct scenario snapshots[] = {
 	{ .name = "all have the newest", .rate = 30, .seconds = 9 },
 	{ .name = "a third lacks it, floor 1",
 	  .rate = 30,
 	  .seconds = 9,
-	  .lacking = 3 },
+	  .lacks_every = 3 },
 	{ .name = "all lack it, floor 1",
 	  .rate = 30,
 	  .seconds = 9,
-	  .lacking = 1 },
+	  .lacks_every = 1 },
 	{ .name = "all lack it, floor 0.5",
 	  .rate = 30,
 	  .seconds = 9,
-	  .lacking = 1,
-	  .floor = 0.5 },
+	  .lacks_every = 1,
+	  .coverage_floor = 0.5 },
 };
 
 /* Latency against coverage: the floor is 0.95, a straggler a question. */
-static const struct choice soft[] = {
+static const struct scenario soft[] = {
 	{ .name = "soft 400 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .floor = 0.95,
+	  .coverage_floor = 0.95,
 	  .soft_ms = 400 },
 	{ .name = "soft 20 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .floor = 0.95,
+	  .coverage_floor = 0.95,
 	  .soft_ms = 20 },
 	{ .name = "soft 15 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .floor = 0.95,
+	  .coverage_floor = 0.95,
 	  .soft_ms = 15 },
 	{ .name = "soft 12 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .floor = 0.95,
+	  .coverage_floor = 0.95,
 	  .soft_ms = 12 },
 	{ .name = "soft 9 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .floor = 0.95,
+	  .coverage_floor = 0.95,
 	  .soft_ms = 9 },
 	{ .name = "soft 12 ms, no hedges",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .floor = 0.95,
+	  .coverage_floor = 0.95,
 	  .soft_ms = 12,
 	  .no_hedge = true },
 };
@@ -476,7 +485,7 @@
 	}
 static const struct {
 	const char *name;
-	const struct choice *choices;
+	const struct scenario *scenarios;
 	size_t count;
 } parts[] = {
 	PART(gates), PART(hedging),   PART(admission), PART(ramp),
@@ -492,7 +501,7 @@
 		if (argc > 1 && strcmp(argv[1], parts[i].name))
 			continue;
 		for (size_t j = 0; j < parts[i].count; j++)
-			run(parts[i].name, &parts[i].choices[j]);
+			run_scenario(parts[i].name, &parts[i].scenarios[j]);
 	}
 	return 0;
 }
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -19,12 +19,12 @@
 #include "../xmalloc.h"
 
 enum {
-	US = 1000000,
-	WARM = 20,
-	OPEN = 200
+	US_PER_S = 1000000,
+	WARMUP_QUESTIONS = 20,
+	OPEN_QUESTIONS = 200
 };
 
-static double cpu_now(void)
+static double cpu_seconds(void)
 {
 	struct timespec ts;
 
@@ -33,7 +33,7 @@
 }
 
 /* Resident bytes: APR's pools are not seen by the heap's own books. */
-static double heap_now(void)
+static double resident_bytes(void)
 {
 	FILE *statm = fopen("/proc/self/statm", "r");
 	long size = 0;
@@ -95,62 +95,63 @@
 	return out.ptr;
 }
 
-/** struct rig - a node whose targets answer at once */
-struct rig {
+/** struct fixture - a node whose targets answer at once */
+struct fixture {
 	struct node *node;
 	struct effects fx;
 	int64_t now;
 	uint64_t caller;
 	uint64_t leafs;
 	uint64_t events;
-	bool hold; /* targets do not answer */
+	bool withhold_replies; /* targets do not answer */
 };
 
-static void feed(struct rig *rig, struct event event)
+static void feed(struct fixture *fixture, struct event event)
 {
-	event.now = rig->now;
-	rig->events++;
-	node_reduce(rig->node, &event, &rig->fx);
+	event.now = fixture->now;
+	fixture->events++;
+	node_reduce(fixture->node, &event, &fixture->fx);
 }
 
-static void answer_leaf(struct rig *rig, const struct effect *fx)
+static void answer_leaf(struct fixture *fixture, const struct effect *fx)
 {
-	struct fetch_response got = { .result = FETCH_OK,
-				      .status = 200,
-				      .boot = 1,
-				      .job = fx->job,
-				      .shard = fx->shard,
-				      .version = fx->version,
-				      .load = -1,
-				      .body = STR("[{\"a\":1}]") };
-
-	rig->leafs++;
-	feed(rig, (struct event){ .type = EV_FETCHED,
-				  .id = fx->id,
-				  .fetch_response = &got });
+	struct fetch_response response = { .result = FETCH_OK,
+					   .status = 200,
+					   .boot = 1,
+					   .job = fx->job,
+					   .shard = fx->shard,
+					   .version = fx->version,
+					   .load = -1,
+					   .body = STR("[{\"a\":1}]") };
+
+	fixture->leafs++;
+	feed(fixture, (struct event){ .type = EV_FETCHED,
+				      .id = fx->id,
+				      .fetch_response = &response });
 }
 
-static void settle(struct rig *rig)
+static void run_effects(struct fixture *fixture)
 {
-	for (size_t i = 0; i < rig->fx.count; i++) {
-		struct effect fx = rig->fx.list[i];
+	for (size_t i = 0; i < fixture->fx.count; i++) {
+		struct effect fx = fixture->fx.list[i];
 
-		if (fx.type == FX_FETCH && fx.fetch == FETCH_LEAF && !rig->hold)
-			answer_leaf(rig, &fx);
+		if (fx.type == FX_FETCH && fx.fetch == FETCH_LEAF &&
+		    !fixture->withhold_replies)
+			answer_leaf(fixture, &fx);
 	}
-	effects_clear(&rig->fx);
+	effects_clear(&fixture->fx);
 }
 
-static void pass(struct rig *rig, int64_t us)
+static void advance_time(struct fixture *fixture, int64_t us)
 {
-	for (int64_t end = rig->now + us; rig->now < end;) {
-		rig->now += 50000;
-		feed(rig, (struct event){ .type = EV_TICK });
-		settle(rig);
+	for (int64_t end = fixture->now + us; fixture->now < end;) {
+		fixture->now += 50000;
+		feed(fixture, (struct event){ .type = EV_TICK });
+		run_effects(fixture);
 	}
 }
 
-static void start(struct rig *rig, int targets, int asked, int vms,
+static void start(struct fixture *fixture, int targets, int asked, int vms,
 		  int customers)
 {
 	struct node_options opt = { .addr = STR("10.0.0.0:7"),
@@ -161,100 +162,100 @@
 	char *fleet = make_fleet(targets, asked, vms);
 	char *lists = make_lists(customers);
 
-	*rig = (struct rig){ .now = US };
-	effects_init(&rig->fx, NULL);
-	rig->node = node_create(&opt, rig->now, &rig->fx);
-	settle(rig);
-	feed(rig, (struct event){ .type = EV_DOC,
-				  .doc = DOC_LISTS,
-				  .body = str_of(lists) });
-	feed(rig, (struct event){ .type = EV_DOC,
-				  .doc = DOC_FLEET,
-				  .body = str_of(fleet) });
-	settle(rig);
-	pass(rig, 4 * US);
+	*fixture = (struct fixture){ .now = US_PER_S };
+	effects_init(&fixture->fx, NULL);
+	fixture->node = node_create(&opt, fixture->now, &fixture->fx);
+	run_effects(fixture);
+	feed(fixture, (struct event){ .type = EV_DOC,
+				      .doc = DOC_LISTS,
+				      .body = str_of(lists) });
+	feed(fixture, (struct event){ .type = EV_DOC,
+				      .doc = DOC_FLEET,
+				      .body = str_of(fleet) });
+	run_effects(fixture);
+	advance_time(fixture, 4 * US_PER_S);
 	free(fleet);
 	free(lists);
 }
 
-static void stop(struct rig *rig)
+static void stop(struct fixture *fixture)
 {
-	effects_clear(&rig->fx);
-	node_destroy(rig->node);
-	effects_free(&rig->fx);
+	effects_clear(&fixture->fx);
+	node_destroy(fixture->node);
+	effects_free(&fixture->fx);
 }
 
-static void ask(struct rig *rig)
+static void ask(struct fixture *fixture)
 {
-	feed(rig,
+	feed(fixture,
 	     (struct event){ .type = EV_ASK,
-			     .id = ++rig->caller,
+			     .id = ++fixture->caller,
 			     .body = STR("{\"customer\":\"c0\",\"request_id\":"
 					 "\"r\",\"indexes\":[\"asked\"]}") });
-	settle(rig);
+	run_effects(fixture);
 }
 
 /* Fan-out: processor time a leaf request, events a second, bytes a question
  * that is open, allocations of effects aside. */
 static void bench_leafs(int asked, int targets)
 {
-	struct rig rig;
+	struct fixture fixture;
 	int rounds = 200000 / asked + 10;
 	double begin;
 	double spent;
-	double heap;
+	double memory;
 
-	start(&rig, targets, asked, 1, 1);
-	for (int i = 0; i < WARM; i++)
-		ask(&rig);
-	rig.leafs = rig.events = 0;
-	begin = cpu_now();
+	start(&fixture, targets, asked, 1, 1);
+	for (int i = 0; i < WARMUP_QUESTIONS; i++)
+		ask(&fixture);
+	fixture.leafs = fixture.events = 0;
+	begin = cpu_seconds();
 	for (int i = 0; i < rounds; i++) {
-		rig.now += 1000;
-		ask(&rig);
+		fixture.now += 1000;
+		ask(&fixture);
 	}
-	spent = cpu_now() - begin;
-	rig.hold = true;
-	heap = heap_now();
-	for (int i = 0; i < OPEN; i++)
-		ask(&rig);
-	heap = (heap_now() - heap) / OPEN;
+	spent = cpu_seconds() - begin;
+	fixture.withhold_replies = true;
+	memory = resident_bytes();
+	for (int i = 0; i < OPEN_QUESTIONS; i++)
+		ask(&fixture);
+	memory = (resident_bytes() - memory) / OPEN_QUESTIONS;
 	printf("{\"bench\":\"leafs\",\"x\":%d,\"targets\":%d,"
 	       "\"ns_per_leaf\":%.0f,\"us_per_question\":%.1f,"
 	       "\"events_per_s\":%.0f,\"bytes_per_question\":%.0f}\n",
-	       asked, targets, spent * 1e9 / (double)rig.leafs,
-	       spent * 1e6 / rounds, (double)rig.events / spent, heap);
-	stop(&rig);
+	       asked, targets, spent * 1e9 / (double)fixture.leafs,
+	       spent * 1e6 / rounds, (double)fixture.events / spent, memory);
+	stop(&fixture);
 }
 
 /* Targets that the node knows of: bytes and time of a changed view. */
 static void bench_targets(int targets, int vms)
 {
-	struct rig rig;
-	double heap = heap_now();
+	struct fixture fixture;
+	double memory = resident_bytes();
 	double begin;
 	double spent;
 
-	start(&rig, targets, 10, vms, 1);
-	heap = heap_now() - heap;
-	begin = cpu_now();
+	start(&fixture, targets, 10, vms, 1);
+	memory = resident_bytes() - memory;
+	begin = cpu_seconds();
 	for (int i = 0; i < 20; i++) {
-		rig.node->fx = &rig.fx;
-		node_view_changed(rig.node);
-		rig.node->fx = NULL;
-		settle(&rig);
+		fixture.node->fx = &fixture.fx;
+		node_view_changed(fixture.node);
+		fixture.node->fx = NULL;
+		run_effects(&fixture);
 	}
-	spent = (cpu_now() - begin) / 20;
+	spent = (cpu_seconds() - begin) / 20;
 	printf("{\"bench\":\"targets\",\"x\":%d,\"vms\":%d,\"bytes\":%.0f,"
 	       "\"view_change_ms\":%.3f}\n",
-	       targets, vms, heap, spent * 1e3);
-	stop(&rig);
+	       targets, vms, memory, spent * 1e3);
+	stop(&fixture);
 }
 
 /* VMs: a heartbeat period of all-to-all, time and bytes on the wire. */
 static void bench_members(int vms)
 {
-	struct rig rig;
+	struct fixture fixture;
 	struct msg msg = { .kind = MSG_HEARTBEAT,
 			   .version = 1000,
 			   .hash = 1ULL << 60,
@@ -267,22 +268,22 @@
 	int rounds = 2000 / vms + 5;
 	double spent;
 
-	start(&rig, 10, 10, vms, 1);
+	start(&fixture, 10, 10, vms, 1);
 	frame_encode(&(struct frame){ .from = STR("10.0.0.0:7"),
 				      .from_incarnation = 1ULL << 60,
 				      .msgs = &msg,
 				      .count = 1 },
 		     &bytes);
-	msg.version = rig.node->lists->version;
-	msg.hash = rig.node->lists->hash;
-	msg.version2 = rig.node->fleet->version;
-	msg.hash2 = rig.node->fleet->hash;
-	spent = cpu_now();
+	msg.version = fixture.node->lists->version;
+	msg.hash = fixture.node->lists->hash;
+	msg.version2 = fixture.node->fleet->version;
+	msg.hash2 = fixture.node->fleet->hash;
+	spent = cpu_seconds();
 	/* The first period is all joins; it is not counted. */
 	for (int r = -1; r < rounds; r++) {
 		if (!r)
-			spent = cpu_now();
-		rig.now += HEARTBEAT_PERIOD_US;
+			spent = cpu_seconds();
+		fixture.now += HEARTBEAT_PERIOD_US;
 		for (int i = 1; i < vms; i++) {
 			char addr[32];
 			struct frame frame;
@@ -293,64 +294,65 @@
 			/* Receiving costs a decode, sending an encode. */
 			if (frame_decode(buf_str(&bytes), &frame, &err) > 0)
 				frame_free(&frame);
-			feed(&rig, (struct event){ .type = EV_MSG,
-						   .from = str_of(addr),
-						   .incarnation = 1ULL << 60,
-						   .msg = &msg });
+			feed(&fixture,
+			     (struct event){ .type = EV_MSG,
+					     .from = str_of(addr),
+					     .incarnation = 1ULL << 60,
+					     .msg = &msg });
 		}
-		feed(&rig, (struct event){ .type = EV_TICK });
-		for (size_t i = 0; i < rig.fx.count; i++) {
+		feed(&fixture, (struct event){ .type = EV_TICK });
+		for (size_t i = 0; i < fixture.fx.count; i++) {
 			struct buf out = { 0 };
 			struct frame frame = {
 				.from = STR("10.0.0.0:7"),
 				.from_incarnation = 1ULL << 60,
-				.msgs = &rig.fx.list[i].msg,
+				.msgs = &fixture.fx.list[i].msg,
 				.count = 1,
 			};
 
-			if (rig.fx.list[i].type == FX_SEND)
+			if (fixture.fx.list[i].type == FX_SEND)
 				frame_encode(&frame, &out);
 			buf_free(&out);
 		}
-		effects_clear(&rig.fx);
+		effects_clear(&fixture.fx);
 	}
-	spent = (cpu_now() - spent) / rounds;
+	spent = (cpu_seconds() - spent) / rounds;
 	printf("{\"bench\":\"members\",\"x\":%d,\"us_per_period\":%.1f,"
 	       "\"core_percent\":%.3f,\"frame_bytes\":%zu,"
 	       "\"bytes_per_s_each_way\":%.0f}\n",
 	       vms, spent * 1e6, spent * 1e6 * 100 / HEARTBEAT_PERIOD_US,
 	       bytes.len,
-	       (double)bytes.len * (vms - 1) * US / HEARTBEAT_PERIOD_US);
+	       (double)bytes.len * (vms - 1) * US_PER_S / HEARTBEAT_PERIOD_US);
 	buf_free(&bytes);
-	stop(&rig);
+	stop(&fixture);
 }
 
 /* A node starts in the largest fleet: all others are heard within a second. */
 static void bench_joins(int vms)
 {
-	struct rig rig;
+	struct fixture fixture;
 	struct msg msg = { .kind = MSG_HEARTBEAT,
 			   .state = VM_LIVE,
 			   .name = STR("d3") };
 	double spent;
 
-	start(&rig, 5600, 10, vms, 1);
-	spent = cpu_now();
+	start(&fixture, 5600, 10, vms, 1);
+	spent = cpu_seconds();
 	for (int i = 1; i < vms; i++) {
 		char addr[32];
 
-		rig.now += US / vms;
+		fixture.now += US_PER_S / vms;
 		snprintf(addr, sizeof(addr), "10.0.%d.%d:7", i / 250, i % 250);
-		feed(&rig, (struct event){ .type = EV_MSG,
-					   .from = str_of(addr),
-					   .incarnation = 1,
-					   .msg = &msg });
-		effects_clear(&rig.fx);
+		feed(&fixture, (struct event){ .type = EV_MSG,
+					       .from = str_of(addr),
+					       .incarnation = 1,
+					       .msg = &msg });
+		effects_clear(&fixture.fx);
 	}
 	printf("{\"bench\":\"joins\",\"x\":%d,\"targets\":5600,"
 	       "\"cpu_ms\":%.1f}\n",
-	       vms, (cpu_now() - spent) * 1e3);
-	stop(&rig);
+	       vms, (cpu_seconds() - spent) * 1e3);
+	stop(&fixture);
 }
 
 /* Documents: bytes and time to take one. */
@@ -358,15 +360,15 @@
 {
 	char *body = make_fleet(targets, 10, vms);
 	struct error err;
-	double begin = cpu_now();
-	double heap = heap_now();
+	double begin = cpu_seconds();
+	double memory = resident_bytes();
 	struct fleet *fleet = fleet_parse(str_of(body), &err);
 
-	heap = heap_now() - heap;
+	memory = resident_bytes() - memory;
 	printf("{\"bench\":\"docs\",\"x\":%d,\"vms\":%d,\"body_bytes\":%zu,"
 	       "\"parse_ms\":%.2f,\"bytes\":%.0f,\"accepted\":%d}\n",
-	       targets, vms, strlen(body), (cpu_now() - begin) * 1e3, heap,
-	       fleet != NULL);
+	       targets, vms, strlen(body), (cpu_seconds() - begin) * 1e3,
+	       memory, fleet != NULL);
 	fleet_unref(fleet);
 	free(body);
 }
@@ -374,11 +376,11 @@
 /* Customers: bytes of an account, and of a line of the lists. */
 static void bench_customers(int customers)
 {
-	struct rig rig;
-	double heap;
+	struct fixture fixture;
+	double memory;
 
-	start(&rig, 10, 10, 1, customers);
-	heap = heap_now();
+	start(&fixture, 10, 10, 1, customers);
+	memory = resident_bytes();
 	for (int i = 0; i < customers; i++) {
 		char body[120];
 
@@ -386,54 +388,55 @@
 			 "{\"customer\":\"c%d\",\"request_id\":\"r\","
 			 "\"indexes\":[\"asked\"]}",
 			 i);
-		feed(&rig, (struct event){ .type = EV_ASK,
-					   .id = ++rig.caller,
-					   .body = str_of(body) });
-		settle(&rig);
+		feed(&fixture, (struct event){ .type = EV_ASK,
+					       .id = ++fixture.caller,
+					       .body = str_of(body) });
+		run_effects(&fixture);
 	}
-	heap = heap_now() - heap;
+	memory = resident_bytes() - memory;
 	printf("{\"bench\":\"customers\",\"x\":%d,\"bytes\":%.0f}\n", customers,
-	       heap);
-	stop(&rig);
+	       memory);
+	stop(&fixture);
 }
 
 /* Resident bytes over a long run; under valgrind, allocations a leaf. */
 static void bench_growth(int questions)
 {
-	struct rig rig;
+	struct fixture fixture;
 
-	start(&rig, 260, 260, 1, 1);
+	start(&fixture, 260, 260, 1, 1);
 	for (int step = 0; step < 6; step++) {
 		for (int i = 0; i < questions; i++) {
-			rig.now += 2000;
-			ask(&rig);
+			fixture.now += 2000;
+			ask(&fixture);
 		}
 		printf("{\"bench\":\"growth\",\"leafs\":%llu,"
 		       "\"resident_kb\":%.0f}\n",
-		       (unsigned long long)rig.leafs, heap_now() / 1024);
+		       (unsigned long long)fixture.leafs,
+		       resident_bytes() / 1024);
 	}
-	stop(&rig);
+	stop(&fixture);
 }
 
 /* Records of entries that were concluded: bytes each. */
 static void bench_records(int records)
 {
-	struct rig rig;
-	double heap;
+	struct fixture fixture;
+	double memory;
 
-	start(&rig, 10, 10, 1, 1);
-	heap = heap_now();
+	start(&fixture, 10, 10, 1, 1);
+	memory = resident_bytes();
 	for (int i = 0; i < records; i++) {
 		char body[400];
 		char ticket[160] = "";
 
-		feed(&rig,
+		feed(&fixture,
 		     (struct event){ .type = EV_TICKET,
-				     .id = ++rig.caller,
+				     .id = ++fixture.caller,
 				     .body = STR("{\"customer\":\"c0\","
 						 "\"request_id\":\"r\"}") });
-		for (size_t n = 0; n < rig.fx.count; n++) {
-			struct str answer = rig.fx.list[n].body;
+		for (size_t n = 0; n < fixture.fx.count; n++) {
+			struct str answer = fixture.fx.list[n].body;
 			const char *at =
 				memmem(answer.ptr ? answer.ptr : "", answer.len,
 				       "\"ticket\":\"", 10);
@@ -441,58 +444,58 @@
 			if (at)
 				sscanf(at + 10, "%150[^\"]", ticket);
 		}
-		settle(&rig);
+		run_effects(&fixture);
 		snprintf(body, sizeof(body),
 			 "{\"customer\":\"c0\",\"request_id\":\"r\","
 			 "\"ticket\":\"%s\",\"index\":\"rest\","
 			 "\"key\":1,\"entry\":{\"tubes\":40}}",
 			 ticket);
-		feed(&rig, (struct event){ .type = EV_ENTRY,
-					   .id = ++rig.caller,
-					   .body = str_of(body) });
-		settle(&rig);
+		feed(&fixture, (struct event){ .type = EV_ENTRY,
+					       .id = ++fixture.caller,
+					       .body = str_of(body) });
+		run_effects(&fixture);
 	}
-	heap = heap_now() - heap;
+	memory = resident_bytes() - memory;
 	printf("{\"bench\":\"records\",\"x\":%d,\"bytes\":%.0f,"
 	       "\"not_run\":%llu}\n",
-	       records, heap,
-	       (unsigned long long)rig.node->counters[CNT_ENTRIES_NOT_RUN]);
-	stop(&rig);
+	       records, memory,
+	       (unsigned long long)fixture.node->counters[CNT_ENTRIES_NOT_RUN]);
+	stop(&fixture);
 }
 
 int main(int argc, char **argv)
 {
 	static const int sizes[] = { 10, 100, 260, 1000, 5600 };
 	static const int vms[] = { 9, 100, 300, 910 };
-	const char *what = argc > 1 ? argv[1] : "";
+	const char *bench = argc > 1 ? argv[1] : "";
 
 	apr_initialize();
-	if (!strcmp(what, "growth"))
+	if (!strcmp(bench, "growth"))
 		bench_growth(argc > 2 ? atoi(argv[2]) : 8000);
 	for (size_t i = 0; i < 5; i++) {
-		if (!strcmp(what, "leafs"))
+		if (!strcmp(bench, "leafs"))
 			bench_leafs(sizes[i], sizes[i]);
-		if (!strcmp(what, "targets"))
+		if (!strcmp(bench, "targets"))
 			bench_targets(sizes[i], 9);
-		if (!strcmp(what, "docs"))
+		if (!strcmp(bench, "docs"))
 			bench_docs(sizes[i], 9);
-		if (!strcmp(what, "customers"))
+		if (!strcmp(bench, "customers"))
 			bench_customers(sizes[i]);
-		if (!strcmp(what, "records"))
+		if (!strcmp(bench, "records"))
 			bench_records(sizes[i]);
 	}
 	/* Flat in the number of targets: the same fan-out, more of them. */
-	for (size_t i = 2; i < 5 && !strcmp(what, "leafs"); i++)
+	for (size_t i = 2; i < 5 && !strcmp(bench, "leafs"); i++)
 		bench_leafs(260, sizes[i]);
 	for (size_t i = 0; i < 4; i++) {
-		if (!strcmp(what, "members"))
+		if (!strcmp(bench, "members"))
 			bench_members(vms[i]);
-		if (!strcmp(what, "joins"))
+		if (!strcmp(bench, "joins"))
 			bench_joins(vms[i]);
-		if (!strcmp(what, "targets"))
+		if (!strcmp(bench, "targets"))
 			bench_targets(5600, vms[i]);
 	}
-	if (!strcmp(what, "docs"))
+	if (!strcmp(bench, "docs"))
 		bench_docs(5600, 910);
 	return 0;
 }
