--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "..", "tests"))
 
-from world import BUILD, THIVA, World  # noqa: E402
+from cluster import BUILD, THIVA, Cluster  # noqa: E402
 
 RATES = (10, 25, 50, 75, 100)
 
@@ -26,15 +26,15 @@
 
 def main():
     seconds = sys.argv[1] if len(sys.argv) > 1 else "5"
-    with World(THIVA, nodes=1, base=16000,
-               targets=["service_us=1000"]) as w:
-        pid = w.procs["node0"].pid
+    with Cluster(THIVA, nodes=1, base=16000,
+                 targets=["service_us=1000"]) as c:
+        pid = c.procs["node0"].pid
 
         def run(rate):
             before = cpu_s(pid)
             done = subprocess.run(
-                [f"{BUILD}/bench/load", w.nodes[0]["callers"], str(rate),
-                 seconds, "mill-7", ",".join(w.site["indexes"])],
+                [f"{BUILD}/bench/load", c.nodes[0]["callers"], str(rate),
+                 seconds, "mill-7", ",".join(c.site["indexes"])],
                 stdout=subprocess.PIPE, check=True)
             got = json.loads(done.stdout)
             got["cpu_ms_per_question"] = round(
--- a/bench/draw.py
+++ b/bench/draw.py
@@ -12,7 +12,7 @@
 import subprocess
 import sys
 
-HEAD = "set terminal pngcairo size 760,420\nset grid y\nset key off\n"
+PREAMBLE = "set terminal pngcairo size 760,420\nset grid y\nset key off\n"
 
 
 def means(rows, part):
@@ -27,7 +27,7 @@
 
 
 def plot(name, body, data):
-    text = HEAD + f"set output 'docs/{name}.png'\n" + body + data + "e\n"
+    text = PREAMBLE + f"set output 'docs/{name}.png'\n" + body + data + "e\n"
     subprocess.run(["gnuplot"], input=text, text=True, check=True)
 
 
--- a/bench/heavy.py
+++ b/bench/heavy.py
@@ -30,13 +30,13 @@
 """
 
 
-def read(path):
+def read_credits(path):
     with open(path, encoding="utf-8") as file:
         return {m[1]: float(m[2]) for m in LINE.finditer(file.read())}
 
 
 def main():
-    old, new = read(sys.argv[1]), read(sys.argv[2])
+    old, new = read_credits(sys.argv[1]), read_credits(sys.argv[2])
     names = [name for name in new if name in old]
     rows = ["".join(f'"{name}" {run[name]}\n' for name in names) + "e\n"
             for run in (old, new)]
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "..", "tests"))
 
-from world import BUILD, THIVA, UUSIMAA, World, wait_for  # noqa: E402
+from cluster import BUILD, THIVA, UUSIMAA, Cluster, wait_for  # noqa: E402
 
 SITES = {"thiva": THIVA, "uusimaa": UUSIMAA}
 NODES, RATE = 6, 30
@@ -25,97 +25,97 @@
 COLD_US = 1000000
 
 
-def callers(world, rate, seconds, seed=1):
-    addrs = ",".join(n["callers"] for n in world.nodes
-                     if world.alive(n["name"]))
+def start_load(cluster, rate, seconds, seed=1):
+    addrs = ",".join(n["callers"] for n in cluster.nodes
+                     if cluster.alive(n["name"]))
     return subprocess.Popen(
         [f"{BUILD}/bench/load", addrs, str(rate), str(seconds), "mill-7",
-         ",".join(world.site["indexes"]), str(seed)], stdout=subprocess.PIPE)
+         ",".join(cluster.site["indexes"]), str(seed)], stdout=subprocess.PIPE)
 
 
-def result(proc):
+def load_result(proc):
     return json.loads(proc.communicate()[0])
 
 
-def warm(world):
+def warm_up(cluster):
     """Past the ramp of all targets."""
-    result(callers(world, RATE, 5))
+    load_result(start_load(cluster, RATE, 5))
 
 
-def books(world):
-    book = world.book()["targets"]
-    return {key: sum(t[key] for t in book)
+def target_totals(cluster):
+    stats = cluster.stats()["targets"]
+    return {key: sum(t[key] for t in stats)
             for key in ("started", "overruns", "sheds", "wasted")}
 
 
-def plain(world, rate=RATE):
-    return result(callers(world, rate, SECONDS))
+def steady_load(cluster, rate=RATE):
+    return load_result(start_load(cluster, rate, SECONDS))
 
 
-def during(world, act, rate=RATE):
+def during_event(cluster, event, rate=RATE):
     """Measure while act(world) happens a second after the start."""
-    proc = callers(world, rate, SECONDS)
+    proc = start_load(cluster, rate, SECONDS)
     time.sleep(1)
-    extra = act(world) or {}
-    got = result(proc)
+    extra = event(cluster) or {}
+    got = load_result(proc)
     got.update(extra)
     return got
 
 
-def go_cold(world):
-    targets = world.book()["targets"]
+def restart_tenth(cluster):
+    targets = cluster.stats()["targets"]
     for target in targets[::10]:
-        world.set_targets(target["target"], restart=1)
+        cluster.set_targets(target["target"], restart=1)
     return {"restarted": len(targets[::10])}
 
 
-def domain_out_and_back(world):
-    domain = world.site["domains"][1]
+def domain_out_and_back(cluster):
+    domain = cluster.site["domains"][1]
     published = time.monotonic()
-    world.publish_fleet(lambda f: f["domains"][1].update(state="out"))
-    for node in world.nodes:
-        wait_for(lambda n=node: world.status(n)["fleet"]["version"] == 2,
+    cluster.publish_fleet(lambda f: f["domains"][1].update(state="out"))
+    for node in cluster.nodes:
+        wait_for(lambda n=node: cluster.status(n)["fleet"]["version"] == 2,
                  "in force")
-    force = time.monotonic() - published
-    last = max(t["last_work_us"] for t in world.book()["targets"]
+    delay = time.monotonic() - published
+    last = max(t["last_work_us"] for t in cluster.stats()["targets"]
                if t["domain"] == domain) / 1e6
     time.sleep(2)
-    world.set_targets("all&domain=" + domain, restart=1)
+    cluster.set_targets("all&domain=" + domain, restart=1)
     time.sleep(0.2)
-    world.publish_fleet(lambda f: f["domains"][1].update(state="in"))
-    return {"in_force_s": round(force, 3),
+    cluster.publish_fleet(lambda f: f["domains"][1].update(state="in"))
+    return {"in_force_s": round(delay, 3),
             "last_work_s": round(max(0, last - published), 3)}
 
 
-def lose_node(world):
-    world.procs["node5"].send_signal(signal.SIGKILL)
+def kill_last_node(cluster):
+    cluster.procs["node5"].send_signal(signal.SIGKILL)
 
 
-def stale(world):
-    world.publish_fleet(lambda f: None)
-    world.set_platform(stale=1)
+def serve_stale(cluster):
+    cluster.publish_fleet(lambda f: None)
+    cluster.set_platform(stale=1)
 
 
 def overload(factor):
-    def run(world):
-        slots = sum(n * s for n, s, _ in world.site["indexes"].values())
-        leafs = sum(n for n, _, _ in world.site["indexes"].values())
-        full = slots / (SLOW_US / 1e6) / leafs
-        got = result(callers(world, full * factor, SECONDS))
-        got["full_rate"] = round(full, 1)
+    def run(cluster):
+        slots = sum(n * s for n, s, _ in cluster.site["indexes"].values())
+        target_count = sum(n for n, _, _ in cluster.site["indexes"].values())
+        capacity = slots / (SLOW_US / 1e6) / target_count
+        got = load_result(start_load(cluster, capacity * factor, SECONDS))
+        got["full_rate"] = round(capacity, 1)
         return got
     return run
 
 
 SCENARIOS = {
     # name: (knobs of the targets, run)
-    "steady": ([], plain),
-    "straggler": (["straggle_pm=9", "factor=10"], plain),
-    "cold": ([f"cold_us={COLD_US}"], lambda w: during(w, go_cold)),
+    "steady": ([], steady_load),
+    "straggler": (["straggle_pm=9", "factor=10"], steady_load),
+    "cold": ([f"cold_us={COLD_US}"], lambda c: during_event(c, restart_tenth)),
     "domain": ([f"cold_us={COLD_US}"],
-               lambda w: during(w, domain_out_and_back)),
-    "gate_lost": ([], lambda w: during(w, lose_node)),
-    "stale": ([], lambda w: during(w, stale)),
+               lambda c: during_event(c, domain_out_and_back)),
+    "gate_lost": ([], lambda c: during_event(c, kill_last_node)),
+    "stale": ([], lambda c: during_event(c, serve_stale)),
     "load_0.5": ([f"service_us={SLOW_US}"], overload(0.5)),
     "load_0.8": ([f"service_us={SLOW_US}"], overload(0.8)),
     "load_1.2": ([f"service_us={SLOW_US}"], overload(1.2)),
@@ -124,14 +124,14 @@
 
 
 def measure(site, name, number):
-    knobs, run = SCENARIOS[name]
-    with World(SITES[site], nodes=NODES, base=15000, targets=knobs) as w:
-        warm(w)
-        before = books(w)
-        got = run(w)
-        after = books(w)
-        counters = [w.counters(n) for n in w.nodes if w.alive(n["name"])]
-    needed = got["answered"] * len(w.fleet["targets"])
+    options, run = SCENARIOS[name]
+    with Cluster(SITES[site], nodes=NODES, base=15000, targets=options) as c:
+        warm_up(c)
+        before = target_totals(c)
+        got = run(c)
+        after = target_totals(c)
+        counters = [c.counters(n) for n in c.nodes if c.alive(n["name"])]
+    needed = got["answered"] * len(c.fleet["targets"])
     got.update({
         "site": site, "scenario": name, "round": number,
         "label": os.environ.get("LABEL", ""),
@@ -139,7 +139,7 @@
             (after["started"] - before["started"]) / max(1, needed), 4),
         "overruns": after["overruns"] - before["overruns"],
         "sheds": after["sheds"] - before["sheds"],
-        "denied": sum(c["hedges_denied"] for c in counters),
+        "denied": sum(node["hedges_denied"] for node in counters),
     })
     return got
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -19,16 +19,17 @@
     return f"{low:.{digits}f}..{high:.{digits}f}"
 
 
-def line(scenario, rows):
-    def of(key):
+def table_row(scenario, rows):
+    def column(key):
         return [row[key] for row in rows]
     refused = sum(sum(row["refused"].values()) for row in rows)
-    cells = [scenario, len(rows), sum(of("answered")), sum(of("complete")),
-             span(of("p50_ms"), 1), span(of("p99_ms"), 1),
-             span(of("p999_ms"), 1), span(of("coverage_mean"), 4),
-             span(of("coverage_p01"), 4),
-             span(of("target_requests_per_leaf"), 3), sum(of("overruns")),
-             refused]
+    cells = [scenario, len(rows), sum(column("answered")),
+             sum(column("complete")),
+             span(column("p50_ms"), 1), span(column("p99_ms"), 1),
+             span(column("p999_ms"), 1), span(column("coverage_mean"), 4),
+             span(column("coverage_p01"), 4),
+             span(column("target_requests_per_leaf"), 3),
+             sum(column("overruns")), refused]
     return "| " + " | ".join(str(cell) for cell in cells) + " |"
 
 
@@ -45,7 +46,7 @@
     for site, scenarios in groups.items():
         print(f"## {site}\n\n{HEAD}\n|{' --- |' * HEAD.count('|')}"[:-6])
         for scenario, rows in scenarios.items():
-            print(line(scenario, rows))
+            print(table_row(scenario, rows))
         print()
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -36,11 +36,11 @@
 
 def fit(points):
     n = len(points)
-    mx = sum(x for x, _ in points) / n
-    my = sum(y for _, y in points) / n
-    b = (sum((x - mx) * (y - my) for x, y in points) /
-         sum((x - mx) ** 2 for x, _ in points))
-    a = my - b * mx
+    mean_x = sum(x for x, _ in points) / n
+    mean_y = sum(y for _, y in points) / n
+    b = (sum((x - mean_x) * (y - mean_y) for x, y in points) /
+         sum((x - mean_x) ** 2 for x, _ in points))
+    a = mean_y - b * mean_x
     worst = max(abs(y - a - b * x) for x, y in points)
     return a, b, worst / max(abs(y) for _, y in points)
 
@@ -51,11 +51,11 @@
         out = subprocess.run([f"{BUILD}/bench/reducer", part],
                              capture_output=True, text=True, check=True)
         rows[part] = [json.loads(line) for line in out.stdout.splitlines()]
-    for part, key, which, what in SLOPES:
+    for part, key, select, label in SLOPES:
         points = [(r["vms"] if key == "view_change_ms" else r["x"], r[key])
-                  for r in rows[part] if which(r)]
+                  for r in rows[part] if select(r)]
         a, b, residual = fit(points)
-        print(f"{what}: {a:.4g} + {b:.4g} x, sizes "
+        print(f"{label}: {a:.4g} + {b:.4g} x, sizes "
               f"{sorted({x for x, _ in points})}, worst residual "
               f"{100 * residual:.1f}% of the largest")
 
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -14,9 +14,9 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "..", "tests"))
 
-from world import BUILD, THIVA, World  # noqa: E402
+from cluster import BUILD, THIVA, Cluster  # noqa: E402
 
-STEP = 10
+INTERVAL_S = 10
 
 
 def resident_kb(pid):
@@ -30,19 +30,19 @@
 def main():
     seconds = int(sys.argv[1]) if len(sys.argv) > 1 else 120
     rate = sys.argv[2] if len(sys.argv) > 2 else "30"
-    with World(THIVA, nodes=3, base=17000) as w:
-        pids = [w.procs[n["name"]].pid for n in w.nodes]
+    with Cluster(THIVA, nodes=3, base=17000) as c:
+        pids = [c.procs[n["name"]].pid for n in c.nodes]
         load = subprocess.Popen(
-            [f"{BUILD}/bench/load", ",".join(n["callers"] for n in w.nodes),
-             rate, str(seconds), "mill-7", ",".join(w.site["indexes"])],
+            [f"{BUILD}/bench/load", ",".join(n["callers"] for n in c.nodes),
+             rate, str(seconds), "mill-7", ",".join(c.site["indexes"])],
             stdout=subprocess.PIPE)
         lines = []
-        for i in range(seconds // STEP):
-            time.sleep(STEP)
-            w.enter(0, f"o{i}", w.ticket(1, f"o{i}")["ticket"], key=i)
-            w.publish_fleet(lambda f: None)
+        for i in range(seconds // INTERVAL_S):
+            time.sleep(INTERVAL_S)
+            c.enter(0, f"o{i}", c.ticket(1, f"o{i}")["ticket"], key=i)
+            c.publish_fleet(lambda f: None)
             lines.append([resident_kb(pid) for pid in pids])
-            print(json.dumps({"second": STEP * (i + 1),
+            print(json.dumps({"second": INTERVAL_S * (i + 1),
                               "resident_kb": lines[-1]}), flush=True)
         got = json.loads(load.communicate()[0])
         growth = [b - a for a, b in zip(lines[1], lines[-1])]
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -18,113 +18,113 @@
 
 os.environ.setdefault("BUILD", "build")
 
-from process import load, result  # noqa: E402
-from world import World  # noqa: E402
+from process import start_load, load_result  # noqa: E402
+from cluster import Cluster  # noqa: E402
 
 NODES, CLIENTS, RATE = 4, 4, 60
-STOP_SECONDS = 45
+STOP_TIMEOUT_S = 45
 
 
 class Clients:
     """Threads that enter; outcomes by request id."""
 
-    def __init__(self, world, seed):
-        self.world, self.ended, self.outcomes = world, False, {}
+    def __init__(self, cluster, seed):
+        self.cluster, self.stopping, self.outcomes = cluster, False, {}
         self.threads = [threading.Thread(target=self.run, args=(seed, k))
                         for k in range(CLIENTS)]
         for thread in self.threads:
             thread.start()
 
     def run(self, seed, k):
-        dice, count = random.Random(seed * 100 + k), 0
-        while not self.ended:
+        rng, count = random.Random(seed * 100 + k), 0
+        while not self.stopping:
             count += 1
-            self.enter_one(dice, f"c{k}-{count}")
+            self.enter_one(rng, f"c{k}-{count}")
 
-    def enter_one(self, dice, request_id):
+    def enter_one(self, rng, request_id):
         try:
-            ticket = self.world.ticket(dice.randrange(NODES), request_id)
+            ticket = self.cluster.ticket(rng.randrange(NODES), request_id)
         except OSError:
             return
         if "ticket" not in ticket:
             time.sleep(0.05)
             return
-        key, told = dice.randrange(400), []
-        self.outcomes[request_id] = told
-        for _ in range(dice.choice((1, 1, 2, 3))):
+        key, reported = rng.randrange(400), []
+        self.outcomes[request_id] = reported
+        for _ in range(rng.choice((1, 1, 2, 3))):
             try:
-                answer = self.world.enter(dice.randrange(NODES), request_id,
-                                          ticket["ticket"], key=key)[1]
-                told.append(answer["outcome"])
+                answer = self.cluster.enter(rng.randrange(NODES), request_id,
+                                            ticket["ticket"], key=key)[1]
+                reported.append(answer["outcome"])
             except (OSError, ValueError):
-                told.append("broken")
+                reported.append("broken")
 
     def end(self):
-        self.ended = True
+        self.stopping = True
         for thread in self.threads:
             thread.join()
 
 
-def kill(w, dice, i):
-    w.kill_node(i)
-    time.sleep(dice.random())
-    w.start_node(i)
+def kill(c, rng, i):
+    c.kill_node(i)
+    time.sleep(rng.random())
+    c.start_node(i)
 
 
-def stop(w, dice, i):
-    w.stop_node(i, STOP_SECONDS)
-    w.start_node(i)
+def stop(c, rng, i):
+    c.stop_node(i, STOP_TIMEOUT_S)
+    c.start_node(i)
 
 
-def freeze(w, dice, i):
-    w.signal(f"node{i}", signal.SIGSTOP)
-    time.sleep(dice.random() * 2)
-    w.signal(f"node{i}", signal.SIGCONT)
+def freeze(c, rng, i):
+    c.signal(f"node{i}", signal.SIGSTOP)
+    time.sleep(rng.random() * 2)
+    c.signal(f"node{i}", signal.SIGCONT)
 
 
-def restart_target(w, dice, i):
-    w.set_targets(f"orders-{i}", restart=1)
+def restart_target(c, rng, i):
+    c.set_targets(f"orders-{i}", restart=1)
 
 
-def domain_out(w, dice, i):
-    w.publish_fleet(lambda f: f["domains"][i % 2].update(state="out"))
+def domain_out(c, rng, i):
+    c.publish_fleet(lambda f: f["domains"][i % 2].update(state="out"))
 
 
-def domains_in(w, dice=None, i=None):
-    w.publish_fleet(lambda f: [d.update(state="in") for d in f["domains"]])
+def domains_in(c, rng=None, i=None):
+    c.publish_fleet(lambda f: [d.update(state="in") for d in f["domains"]])
 
 
-def platform_down(w, dice, i):
-    w.set_platform(down=1)
-    time.sleep(dice.random() * 2)
-    w.set_platform(down=0)
+def platform_down(c, rng, i):
+    c.set_platform(down=1)
+    time.sleep(rng.random() * 2)
+    c.set_platform(down=0)
 
 
-ACTS = [kill, stop, freeze, restart_target, domain_out, domains_in, domains_in,
-        platform_down]
+FAULTS = [kill, stop, freeze, restart_target, domain_out, domains_in,
+          domains_in, platform_down]
 
 
-def judge(outcomes, book, got):
+def check_outcomes(outcomes, stats, summary):
     """What callers were told against what the targets did."""
-    told = list(outcomes.values())
-    done = sum("done" in t for t in told)
+    reported = list(outcomes.values())
+    done = sum("done" in t for t in reported)
     possible = sum(bool({"done", "unknown", "broken"} & set(t))
-                   for t in told)
+                   for t in reported)
     faults = []
-    if book["max_runs"] > 1:
+    if stats["max_runs"] > 1:
         faults.append("an entry ran twice")
-    if not done <= book["entries"] <= possible:
+    if not done <= stats["entries"] <= possible:
         faults.append("outcomes and books differ")
-    if any("done" in t and "not_run" in t for t in told):
+    if any("done" in t and "not_run" in t for t in reported):
         faults.append("done and not run of one ticket")
-    if got["wrong"]:
+    if summary["wrong"]:
         faults.append("a wrong answer")
     print(json.dumps({
-        "entries_told": collections.Counter(o for t in told for o in t),
-        "entries_run": book["entries"], "max_runs": book["max_runs"],
-        "done": done, "possible": possible, "wrong": got["wrong"],
-        "answered": got["answered"], "sent": got["sent"],
-        "cold_falls": sum(t["overruns"] for t in book["targets"]),
+        "entries_told": collections.Counter(o for t in reported for o in t),
+        "entries_run": stats["entries"], "max_runs": stats["max_runs"],
+        "done": done, "possible": possible, "wrong": summary["wrong"],
+        "answered": summary["answered"], "sent": summary["sent"],
+        "cold_falls": sum(t["overruns"] for t in stats["targets"]),
         "faults": faults}))
     return faults
 
@@ -132,21 +132,21 @@
 def main():
     seed = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     seconds = int(sys.argv[2]) if len(sys.argv) > 2 else 30
-    dice = random.Random(seed)
-    with World(base=18000 + 1000 * (seed % 2), nodes=NODES,
-               targets=["cold_us=500000"]) as w:
-        clients = Clients(w, seed)
-        callers = load(w, seconds, RATE)
+    rng = random.Random(seed)
+    with Cluster(base=18000 + 1000 * (seed % 2), nodes=NODES,
+                 targets=["cold_us=500000"]) as c:
+        clients = Clients(c, seed)
+        callers = start_load(c, seconds, RATE)
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            dice.choice(ACTS)(w, dice, dice.randrange(NODES))
-            time.sleep(dice.random() / 2)
+            rng.choice(FAULTS)(c, rng, rng.randrange(NODES))
+            time.sleep(rng.random() / 2)
         clients.end()
-        got = result(callers)
-        domains_in(w)
+        summary = load_result(callers)
+        domains_in(c)
         for i in range(NODES):
-            w.wait_live(i)
-        return judge(clients.outcomes, w.book(), got)
+            c.wait_live(i)
+        return check_outcomes(clients.outcomes, c.stats(), summary)
 
 
 sys.exit(1 if main() else 0)
--- a/tests/world.py
+++ b/tests/cluster.py
@@ -58,12 +58,12 @@
         return err.code, json.loads(text) if text else None
 
 
-def wait_for(check, what, seconds=30):
+def wait_for(condition, what, seconds=30):
     """Wait on a condition; the limit only ends a test that hangs."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
-            value = check()
+            value = condition()
         except OSError:
             value = None
         if value:
@@ -77,18 +77,19 @@
     domains = site["domains"]
     targets, shards = [], []
     port = base_port
-    for index, (leafs, slots, connections) in site["indexes"].items():
-        for i in range(leafs):
+    for index, (target_count, slots, connections) in site["indexes"].items():
+        for i in range(target_count):
             targets.append({
                 "name": f"{index}-{i}", "address": f"127.0.0.1:{port}",
                 "domain": domains[i % len(domains)], "state": "live",
                 "slots": slots, "connections": connections})
             port += 1
-        for i in range(leafs):
+        for i in range(target_count):
             shards.append({
                 "id": len(shards) + 1, "index": index,
                 "from": i * 100, "to": (i + 1) * 100, "weight": 1,
-                "replicas": [f"{index}-{i}", f"{index}-{(i + 1) % leafs}"]})
+                "replicas": [f"{index}-{i}",
+                             f"{index}-{(i + 1) % target_count}"]})
     return {
         "version": 1,
         "domains": [{"name": d, "state": "in"} for d in domains],
@@ -110,7 +111,7 @@
             "allowances": [allowance]}
 
 
-class World:
+class Cluster:
     """Use as a context; everything is ended and removed on leaving it."""
 
     def __init__(self, site=SMALL, nodes=3, base=21000, targets=(),
@@ -152,13 +153,13 @@
                    self.write("fleet.json", self.fleet))
         wait_for(lambda: http(self.platform, "/book"), "platform is up")
 
-    def start_node(self, i, wait=False, **more):
+    def start_node(self, i, wait=False, **overrides):
         node = self.nodes[i]
         settings = {k: node[k] for k in
                     ("peer", "callers", "operators", "domain")}
         settings["platforms"] = [self.platform]
         settings.update(self.settings)
-        settings.update(more)
+        settings.update(overrides)
         file = self.write(node["name"] + ".json", settings)
         self.spawn(node["name"], f"{BUILD}/wasabimoor", "serve",
                    "--settings", file)
@@ -174,18 +175,18 @@
             self.start_platform()
             self.spawn("targets", f"{BUILD}/tests/fake-targets", self.control,
                        self.path("fleet.json"), *self.target_args)
-            wait_for(lambda: self.book(), "targets are up")
+            wait_for(lambda: self.stats(), "targets are up")
             for i in range(len(self.nodes)):
                 self.start_node(i)
             for i in range(len(self.nodes)):
                 self.wait_live(i)
-            self.settle()
+            self.wait_for_members()
         except BaseException:
             self.close()
             raise
         return self
 
-    def settle(self):
+    def wait_for_members(self):
         """Every node hears every other."""
         live = [n for n in self.nodes if self.alive(n["name"])]
         for node in live:
@@ -242,15 +243,15 @@
         query = "&".join(f"{k}={v}" for k, v in flags.items())
         http(self.platform, "/set?" + query)
 
-    def set_targets(self, target="all", **knobs):
-        query = "&".join(f"{k}={v}" for k, v in knobs.items())
+    def set_targets(self, target="all", **options):
+        query = "&".join(f"{k}={v}" for k, v in options.items())
         http(self.control, f"/set?target={target}&{query}")
 
-    def book(self):
+    def stats(self):
         return http(self.control, "/book")[1]
 
-    def leaf_book(self, name):
-        return next(t for t in self.book()["targets"]
+    def target_stats(self, name):
+        return next(t for t in self.stats()["targets"]
                     if t["target"] == name)
 
     def status(self, node):
@@ -262,28 +263,29 @@
     def audit(self, node):
         return http(node["operators"], "/audit")[1]
 
-    def ask(self, i=0, terms="t", indexes=None, **more):
+    def ask(self, i=0, terms="t", indexes=None, **overrides):
         body = {"customer": "mill-7", "request_id": "r", "terms": terms,
                 "indexes": indexes or list(self.site["indexes"])}
-        body.update(more)
+        body.update(overrides)
         return http(self.nodes[i]["callers"], "/v1/questions", body)
 
     def ticket(self, i, request_id):
         return http(self.nodes[i]["callers"], "/v1/tickets",
                     {"customer": "mill-7", "request_id": request_id})[1]
 
-    def entry_body(self, request_id, ticket=None, key=0, index=None, **more):
+    def entry_body(self, request_id, ticket=None, key=0, index=None,
+                   **overrides):
         body = {"customer": "mill-7", "request_id": request_id,
                 "index": index or list(self.site["indexes"])[0], "key": key,
                 "entry": {"order": request_id}}
         if ticket:
             body["ticket"] = ticket
-        body.update(more)
+        body.update(overrides)
         return body
 
-    def enter(self, i, request_id, ticket=None, **more):
+    def enter(self, i, request_id, ticket=None, **overrides):
         return http(self.nodes[i]["callers"], "/v1/entries",
-                    self.entry_body(request_id, ticket, **more))
+                    self.entry_body(request_id, ticket, **overrides))
 
     def lookup(self, i, request_id, ticket):
         return http(self.nodes[i]["callers"], "/v1/lookups",
--- a/tests/run.py
+++ b/tests/run.py
@@ -13,11 +13,11 @@
 import sys
 import traceback
 
-HERE = os.path.dirname(os.path.abspath(__file__))
-sys.path.insert(0, HERE)
-os.chdir(os.path.join(HERE, ".."))
+TESTS_DIR = os.path.dirname(os.path.abspath(__file__))
+sys.path.insert(0, TESTS_DIR)
+os.chdir(os.path.join(TESTS_DIR, ".."))
 os.environ["BUILD"] = BUILD = sys.argv[1] if len(sys.argv) > 1 else "build"
-ONLY = sys.argv[2] if len(sys.argv) > 2 else ""
+NAME_FILTER = sys.argv[2] if len(sys.argv) > 2 else ""
 
 import process  # noqa: E402  (needs BUILD)
 import tier_process  # noqa: E402  (needs BUILD)
@@ -25,7 +25,7 @@
 FUZZ_SEEDS = "24"
 TIER_SEEDS = "200"
 DEADLY_SEEDS = "60"
-ONCE_FAILED = ("10098",)  # entries that had gone came back from a peer
+REGRESSION_SEEDS = ("10098",)  # entries that had gone came back from a peer
 SOAK_SEEDS, SOAK_SECONDS = ("1", "1"), "5"  # by hand: soak/soak.py
 SAFEGUARDS = {  # turned off: what the fuzzing must then say
     "no_ramp": "a cold target fell over",
@@ -40,9 +40,9 @@
     "no_pause_check": "new work by a node that woke",
 }
 SAFEGUARD_SEEDS = "60"  # it ends with the first that fails
-TEST_SECONDS = 600
+TEST_TIMEOUT_S = 600
 WORKERS = 4
-FIRST_PORT, PORTS_EACH = 20000, 400
+FIRST_PORT, PORTS_PER_TEST = 20000, 400
 
 
 def known_red():
@@ -55,15 +55,15 @@
     return {line.split(",")[0]: line for line in lines}
 
 
-def program(*argv):
+def run_command(*argv):
     done = subprocess.run(argv, capture_output=True, text=True,
-                          timeout=TEST_SECONDS, check=False)
+                          timeout=TEST_TIMEOUT_S, check=False)
     return done.returncode, done.stdout + done.stderr
 
 
 def run_check(name):
     """A program on the check library: counts each of its checks."""
-    code, out = program(f"{BUILD}/tests/{name}")
+    code, out = run_command(f"{BUILD}/tests/{name}")
     counts = re.search(r"Checks: (\d+), Failures: (\d+), Errors: (\d+)", out)
     if not counts:
         return name, 0, 1, out
@@ -74,15 +74,15 @@
 
 
 def run_program(name, *argv):
-    code, out = program(*argv)
+    code, out = run_command(*argv)
     return name, int(code == 0), int(code != 0), out
 
 
-def run_safeguard(title, name, fault):
+def run_safeguard(title, name, expected):
     """Found out, and for its own reason."""
-    code, out = program(f"{BUILD}/tests/fuzz", "1", SAFEGUARD_SEEDS, "400",
-                        name)
-    found = code == 0 and fault in out
+    code, out = run_command(f"{BUILD}/tests/fuzz", "1", SAFEGUARD_SEEDS,
+                            "400", name)
+    found = code == 0 and expected in out
     return title, int(found), int(not found), out
 
 
@@ -95,8 +95,10 @@
 
 
 def jobs():
-    for name in ("check-points", "check-input", "check-fetch", "check-tier", "check-load", "check-poison", "check-deadly", "check-deadly-serve",
-                 "check-parts", "check-platform", "check-config", "check-upstream", "check-peer"):
+    for name in ("check-points", "check-input", "check-fetch", "check-tier",
+                 "check-load", "check-poison", "check-deadly",
+                 "check-deadly-serve", "check-parts", "check-platform",
+                 "check-config", "check-upstream", "check-peer"):
         yield name, lambda n=name: run_check(n)
     yield "fuzz", lambda: run_program(
         "fuzz", f"{BUILD}/tests/fuzz", "1", FUZZ_SEEDS)
@@ -105,34 +107,35 @@
     yield "fuzz-tier deadly", lambda: run_program(
         "fuzz-tier deadly", f"{BUILD}/tests/fuzz-tier", "1", DEADLY_SEEDS,
         "deadly")
-    for seed in ONCE_FAILED:
+    for seed in REGRESSION_SEEDS:
         yield f"fuzz-tier deadly {seed}", lambda s=seed: run_program(
             f"fuzz-tier deadly {s}", f"{BUILD}/tests/fuzz-tier", s, "1",
             "deadly")
-    for name, fault in SAFEGUARDS.items():
+    for name, expected in SAFEGUARDS.items():
         title = f"fuzz finds {name}"
-        yield title, lambda n=name, f=fault, t=title: run_safeguard(t, n, f)
+        yield title, lambda n=name, f=expected, t=title: run_safeguard(t, n, f)
     yield "soak", lambda: run_program(
         "soak", sys.executable, "soak/soak.py", f"{BUILD}/wasabimoor",
         *SOAK_SEEDS, "--seconds", SOAK_SECONDS,
         "--net", "50", "--port", "19500")
     for i, test in enumerate(process.TESTS + tier_process.TESTS):
-        yield test.__name__, lambda t=test, b=FIRST_PORT + PORTS_EACH * i: (
-            run_process(t, b))
+        yield test.__name__, lambda t=test, b=(
+            FIRST_PORT + PORTS_PER_TEST * i): run_process(t, b)
 
 
 def main():
-    red = known_red()
+    known_failures = known_red()
     passed = failed = 0
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
-        futures = [pool.submit(fn) for name, fn in jobs() if ONLY in name]
+        futures = [pool.submit(fn) for name, fn in jobs()
+                   if NAME_FILTER in name]
         for future in futures:
             name, good, bad, out = future.result()
             print(f"{'ok  ' if not bad else 'FAIL'} {name} ({good})")
             if bad:
                 print(out[-6000:])
-            if bad and name in red:
-                print(f"known red: {red[name]}")
+            if bad and name in known_failures:
+                print(f"known red: {known_failures[name]}")
                 bad = 0
             passed += good
             failed += bad
