--- a/soak/fakes.py
+++ b/soak/fakes.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the platform's store and for targets, on loopback.
+"""Fakes of the platform's store and of targets, on loopback.
 
-They speak the platform's protocol as far as nodes use it, and keep the books
-that the soak judges by. Faults are fields that the driver sets.
+They implement the part of the platform's protocol that nodes use, and record
+the executions that the soak test checks. Faults are fields set by the test.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 import time
 
 RECORD = 16
-DEADLY = "deadly"  # in the path: each target that runs it ends
+DEADLY = "deadly"  # in the path: crashes each target that runs the request
 RECORDS = 3
 
 
 async def read_head(reader):
-    """First line and headers (lower case), or None at the end."""
+    """First line and headers (lower-case names), or None at end of file."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError,
@@ -43,19 +43,19 @@
 
 
 def part_records(target_id, request_id):
-    """What a target answers for its shard, known to the judge as well."""
+    """Records a target returns for its shard; the checks compute them too."""
     seed = f"{target_id}/{request_id}".encode()
     return [hashlib.md5(seed + bytes([i])).digest() for i in range(RECORDS)]
 
 
 class Store:
-    """Keys with revisions; ranges, and calls that wait for changes."""
+    """Key-value store with revisions, range reads and long-poll watches."""
 
     def __init__(self):
         self.keys = {}
         self.revision = 1
         self.changed = asyncio.Event()
-        self.down = False  # True: refuses; "stalled": never answers
+        self.down = False  # True: replies 503; "stalled": never replies
         self.calls = 0
 
     def put(self, key, value):
@@ -116,19 +116,19 @@
 
 
 class ExecutionLog:
-    """What targets saw and ran, by request."""
+    """Requests that targets received and ran, by request id."""
 
     def __init__(self):
         self.runs = {}
         self.late_arrivals = []
-        self.crashes = []  # when, request, of each target that one ended
+        self.crashes = []  # (time, request id) of each target crash
 
     def record_run(self, request_id, target_id):
         self.runs.setdefault(request_id, []).append(target_id)
 
 
 class Target:
-    """A target: fields are faults, None or 0 when there is none."""
+    """A target. Faults are fields: None or 0 when there is none."""
 
     def __init__(self, ident, service, zone, execution_log, service_time):
         self.id, self.service, self.zone = ident, service, zone
@@ -140,7 +140,7 @@
         self.server = None
         self.port = 0
         self.born = int(time.time() * 1000)
-        self.on_crash = None  # what the driver does when it ends
+        self.on_crash = None  # called when a request crashes the target
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1",
@@ -199,7 +199,7 @@
 
 
 class Proxy:
-    """Stands before a target or the store; can delay, reset, cut, silence."""
+    """Proxy of a target or the store: can delay, stall, refuse and reset."""
 
     def __init__(self, get_port):
         self.get_port = get_port
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""One run of real nodes as processes, with stand-ins, callers and faults."""
+"""One soak run: node processes, a fake store and targets, callers, faults."""
 
 import asyncio
 import json
@@ -15,16 +15,17 @@
 TOP_K, MIN_SHARE, GOAL_MS, TIMEOUT_MS = 5, 0.75, 150, 1500
 SERVICE_TIME_S = 0.004
 CALLERS = 12
-# A caller gives up after this; nothing may be held longer.
+# A caller gives up after this time; no request may be held longer.
 CALLER_TIMEOUT_S = 4.0
 ROUTES = {"all": "/all/", "one": "/one/", "once": "/once/"}
 MIN_RECOVERED_SHARE = 0.9
-# Tries of a deadly request that may run once this long after its third crash.
+# How many deadly requests may still crash a target later than LATE_AFTER_S
+# after the third crash.
 MAX_LATE_REQUESTS, LATE_AFTER_S = 3, 4.0
 
 
 class Fleet:
-    """One seed's nodes, stand-ins, callers and books."""
+    """Nodes, fakes, callers and recorded results of one seed."""
 
     def __init__(self, program, seed, args):
         self.program, self.args = program, args
@@ -38,7 +39,7 @@
         self.stopping = False
         self.timed_out, self.route_kinds, self.stdout = 0, {}, None
 
-    # Stand-ins.
+    # Fake targets and store.
 
     async def add_target(self, service, zone):
         target = fakes.Target(f"i{len(self.targets)}", service, zone,
@@ -112,7 +113,7 @@
         if proc and proc.poll() is None:
             proc.send_signal(number)
 
-    # Faults: each waits, heals by itself, and may overlap with others.
+    # Faults. Each one ends by itself after a while; several may overlap.
 
     def random_target(self):
         return self.rng.choice(self.targets)
@@ -167,7 +168,7 @@
         self.publish(target)
 
     def crash_target(self, target):
-        """It ends with all its connections, and comes back."""
+        """Abort all connections of the target and restart it later."""
         proxy = self.proxies[target.id]
         proxy.refuses = True
         proxy.reset()
@@ -240,7 +241,7 @@
         self.violations.append(text)
 
     async def send_request(self, node, kind, request_id, path=None):
-        """One request on a connection of its own; status, headers, body."""
+        """Send one request on a new connection; (status, headers, body)."""
         self.route_kinds[request_id] = kind
         reader, writer = await asyncio.wait_for(asyncio.open_connection(
             self.ip(node), self.args.port + 11), 1.0)
@@ -281,7 +282,7 @@
             await asyncio.sleep(self.rng.uniform(0.005, 0.05))
 
     async def deadly_caller(self):
-        """A request that ends each target that runs it, again and again."""
+        """Send requests that crash each target that runs them."""
         count = 0
         while not self.stopping:
             node = self.rng.randrange(self.args.nodes)
@@ -302,26 +303,26 @@
             return
         late = {r for t, r in crashes if t > crashes[2][0] + LATE_AFTER_S}
         if len(late) > MAX_LATE_REQUESTS:
-            self.report(f"{len(late)} late tries of a deadly request ran, "
-                        f"{len(crashes)} targets ended")
+            self.report(f"{len(late)} deadly requests ran too late, "
+                        f"{len(crashes)} target crashes")
 
     def check_reply(self, kind, request_id, reply):
         if reply in (None, "timed out"):
             return
         status, headers, body = reply
         if status == 404:
-            self.report(f"{request_id}: 404 for a route that exists")
+            self.report(f"{request_id}: status 404 for a configured route")
         if status == 503 and kind == "once":
-            # The books are asked once more at the end: it must never run.
+            # It must never run; check_executions() verifies that at the end.
             self.not_run_ids.append(request_id)
         if status == 503 and not headers.get("retry-after"):
-            self.report(f"{request_id}: 503 without a time to come back")
+            self.report(f"{request_id}: status 503 without Retry-After")
         if status == 200 and kind == "all":
             self.check_merged(request_id, headers, body)
         elif status == 200:
             stamp = headers.get("response-stamp", "")
             if not stamp.endswith("." + request_id):
-                self.report(f"{request_id}: answer of another: {stamp}")
+                self.report(f"{request_id}: reply to another request: {stamp}")
 
     def check_merged(self, request_id, headers, body):
         stamps = [s.strip() for s in headers["part-stamps"].split(",")]
@@ -329,34 +330,34 @@
         by_id = {target.id: target for target in self.targets}
         services = [by_id[target_id].service for target_id in target_ids]
         if any(not s.endswith("." + request_id) for s in stamps):
-            self.report(f"{request_id}: part of another request")
+            self.report(f"{request_id}: part belongs to another request")
         if len(set(services)) != len(services):
-            self.report(f"{request_id}: a shard counted twice")
+            self.report(f"{request_id}: shard counted twice")
         if len({s[0] for s in services}) > 1:
-            self.report(f"{request_id}: parts of two configurations")
+            self.report(f"{request_id}: parts come from two configurations")
         if len(services) + int(headers.get("missing-parts", 0)) != SHARDS:
-            self.report(f"{request_id}: parts and missing are not the whole")
+            self.report(f"{request_id}: parts and missing parts do not add up")
         if len(services) < MIN_SHARE * SHARDS:
-            self.report(f"{request_id}: too few parts for an answer")
+            self.report(f"{request_id}: fewer parts than the minimum share")
         records = sorted((r for target_id in target_ids for r in
                           fakes.part_records(target_id, request_id)),
                          reverse=True)
         if body != b"".join(records[:TOP_K]):
-            self.report(f"{request_id}: not the greatest records")
+            self.report(f"{request_id}: body is not the top records")
 
     def check_executions(self):
         for request_id in self.not_run_ids:
             if self.execution_log.runs.get(request_id):
-                self.report(f"{request_id}: told not run, and it ran")
+                self.report(f"{request_id}: reported as not run, but it ran")
         self.timed_out = sum(reply == "timed out"
                              for _, _, reply in self.answers)
         for request_id, ran in self.execution_log.runs.items():
             if self.route_kinds.get(request_id) == "once" and len(ran) > 1:
                 self.report(f"{request_id}: ran twice")
         for target_id, request_id in self.execution_log.late_arrivals:
-            self.report(f"{request_id}: at {target_id} after it had left")
+            self.report(f"{request_id}: sent to {target_id} after its drain")
 
-    # A run.
+    # Running.
 
     async def wait_ready(self):
         for _ in range(100):
@@ -375,7 +376,7 @@
             if ready == self.args.nodes:
                 return
             await asyncio.sleep(0.1)
-        self.report("not all nodes were ready after 10 s")
+        self.report("not all nodes were ready within 10 s")
 
     async def inject_faults(self, until):
         faults = [self.pause_target, self.pause_target, self.shed_requests,
@@ -397,11 +398,11 @@
         served = [a for a in late if a[2] and a[2] != "timed out"
                   and a[2][0] == 200]
         if len(served) < MIN_RECOVERED_SHARE * len(late):
-            self.report(f"after all was healed {len(served)} of {len(late)} "
-                        "were served")
+            self.report(f"after the faults {len(served)} of {len(late)} "
+                        "requests were served")
 
     async def check_addresses_free(self):
-        """Two runs on the same addresses would judge each other's books."""
+        """Refuse addresses in use: parallel runs would mix their results."""
         for node in range(self.args.nodes):
             try:
                 _, writer = await asyncio.open_connection(
@@ -410,7 +411,7 @@
                 continue
             writer.close()
             raise RuntimeError(f"{self.ip(node)}:{self.args.port + 11} is "
-                               "taken; choose another --net or --port")
+                               "in use; choose another --net or --port")
 
     async def start_all(self):
         await self.check_addresses_free()
@@ -435,7 +436,8 @@
         await self.check_recovery()
         self.stopping = True
         await asyncio.gather(*callers)
-        # What still stands open is cancelled with the loop, without a word.
+        # Connections that are still open are cancelled with the loop; do not
+        # log that.
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         self.check_executions()
         self.check_deadly()
--- a/soak/soak.py
+++ b/soak/soak.py
@@ -1,10 +1,11 @@
-"""Randomized soak: real nodes as processes, faults from outside them.
+"""Randomized soak test: node processes with faults injected from outside.
 
-    python3 soak/soak.py PROGRAM FIRST COUNT [--seconds S] [--nodes N] [--port P]
+    python3 soak/soak.py PROGRAM FIRST COUNT
+                         [--seconds S] [--nodes N] [--port P] [--net N]
 
-Runs seeds FIRST to FIRST + COUNT - 1, prints a line a seed, keeps the logs of
-seeds that failed under out/soak/, and ends with "N passed, N failed". It ends
-only processes that it started, by their ids.
+Runs seeds FIRST to FIRST + COUNT - 1 and prints one line for each seed and
+"N passed, N failed" at the end. The logs of failed seeds are kept under
+out/soak/. Only processes started here are killed, by process id.
 """
 
 import argparse
@@ -14,7 +15,7 @@
 import sys
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
-from fleet import Fleet  # noqa: E402  (stands beside this file)
+from fleet import Fleet  # noqa: E402  (needs the path set above)
 
 
 def main():
@@ -26,7 +27,7 @@
     parser.add_argument("--nodes", type=int, default=6)
     parser.add_argument("--port", type=int, default=17000)
     parser.add_argument("--net", type=int, default=40,
-                        help="third number of the nodes' addresses")
+                        help="third octet of the nodes' IP addresses")
     args = parser.parse_args()
     failed = 0
     for seed in range(args.first, args.first + args.count):
