--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -1,10 +1,11 @@
-"""Random failures on real processes, against the targets' books.
+"""Random failures of real processes, checked against what targets ran.
 
     python3 tests/chaos.py [SEED [SECONDS]]
 
-Callers ask, and enter with one ticket at several nodes, while nodes are
-killed, frozen and stopped, targets restart, failure domains go out and in and
-the platform is down. Not part of CI: the machine's timing is part of the input.
+Callers send questions, and send entries with one ticket to several nodes,
+while nodes are killed, frozen and stopped, targets restart, failure domains
+are taken out and put back in, and the platform is down. Not part of CI, since
+the results depend on the timing of the machine.
 """
 
 import collections
@@ -26,7 +27,7 @@
 
 
 class Clients:
-    """Threads that enter; outcomes by request id."""
+    """Threads that send entries; outcomes by request id."""
 
     def __init__(self, cluster, seed):
         self.cluster, self.stopping, self.outcomes = cluster, False, {}
@@ -105,20 +106,20 @@
 
 
 def check_outcomes(outcomes, stats, summary):
-    """What callers were told against what the targets did."""
+    """Compare the outcomes reported to callers with what the targets ran."""
     reported = list(outcomes.values())
     done = sum("done" in t for t in reported)
     possible = sum(bool({"done", "unknown", "broken"} & set(t))
                    for t in reported)
     faults = []
     if stats["max_runs"] > 1:
-        faults.append("an entry ran twice")
+        faults.append("an entry ran more than once")
     if not done <= stats["entries"] <= possible:
-        faults.append("outcomes and books differ")
+        faults.append("the number of entries run does not match the outcomes")
     if any("done" in t and "not_run" in t for t in reported):
-        faults.append("done and not run of one ticket")
+        faults.append("one ticket was reported both done and not run")
     if summary["wrong"]:
-        faults.append("a wrong answer")
+        faults.append("an answer was wrong")
     print(json.dumps({
         "entries_told": collections.Counter(o for t in reported for o in t),
         "entries_run": stats["entries"], "max_runs": stats["max_runs"],
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,7 +1,7 @@
-"""Starts a small world on loopback: platform, targets, nodes.
+"""Starts a test cluster on loopback: fake platform, fake targets and nodes.
 
-Used by the demo, the process tests and the benchmarks. Every process is
-started here and ended here; all addresses are on 127.0.0.1.
+Used by the demo, the process tests and the benchmarks. Starts and ends all
+processes; all addresses are on 127.0.0.1.
 """
 
 import json
@@ -45,7 +45,7 @@
 
 
 def http(address, path, body=None, timeout=20):
-    """One request; returns (status, parsed body or None)."""
+    """Send one request; returns (status, parsed body or None)."""
     data = body if body is None or isinstance(body, bytes) else (
         json.dumps(body).encode())
     req = urllib.request.Request(f"http://{address}{path}", data=data)
@@ -59,7 +59,7 @@
 
 
 def wait_for(condition, what, seconds=30):
-    """Wait on a condition; the limit only ends a test that hangs."""
+    """Wait for a condition; the time limit only ends a test that hangs."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
@@ -69,11 +69,11 @@
         if value:
             return value
         time.sleep(0.02)
-    raise AssertionError(f"never came true: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 def make_fleet(site, nodes, base_port, versions=(1,)):
-    """Each leaf holds its own shard and its neighbour's, a domain apart."""
+    """Each leaf holds its own shard and its neighbour's, in another domain."""
     domains = site["domains"]
     targets, shards = [], []
     port = base_port
@@ -112,7 +112,7 @@
 
 
 class Cluster:
-    """Use as a context; everything is ended and removed on leaving it."""
+    """Context manager; leaving it ends all processes and removes the files."""
 
     def __init__(self, site=SMALL, nodes=3, base=21000, targets=(),
                  versions=(1,), limits=None, settings=None):
@@ -187,12 +187,12 @@
         return self
 
     def wait_for_members(self):
-        """Every node hears every other."""
+        """Wait until every running node sees every other one as usable."""
         live = [n for n in self.nodes if self.alive(n["name"])]
         for node in live:
             wait_for(lambda n=node: sum(
                 vm["usable"] for vm in self.status(n)["vms"]) >= len(live),
-                f"{node['name']} hears all")
+                f"{node['name']} sees all other nodes")
 
     def alive(self, name):
         proc = self.procs.get(name)
@@ -218,7 +218,7 @@
         self.procs[name].send_signal(number)
 
     def stop_node(self, i, seconds=60):
-        """Planned stop; returns the exit code."""
+        """Stop a node as planned; returns its exit code."""
         name = self.nodes[i]["name"]
         self.signal(name, signal.SIGTERM)
         return self.procs[name].wait(seconds)
@@ -228,13 +228,13 @@
         self.procs[name].kill()
         self.procs[name].wait()
 
-    # What the outside says.
+    # Platform and targets.
 
     def publish(self, kind, doc):
         http(self.platform, f"/publish/{kind}", doc)
 
     def publish_fleet(self, change):
-        """Apply change(fleet), raise the version and publish."""
+        """Apply change(fleet), increment the version and publish."""
         change(self.fleet)
         self.fleet["version"] += 1
         self.publish("fleet", self.fleet)
--- a/tests/process.py
+++ b/tests/process.py
@@ -1,7 +1,7 @@
-"""Process tests: real nodes, killed, cut, frozen and stopped.
+"""Process tests: real nodes that are killed, cut off, frozen and stopped.
 
-Verdicts rest on what callers were told and on the targets' own books, and
-wait on conditions, never on speed.
+The checks use the replies to callers and the requests recorded by the targets.
+They wait for conditions and do not depend on speed.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 def start_load(cluster, seconds, rate=60, nodes=None):
-    """Start callers that ask at a set rate; returns the process."""
+    """Start callers that send questions at a set rate; returns the process."""
     addrs = ",".join(n["callers"] for n in nodes or cluster.nodes)
     return subprocess.Popen(
         [f"{BUILD}/bench/load", addrs, str(rate), str(seconds), "mill-7",
@@ -38,9 +38,9 @@
 
 
 def test_snapshot_rolls_under_load(base):
-    """Callers ask while snapshots 2 and 3 are published and a repartition
-    doubles the shards. Each answer is of one snapshot, whole, and reports the
-    coverage that its rows have; the callers' program checks every row."""
+    """Snapshots 2 and 3 are published under load, and a repartition doubles
+    the shards. Each answer is complete, comes from one snapshot and reports
+    the coverage of its rows; the load program checks every row."""
     with Cluster(base=base) as c:
         callers = start_load(c, 6)
         for version in (2, 3):
@@ -63,8 +63,9 @@
 
 
 def test_true_coverage(base):
-    """One target is dead, one sends broken bodies, one the wrong snapshot.
-    What has no good replica is named as missing and not counted."""
+    """One target is dead, one truncates its bodies, one sends the wrong
+    snapshot. A shard without a good replica is listed as missing and is not
+    counted in the coverage."""
     with Cluster(base=base) as c:
         for target, option in (("orders-0", {"dead": 1}),
                                ("orders-1", {"truncate": 1})):
@@ -82,9 +83,9 @@
 
 
 def test_cold_start_under_load(base):
-    """Every target restarts under load without a word, and reports that it is
-    idle; each new connection costs 6 ms. By its own books none gets two
-    requests while it bears one."""
+    """Every target restarts under load without notice and reports that it is
+    idle; each new connection costs 6 ms. By its own count, no target receives
+    two requests while it can take only one."""
     with Cluster(base=base, targets=["lie_idle=1", "connect_us=6000"]) as c:
         callers = start_load(c, 8)
         time.sleep(3)
@@ -99,14 +100,14 @@
 
 def test_domain_out_platform_down(base):
     """Operators take a domain out under load, and the platform goes down as
-    soon as it is in force on one node. The others learn of it from that one;
-    the targets' books show no new work there."""
+    soon as the change is in force on one node. The other nodes receive it from
+    that node, and the targets of the domain start no new work."""
     with Cluster(base=base) as c:
         callers = start_load(c, 8)
         time.sleep(1)
         c.publish_fleet(lambda f: f["domains"][1].update(state="out"))
         wait_for(lambda: any(c.status(n)["fleet"]["version"] == 2
-                             for n in c.nodes), "in force on one")
+                             for n in c.nodes), "in force on one node")
         c.set_platform(down=1)
         for node in c.nodes:
             wait_for(lambda n=node: c.status(n)["fleet"]["version"] == 2,
@@ -121,7 +122,8 @@
 
 def test_frozen_node_wakes_with_old_view(base):
     """A node is frozen (SIGSTOP) while a domain is taken out, with requests in
-    its sockets. It wakes, confirms its view, and sends nothing there."""
+    its sockets. When it resumes it confirms its view first, and sends nothing
+    to that domain."""
     with Cluster(base=base) as c:
         callers = start_load(c, 3)
         c.signal("node1", signal.SIGSTOP)
@@ -134,16 +136,17 @@
         before = requests_started(c, "south")
         c.signal("node1", signal.SIGCONT)
         wait_for(lambda: c.status(c.nodes[1])["fleet"]["version"] == 2,
-                 "in force on the one that woke")
+                 "in force on the resumed node")
         load_result(callers)
         check(requests_started(c, "south") == before,
-              "new work by an old view")
+              "new work based on an old view")
         check(c.counters(c.nodes[1])["pauses"] >= 1, "pause not noticed")
 
 
 def test_entry_one_ticket_many_nodes(base):
-    """One ticket is sent to all nodes at once, and again: one run, and every
-    caller is told "done". Without a ticket nothing runs at all."""
+    """One ticket is sent to all nodes at once and then repeated: the entry
+    runs once and every caller receives "done". Without a ticket nothing runs,
+    and a ticket is not valid for another entry."""
     with Cluster(base=base) as c:
         status, answer = c.enter(0, "o0")
         check(status == 409 and answer["outcome"] == "not_run", answer)
@@ -165,8 +168,9 @@
 
 
 def test_entry_issuer_killed_and_replaced(base):
-    """The issuer runs an entry and is killed; a new process takes its address.
-    The repeat is "unknown" at every node and does not run again."""
+    """The node that issued the ticket is killed after the entry ran, and a new
+    process takes its address. A repeat is "unknown" at every node and does not
+    run again."""
     with Cluster(base=base) as c:
         ticket = c.ticket(0, "o1")["ticket"]
         check(c.enter(1, "o1", ticket)[1]["outcome"] == "done", "first")
@@ -180,11 +184,11 @@
 
 
 def test_entry_target_closes_without_reply(base):
-    """The target reads the entry, runs it and closes a kept connection. The
-    HTTP library would send it again; the book shows one run, and the caller
-    is told "unknown", also when asking what became of it."""
+    """The target reads the entry, runs it and closes a kept-alive connection
+    without a reply. The HTTP library would send the entry again; it must run
+    once, and both the caller and a lookup receive "unknown"."""
     with Cluster(base=base) as c:
-        c.ask()  # connections are kept now
+        c.ask()  # opens the connections that are kept alive
         c.set_targets("all", close=1)
         ticket = c.ticket(0, "o1")["ticket"]
         answer = c.enter(0, "o1", ticket)[1]
@@ -194,8 +198,9 @@
 
 
 def test_entry_not_run_is_true(base):
-    """Targets shed; the entry is "not run", with when to come back, and stays
-    so when they take work again. Then nobody listens there: "not run" too."""
+    """Targets shed load: the entry is "not run" with a time to retry, and
+    stays "not run" for this ticket when targets accept work again. With no
+    target listening, an entry is "not run" as well."""
     with Cluster(base=base) as c:
         c.set_targets("all", shed=1)
         ticket = c.ticket(0, "o1")["ticket"]
@@ -213,8 +218,9 @@
 
 
 def test_entry_gate_frozen(base):
-    """Every other node is frozen while an entry waits for them. The caller is
-    answered; when they wake, no entry that was called "not run" runs."""
+    """All other nodes are frozen while entries wait for them. The callers
+    still receive an outcome, and no entry reported as "not run" runs when the
+    nodes resume."""
     with Cluster(base=base) as c:
         outcomes = {}
         tickets = {f"o{i}": c.ticket(0, f"o{i}")["ticket"] for i in range(8)}
@@ -240,8 +246,8 @@
 
 
 def test_target_leaves_without_notice(base):
-    """A target drains though the VM list says live. Its own word ends new work
-    there, and its shards are answered by the others."""
+    """A target reports that it drains while the VM list says live. Its own
+    report stops new work there, and the other replicas answer its shards."""
     with Cluster(base=base) as c:
         callers = start_load(c, 4)
         time.sleep(1)
@@ -254,9 +260,9 @@
 
 
 def test_rolling_stop_under_load(base):
-    """All nodes are stopped in turn, each with a second signal, under load
-    that comes for a while longer. No caller sees a cut or refused request, and
-    each node ends with exit code 0."""
+    """Three of four nodes are stopped in turn, each with a second signal, and
+    receive load for a while after the first one. No request is cut or refused,
+    and each node ends with exit code 0."""
     with Cluster(base=base, nodes=4) as c:
         c.set_targets("all", service_us=10000)
         for i in range(3):
@@ -278,8 +284,9 @@
 
 
 def test_killed_node_under_load(base):
-    """A node is killed. Its callers see their connections break; everybody
-    else gets whole answers, since another node takes the targets over."""
+    """A node is killed. Its own callers lose their connections; callers of the
+    other nodes receive complete answers, since another node takes over its
+    targets."""
     with Cluster(base=base) as c:
         callers = start_load(c, 5, nodes=c.nodes[1:])
         time.sleep(1)
@@ -290,8 +297,9 @@
 
 
 def test_new_node_beside_stale_platform(base):
-    """Version 2 is in force; the platform then serves version 1 to a node that
-    has just started. The node asks its peers and never has 1 in force."""
+    """Version 2 is in force when the platform serves version 1 to a node that
+    has just started. The node requests the document from its peers, and
+    version 1 is never in force."""
     with Cluster(base=base) as c:
         c.lists["version"] = 2
         c.publish("lists", c.lists)
@@ -301,16 +309,17 @@
         c.set_platform(stale=1)
         c.kill_node(0)
         c.start_node(0, wait=True)
-        check(c.status(c.nodes[0])["lists"]["version"] == 2, "went back")
+        check(c.status(c.nodes[0])["lists"]["version"] == 2,
+              "version went back")
         taken = [(a["from"], a["to"]) for a in c.audit(c.nodes[0])
                  if a["what"] == "lists" and a["from"] != a["to"]]
         check(taken == [("0", "2")], taken)
 
 
 def test_refused_list_and_large_document(base):
-    """A list that is refused leaves the last one in force and is in the audit
-    trail with place and remedy; the next good one, of nearly a megabyte, is in
-    force on all."""
+    """A refused list leaves the previous one in force and is recorded in the
+    audit trail with the field at fault and a remedy. The next valid list, of
+    nearly a megabyte, is in force on all nodes."""
     with Cluster(base=base) as c:
         bad = json.loads(json.dumps(c.lists))
         bad["version"], bad["plans"][0]["plan"] = 2, "none"
@@ -332,8 +341,8 @@
 
 
 def test_platform_down_and_back(base):
-    """The platform is down: service goes on. A node that starts meanwhile
-    learns all from a peer that its settings name."""
+    """Nodes keep serving while the platform is down. A node that starts in
+    that time receives all documents from a peer named in its settings."""
     with Cluster(base=base) as c:
         c.set_platform(down=1)
         time.sleep(4)
@@ -349,9 +358,9 @@
 
 
 def test_hostile_input(base):
-    """Garbage, huge and cut frames on the port between nodes; huge, cut and
-    wrong bodies on the callers' port. Each costs its own connection, is
-    counted, and disturbs nobody."""
+    """Garbage, oversized and truncated frames on the port between nodes, and
+    oversized, truncated and invalid bodies on the callers' port. Each costs
+    only its own connection and is counted, and the node keeps serving."""
     with Cluster(base=base) as c:
         node = c.nodes[0]
         ip, port = node["peer"].split(":")
@@ -378,8 +387,9 @@
 
 
 def test_large_replies(base):
-    """Targets answer with large rows, then with more than a reply may have.
-    The first are merged, the second count as malformed and are not covered."""
+    """Targets reply with large rows, then with more than the size limit of a
+    reply. The first are merged; the second count as malformed and are missing
+    from the coverage."""
     with Cluster(base=base) as c:
         c.set_targets("all", padding=100000)
         status, answer = c.ask()
@@ -392,8 +402,8 @@
 
 
 def test_caller_goes_away(base):
-    """A caller closes while its question waits on slow targets. The leaf work
-    is cancelled at the targets, by their books."""
+    """A caller closes its connection while its question waits for slow
+    targets. The requests are cancelled at the targets, by their own count."""
     with Cluster(base=base) as c:
         c.set_targets("all", service_us=1000000)
         ip, port = c.nodes[0]["callers"].split(":")
@@ -409,19 +419,19 @@
 
 
 def test_over_plan(base):
-    """Ten a second over all nodes together: the rest is refused at once, typed
-    and with when to come back."""
+    """A plan of ten requests per second over all nodes together. Requests over
+    the plan are refused at once with an error kind and a time to retry."""
     with Cluster(base=base, limits={"rate": 10, "burst": 10}) as c:
         got = [c.ask(i % 3) for i in range(60)]
         refused = [a for s, a in got if s == 429]
         check(refused and all(a["kind"] == "over_plan" and
                               a["retry_after_ms"] > 0 for a in refused), got)
-        check(sum(s == 200 for s, _ in got) <= 40, "let in too many")
+        check(sum(s == 200 for s, _ in got) <= 40, "too many admitted")
 
 
 def test_command_line(base):
-    """Every command on a live node, and check on good and bad files: exit
-    codes, tables, and errors that name the place and the remedy."""
+    """Every command on a running node, and check on valid and invalid files:
+    exit codes, output, and errors that name the field and the remedy."""
     with Cluster(base=base) as c:
         def run(*argv):
             done = subprocess.run([f"{BUILD}/wasabimoor", *argv],
@@ -446,9 +456,9 @@
         for argv in (("serve",), ("nonsense",), (), ("check",)):
             check(run(*argv)[0] == 2, argv)
         check(run("ask", "--help")[0] == 0, "help")
-        check(run("status", "-a", "127.0.0.1:1")[0] == 1, "nobody there")
+        check(run("status", "-a", "127.0.0.1:1")[0] == 1, "no node there")
         check(run("drain", "-a", node["operators"])[0] == 0, "drain")
-        check(c.procs["node0"].wait(60) == 0, "drained")
+        check(c.procs["node0"].wait(60) == 0, "exit code after drain")
 
 
 TESTS = [value for name, value in list(globals().items())
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,9 +1,10 @@
-"""Runs every test of a build folder and ends with "N passed, N failed".
+"""Runs all tests of a build directory and prints "N passed, N failed" last.
 
     python3 tests/run.py BUILD [NAME]
 
-KNOWN-RED.txt may name tests ("test, cause, issue", a line each, three at
-most) whose failure does not fail the run; they are printed.
+With NAME, only tests whose name contains it run. KNOWN-RED.txt may list up to
+three tests, one per line ("test, cause, issue"); their failures are printed
+and do not fail the run.
 """
 
 import concurrent.futures
@@ -25,9 +26,9 @@
 FUZZ_SEEDS = "24"
 TIER_SEEDS = "200"
 DEADLY_SEEDS = "60"
-REGRESSION_SEEDS = ("10098",)  # entries that had gone came back from a peer
-SOAK_SEEDS, SOAK_SECONDS = ("1", "1"), "5"  # by hand: soak/soak.py
-SAFEGUARDS = {  # turned off: what the fuzzing must then say
+REGRESSION_SEEDS = ("10098",)  # removed entries came back from a peer
+SOAK_SEEDS, SOAK_SECONDS = ("1", "1"), "5"  # longer runs: soak/soak.py
+SAFEGUARDS = {  # safeguard to turn off: fault that fuzzing must then report
     "no_ramp": "a cold target fell over",
     "no_version_check": "rows of two snapshots",
     "no_coverage_merge": "coverage is not what was merged",
@@ -39,7 +40,7 @@
     "no_drain": "a planned stop lost a request",
     "no_pause_check": "new work by a node that woke",
 }
-SAFEGUARD_SEEDS = "60"  # it ends with the first that fails
+SAFEGUARD_SEEDS = "60"  # fuzzing stops at the first seed that fails
 TEST_TIMEOUT_S = 600
 WORKERS = 4
 FIRST_PORT, PORTS_PER_TEST = 20000, 400
@@ -51,7 +52,7 @@
     with open("KNOWN-RED.txt", encoding="utf-8") as file:
         lines = [line.strip() for line in file if line.strip()]
     if len(lines) > 3:
-        sys.exit("KNOWN-RED.txt: three at most")
+        sys.exit("KNOWN-RED.txt: at most three entries")
     return {line.split(",")[0]: line for line in lines}
 
 
@@ -62,7 +63,7 @@
 
 
 def run_check(name):
-    """A program on the check library: counts each of its checks."""
+    """Run a program that uses the check library and count its checks."""
     code, out = run_command(f"{BUILD}/tests/{name}")
     counts = re.search(r"Checks: (\d+), Failures: (\d+), Errors: (\d+)", out)
     if not counts:
@@ -79,7 +80,7 @@
 
 
 def run_safeguard(title, name, expected):
-    """Found out, and for its own reason."""
+    """Without the safeguard, fuzzing must report the fault it prevents."""
     code, out = run_command(f"{BUILD}/tests/fuzz", "1", SAFEGUARD_SEEDS,
                             "400", name)
     found = code == 0 and expected in out
@@ -90,7 +91,7 @@
     try:
         test(base)
         return test.__name__, 1, 0, ""
-    except Exception:  # a test's failure, whatever it is, is reported
+    except Exception:  # any exception is a failure of the test
         return test.__name__, 0, 1, traceback.format_exc()
 
 
--- a/tests/tier_process.py
+++ b/tests/tier_process.py
@@ -1,4 +1,4 @@
-"""Real nodes of the tier: from a failed request's id to its cause."""
+"""Process tests of the tier: explain finds the cause of a failed request."""
 
 import argparse
 import asyncio
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, os.path.join(os.path.dirname(os.path.abspath(__file__)),
                                 "..", "soak"))
-from fleet import Fleet  # noqa: E402  (stands in soak/)
+from fleet import Fleet  # noqa: E402  (in soak/)
 
 FIRST_NET, SEED = 60, 1
 
@@ -22,11 +22,11 @@
 
 
 async def check_cause(fleet, kind, break_target, status, cause):
-    """Spoils the targets, asks, and reads the cause from the logs."""
+    """Break the targets, send requests, and check the cause in the logs."""
     await fleet.start_all()
     for target in fleet.targets:
         break_target(target)
-    # What the first meets is known to the node for the second.
+    # The node has seen the fault once when it handles the second request.
     await fleet.send_request(0, kind, "warm-1")
     reply = await fleet.send_request(0, kind, "bad-1")
     assert reply[0] == status, reply
@@ -47,21 +47,23 @@
 
 
 def test_refusal_explained(port):
-    """All targets reject the entry: the caller hears 503, the log why."""
+    """All targets reject the entry: the caller receives 503, and the log has
+    the cause."""
     def break_target(target):
         target.shed_share = 1.0
     run_case(port, "once", break_target, 503, "rejected it as not run")
 
 
 def test_unknown_outcome_explained(port):
-    """The reply is lost after the run: 502, and the target that may know."""
+    """The reply is lost after the request ran: the caller receives 502, and
+    the log says that the request may have run."""
     def break_target(target):
         target.drop_share = 1.0
     run_case(port + 1, "once", break_target, 502, "it may have run")
 
 
 def test_partial_answer_explained(port):
-    """Both targets of a shard stand still: the answer leaves it out."""
+    """Both targets of a shard hang: the answer leaves the shard out."""
     def break_target(target):
         if target.service == "s0":
             target.paused_until = 1e12
@@ -69,7 +71,8 @@
 
 
 def test_blocked_request_explained(port):
-    """A request that crashes its targets is refused; the log leads to them."""
+    """A request that crashes its targets is refused, and the log names the
+    earlier request that crashed them."""
     args = argparse.Namespace(nodes=3, net=FIRST_NET + 9, port=port + 4,
                               seconds=1)
     fleet = Fleet(os.environ["BUILD"] + "/wasabimoor", SEED, args)
@@ -82,7 +85,7 @@
             assert reply[0] in (502, 503), reply
             await asyncio.sleep(1.4)
         assert reply[0] == 503, reply
-        # Its caller may ask other things, which are answered.
+        # Other requests of the same caller are still served.
         reply = await fleet.send_request(0, "all", "harmless-1")
         assert reply[0] == 200, reply
         explanation = explain(fleet, "deadly-7")
@@ -99,7 +102,7 @@
 
 
 def test_stopped_reader(port):
-    """Nobody reads a node's output: it serves on as before."""
+    """A node whose output is never read keeps serving."""
     args = argparse.Namespace(nodes=1, net=FIRST_NET + 8, port=port + 3,
                               seconds=1)
     fleet = Fleet(os.environ["BUILD"] + "/wasabimoor", SEED, args)
