--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Builds into the folder $1; further arguments go to meson setup.
+# Builds into directory $1; further arguments are passed to meson setup.
 set -e
 dir=$1
 shift
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs, builds, and runs a whole small deployment once, on loopback.
+# Installs the packages, builds, and runs a small deployment on loopback.
 set -e
 cd "$(dirname "$0")/.."
 sh scripts/install.sh
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
 # Coverage-guided fuzzing of the decoders: RUNS inputs from a fixed seed.
 #   sh scripts/fuzz.sh [RUNS [SEED]]
-# The stateful fuzzing takes a range of seeds: build/tests/fuzz FIRST COUNT.
+# For stateful fuzzing over a range of seeds: build/tests/fuzz FIRST COUNT.
 set -e
 cd "$(dirname "$0")/.."
 runs=${1:-100000}
@@ -12,7 +12,7 @@
 	tests/fuzz_input.c request.c config.c doc.c error.c json.c str.c target.c \
 	wire.c wire.pb-c.c xmalloc.c catalog.c payload.c platform/*.c -o out/fuzz-input \
 	$(pkg-config --libs apr-1 apr-util-1 libprotobuf-c jansson libxxhash libcurl)
-# A whole frame, a list and a question to begin with.
+# Initial corpus: one valid input for each decoder below.
 printf '\001{"version":1,"domains":[{"name":"a","state":"in"}],"vms":[],"targets":[{"name":"t","address":"127.0.0.1:1","domain":"a","state":"live","slots":2,"connections":25}],"snapshots":[{"version":1,"shards":[{"id":1,"index":"i","from":0,"to":9,"replicas":["t"]}]}]}' >out/corpus/fleet
 printf '\002{"version":1,"plans":[{"customer":"c","plan":"p"}],"allowances":[{"plan":"p","indexes":["i"],"entries":[],"deadline_ms":9}]}' >out/corpus/lists
 printf '\004{"customer":"c","request_id":"r","indexes":["i"],"shards":[1]}' >out/corpus/ask
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs what building, testing and linting need, from Debian's packages.
+# Installs the Debian packages needed to build, test and lint.
 set -e
 packages="gcc make ninja-build meson pkg-config python3 git
 libapr1-dev libaprutil1-dev libprotobuf-c-dev protobuf-c-compiler
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Formatter and linters; prints what they find and fails on any of it.
+# Runs the formatter and linters; prints their findings and fails on any.
 cd "$(dirname "$0")/.." || exit 1
 fail=0
 sources=$(git ls-files '*.c' '*.h' | grep -v pb-c)
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs, builds with sanitizers, and passes all tests.
+# Installs the packages, builds with sanitizers and runs all tests.
 set -e
 cd "$(dirname "$0")/.."
 sh scripts/install.sh
