--- a/bench/baseline.py
+++ b/bench/baseline.py
@@ -1,8 +1,8 @@
-"""The thin path: one node, 113 leafs, as many questions as it takes.
+"""Baseline: one node and 113 leafs at increasing rates of questions.
 
     python3 bench/baseline.py [SECONDS]
 
-Prints one JSON line a rate: the node's processor time for each question, and
+Prints one JSON line for each rate, with the node's CPU time per question and
 the latencies.
 """
 
--- a/bench/draw.py
+++ b/bench/draw.py
@@ -1,10 +1,10 @@
-"""Draws the results of bench/policy (JSON lines on standard input).
+"""Plots the results of bench/policy (JSON lines on standard input).
 
     for s in 1 2 3; do build/bench/policy hedging $s; build/bench/policy \\
         soft $s; build/bench/policy admission $s; done | python3 bench/draw.py
 
 Writes docs/hedging.png, docs/soft.png and docs/admission.png with gnuplot;
-each bar or point is the mean over the seeds.
+each bar or point is the mean over all seeds.
 """
 
 import collections
--- a/bench/heavy.py
+++ b/bench/heavy.py
@@ -1,10 +1,11 @@
-"""Draws what two versions make of the heavy days in tests/check_load.c.
+"""Plots the results of two versions for the load patterns of check_load.c.
 
     OLD/tests/check-load >old.txt; build/tests/check-load >new.txt
     python3 bench/heavy.py old.txt new.txt
 
-Writes docs/heavy-days.png with gnuplot: for each pattern the credit (the mean
-squared share of shards that are in by the goal), before and after.
+Writes docs/heavy-days.png with gnuplot: for each pattern of tests/check_load.c
+the credit before and after, which is the mean squared share of shards whose
+replies arrive by the goal.
 """
 
 import re
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,10 +1,11 @@
-"""The brief's measures on stand-ins at the sizes of Thiva and Uusimaa.
+"""Measures latency, coverage and load on fake targets at full site sizes.
 
     python3 bench/measure.py SITE SCENARIO [ROUNDS]
 
-One JSON line a round, appended to out/measures.jsonl and printed. SITE is
-thiva or uusimaa; SCENARIO a key of SCENARIOS, or "all". BUILD names another
-build folder, so that two versions can be measured alternately.
+Prints one JSON line for each round and appends it to out/measures.jsonl. SITE
+is thiva or uusimaa; SCENARIO is a key of SCENARIOS, or "all". The environment
+variable BUILD names another build directory, so that two versions can be
+measured alternately.
 """
 
 import json
@@ -21,7 +22,7 @@
 SITES = {"thiva": THIVA, "uusimaa": UUSIMAA}
 NODES, RATE = 6, 30
 SECONDS = float(os.environ.get("SECONDS", "8"))
-SLOW_US = 30000  # service time at which loopback can overload the slots
+SLOW_US = 30000  # long enough to overload the slots over loopback
 COLD_US = 1000000
 
 
@@ -38,7 +39,7 @@
 
 
 def warm_up(cluster):
-    """Past the ramp of all targets."""
+    """Run load until all targets are past their ramp."""
     load_result(start_load(cluster, RATE, 5))
 
 
@@ -53,7 +54,7 @@
 
 
 def during_event(cluster, event, rate=RATE):
-    """Measure while act(world) happens a second after the start."""
+    """Measure under load; event(cluster) is called 1 s after the start."""
     proc = start_load(cluster, rate, SECONDS)
     time.sleep(1)
     extra = event(cluster) or {}
@@ -108,7 +109,7 @@
 
 
 SCENARIOS = {
-    # name: (knobs of the targets, run)
+    # name: (options of the targets, function that runs the load)
     "steady": ([], steady_load),
     "straggler": (["straggle_pm=9", "factor=10"], steady_load),
     "cold": ([f"cold_us={COLD_US}"], lambda c: during_event(c, restart_tenth)),
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Tables of bench/measure.py's JSON lines, for docs/MEASURES.md.
+"""Prints tables of the JSON lines of bench/measure.py, for docs/MEASURES.md.
 
     python3 bench/report.py FILE...
 """
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,9 @@
-"""Fits the slopes of bench/reducer: y = a + b x, with the residual.
+"""Fits lines to the results of bench/reducer: y = a + b x, with the residual.
 
     python3 bench/slopes.py
 
-Runs every part of the reducer bench of BUILD and prints a line a slope.
+Runs every part of the reducer benchmark in the build directory BUILD and
+prints one line for each fit.
 """
 
 import json
@@ -10,7 +11,7 @@
 import subprocess
 
 BUILD = os.environ.get("BUILD", "build")
-SLOPES = [  # part, y, which rows, what it says
+SLOPES = [  # part, key of y, filter of rows, label
     ("leafs", "us_per_question", lambda r: r["x"] == r["targets"],
      "processor time of a question over its leafs"),
     ("leafs", "bytes_per_question", lambda r: r["x"] == r["targets"],
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,9 +1,9 @@
-"""A node must not grow: resident memory of each node under steady load.
+"""Memory growth: resident memory of each node under steady load.
 
     python3 bench/soak.py [SECONDS [RATE]]
 
-Prints a JSON line every ten seconds with the nodes' resident kB, and at last
-the growth from the second line to the last one.
+Prints a JSON line with the nodes' resident kB every ten seconds, and at the
+end the growth from the second line to the last one.
 """
 
 import json
