--- a/bench/load.c
+++ b/bench/load.c
@@ -1,11 +1,11 @@
 /*
- * Caller that asks at a set rate, checks each answer, and prints one JSON
- * line. Questions go to the nodes in turn, as a balancer would send them.
+ * Load generator: sends questions at a set rate, checks each answer and prints
+ * one JSON line. Questions go to the nodes in turn, as from a load balancer.
  *
  *   load ADDRS RATE SECONDS CUSTOMER INDEXES [SEED]
  *
- * ADDRS and INDEXES are separated by commas. Arrivals are Poisson. Latencies
- * count from the time that a question was due, not from when it was sent.
+ * ADDRS and INDEXES are comma-separated lists. Arrivals are Poisson. Latency is
+ * measured from the time that a question was due, not from when it was sent.
  */
 #include <math.h>
 #include <stdio.h>
@@ -45,9 +45,9 @@
 	double next_due;
 	uint64_t sent;
 	uint64_t done;
-	int64_t *due; /* by question */
-	double *latency; /* ms, answered only */
-	double *coverage; /* answered only */
+	int64_t *due; /* us, by question id */
+	double *latency; /* ms, of answered questions */
+	double *coverage; /* of answered questions */
 	size_t answered;
 	size_t cap;
 	uint64_t complete;
@@ -56,8 +56,8 @@
 	uint64_t hedges;
 	uint64_t broken;
 	uint64_t wrong;
-	struct kind_count refused[MAX_KINDS]; /* of refusals */
-	struct kind_count missing[MAX_KINDS]; /* of shards */
+	struct kind_count refused[MAX_KINDS]; /* questions, by error kind */
+	struct kind_count missing[MAX_KINDS]; /* shards, by error kind */
 };
 
 static void count_kind(struct kind_count *kinds, const char *name)
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,7 +1,7 @@
 /*
- * The policy's choices, each against the ways that were weighed, on whole
- * reducers in virtual time: same seed, same arrivals, no noise of the machine.
- * One JSON line a choice.
+ * Compares each policy with its alternatives on complete nodes (reducers) in
+ * virtual time: same seed and arrivals, no noise from the machine. Prints one
+ * JSON line for each scenario.
  *
  *   policy gates|hedging|admission|ramp|quota|snapshots|soft|moves [SEED]
  */
@@ -26,31 +26,31 @@
 	DOMAINS = 4
 };
 
-/** struct scenario - one way of doing it, and the load that it is put under */
+/** struct scenario - a policy or one of its alternatives, and its load */
 struct scenario {
 	const char *name;
-	double rate; /* questions a second */
+	double rate; /* questions per second */
 	int seconds;
 	int straggle_pm;
 	bool direct;
 	bool permits;
 	bool no_hedge;
 	int64_t fixed_us;
-	double quantile; /* 0: the default */
+	double quantile; /* of the hedge delay, 0 for the default */
 	bool no_admission;
 	bool no_ramp;
 	int64_t service_us;
 	int64_t cold_us;
 	int soft_ms;
 	double coverage_floor;
-	int restart_every; /* every n-th target restarts at a third of the time
-			    */
+	/* Faults happen after a third of the time. */
+	int restart_every; /* every n-th target restarts */
 	int lacks_every; /* every n-th target lacks the newest snapshot */
-	bool split; /* quota: 1/n instead of leases */
-	double plan_rate; /* plan's rate, 0 for no limit */
-	int senders; /* nodes that the balancer sends to */
-	bool kill; /* the last node is killed at a third of the time */
-	bool stop; /* it is stopped as planned */
+	bool split; /* quota: 1/n of the rate per node instead of leases */
+	double plan_rate; /* questions per second, 0 for no limit */
+	int senders; /* nodes that receive questions, 0 for all */
+	bool kill; /* the last node is killed */
+	bool stop; /* the last node is stopped as planned */
 	bool kill_owner; /* the owner of the customer's bucket is killed */
 };
 
@@ -333,7 +333,7 @@
 	  .quantile = 0.99 },
 };
 
-/* Slots carry 113 * 2 / 30 ms / 113 = 66 questions a second. */
+/* Capacity of the slots: 113 * 2 / 30 ms / 113 = 66 questions per second. */
 static const struct scenario admission[] = {
 	{ .name = "1.0x, steered",
 	  .rate = 66,
@@ -438,7 +438,7 @@
 	  .coverage_floor = 0.5 },
 };
 
-/* Latency against coverage: the floor is 0.95, a straggler a question. */
+/* Latency and coverage: floor 0.95, one straggler in each question. */
 static const struct scenario soft[] = {
 	{ .name = "soft 400 ms",
 	  .rate = 60,
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -1,6 +1,6 @@
 /*
- * Speed and memory of the decisions alone: one node's reducer, no sockets.
- * One JSON line a measurement; bench/slopes.py fits them.
+ * CPU time and memory of one node's reducer, without sockets. Prints one JSON
+ * line for each measurement; bench/slopes.py fits lines to them.
  *
  *   reducer leafs|targets|members|joins|docs|customers|records|growth
  */
@@ -32,7 +32,7 @@
 	return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-/* Resident bytes: APR's pools are not seen by the heap's own books. */
+/* Resident set size, since malloc statistics do not show APR's pools. */
 static double resident_bytes(void)
 {
 	FILE *statm = fopen("/proc/self/statm", "r");
@@ -46,7 +46,7 @@
 	return (double)resident * (double)sysconf(_SC_PAGESIZE);
 }
 
-/* @targets leafs, of which the index "asked" has @asked shards. */
+/* @targets leafs; index "asked" has @asked of their shards. */
 static char *make_fleet(int targets, int asked, int vms)
 {
 	struct buf out = { 0 };
@@ -95,7 +95,7 @@
 	return out.ptr;
 }
 
-/** struct fixture - a node whose targets answer at once */
+/** struct fixture - a node whose targets reply immediately */
 struct fixture {
 	struct node *node;
 	struct effects fx;
@@ -103,7 +103,7 @@
 	uint64_t caller;
 	uint64_t leafs;
 	uint64_t events;
-	bool withhold_replies; /* targets do not answer */
+	bool withhold_replies; /* leave requests open */
 };
 
 static void feed(struct fixture *fixture, struct event event)
@@ -195,8 +195,8 @@
 	run_effects(fixture);
 }
 
-/* Fan-out: processor time a leaf request, events a second, bytes a question
- * that is open, allocations of effects aside. */
+/* Fan-out: CPU time per leaf request, events per second, and bytes per open
+ * question without the allocations for effects. */
 static void bench_leafs(int asked, int targets)
 {
 	struct fixture fixture;
@@ -228,7 +228,7 @@
 	stop(&fixture);
 }
 
-/* Targets that the node knows of: bytes and time of a changed view. */
+/* Targets listed in the fleet: bytes, and CPU time of a view change. */
 static void bench_targets(int targets, int vms)
 {
 	struct fixture fixture;
@@ -252,7 +252,7 @@
 	stop(&fixture);
 }
 
-/* VMs: a heartbeat period of all-to-all, time and bytes on the wire. */
+/* VMs: CPU time and bytes on the wire per period of all-to-all heartbeats. */
 static void bench_members(int vms)
 {
 	struct fixture fixture;
@@ -279,7 +279,7 @@
 	msg.version2 = fixture.node->fleet->version;
 	msg.hash2 = fixture.node->fleet->hash;
 	spent = cpu_seconds();
-	/* The first period is all joins; it is not counted. */
+	/* All VMs join in the first period, which is not counted. */
 	for (int r = -1; r < rounds; r++) {
 		if (!r)
 			spent = cpu_seconds();
@@ -327,7 +327,8 @@
 	stop(&fixture);
 }
 
-/* A node starts in the largest fleet: all others are heard within a second. */
+/* A node starts in the largest fleet: heartbeats of all others arrive within a
+ * second. */
 static void bench_joins(int vms)
 {
 	struct fixture fixture;
@@ -355,7 +356,7 @@
 	stop(&fixture);
 }
 
-/* Documents: bytes and time to take one. */
+/* Documents: size, CPU time to parse and memory of a fleet document. */
 static void bench_docs(int targets, int vms)
 {
 	char *body = make_fleet(targets, 10, vms);
@@ -373,7 +374,7 @@
 	free(body);
 }
 
-/* Customers: bytes of an account, and of a line of the lists. */
+/* Customers: bytes of their accounts after one question each. */
 static void bench_customers(int customers)
 {
 	struct fixture fixture;
@@ -399,7 +400,7 @@
 	stop(&fixture);
 }
 
-/* Resident bytes over a long run; under valgrind, allocations a leaf. */
+/* Resident memory over a long run; with valgrind, allocations per leaf. */
 static void bench_growth(int questions)
 {
 	struct fixture fixture;
@@ -418,7 +419,7 @@
 	stop(&fixture);
 }
 
-/* Records of entries that were concluded: bytes each. */
+/* Bytes of the records of concluded entries. */
 static void bench_records(int records)
 {
 	struct fixture fixture;
@@ -484,7 +485,7 @@
 		if (!strcmp(bench, "records"))
 			bench_records(sizes[i]);
 	}
-	/* Flat in the number of targets: the same fan-out, more of them. */
+	/* Same fan-out with more targets: the cost is flat in their number. */
 	for (size_t i = 2; i < 5 && !strcmp(bench, "leafs"); i++)
 		bench_leafs(260, sizes[i]);
 	for (size_t i = 0; i < 4; i++) {
