--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -31,7 +31,7 @@
                               index="order_book", key=10)[1]["outcome"]
             report(f"order-4711 entered at node {node}: {outcome}")
         stats = c.stats()
-        report(f"recorded by the targets: {stats['entries']} order, run "
+        report(f"the targets' books: {stats['entries']} order, run "
                f"{stats['max_runs']} time")
 
         domain = "schimatari"
@@ -44,7 +44,7 @@
                        for i in range(6))
         time.sleep(1)
         report(f"{domain} taken out: {requests_started(c, domain) - before} "
-               "new requests there during 6 questions, lowest coverage "
+               "new requests there during 6 questions, least coverage "
                f"{coverage:.4f}")
 
         codes = [c.stop_node(i) for i in range(6)]
