--- a/bench/draw.py
+++ b/bench/draw.py
@@ -1,10 +1,10 @@
-"""Draws the results of bench/policy (JSON lines on standard input).
+"""Plots the results of bench/policy (JSON lines on standard input).
 
     for s in 1 2 3; do build/bench/policy hedging $s; build/bench/policy \\
         soft $s; build/bench/policy admission $s; done | python3 bench/draw.py
 
 Writes docs/hedging.png, docs/soft.png and docs/admission.png with gnuplot;
-each bar or point is the mean over the seeds.
+each bar or point is the mean over all seeds.
 """
 
 import collections
@@ -12,7 +12,7 @@
 import subprocess
 import sys
 
-HEAD = "set terminal pngcairo size 760,420\nset grid y\nset key off\n"
+PREAMBLE = "set terminal pngcairo size 760,420\nset grid y\nset key off\n"
 
 
 def means(rows, part):
@@ -27,7 +27,7 @@
 
 
 def plot(name, body, data):
-    text = HEAD + f"set output 'docs/{name}.png'\n" + body + data + "e\n"
+    text = PREAMBLE + f"set output 'docs/{name}.png'\n" + body + data + "e\n"
     subprocess.run(["gnuplot"], input=text, text=True, check=True)
 
 
--- a/bench/heavy.py
+++ b/bench/heavy.py
@@ -1,10 +1,11 @@
-"""Draws what two versions make of the heavy days in tests/check_load.c.
+"""Plots the results of two versions for the load patterns of check_load.c.
 
     OLD/tests/check-load >old.txt; build/tests/check-load >new.txt
     python3 bench/heavy.py old.txt new.txt
 
-Writes docs/heavy-days.png with gnuplot: for each pattern the credit (the mean
-squared share of shards that are in by the goal), before and after.
+Writes docs/heavy-days.png with gnuplot: for each pattern of tests/check_load.c
+the credit before and after, which is the mean squared share of shards whose
+replies arrive by the goal.
 """
 
 import re
@@ -30,13 +31,13 @@
 """
 
 
-def read(path):
+def read_credits(path):
     with open(path, encoding="utf-8") as file:
         return {m[1]: float(m[2]) for m in LINE.finditer(file.read())}
 
 
 def main():
-    old, new = read(sys.argv[1]), read(sys.argv[2])
+    old, new = read_credits(sys.argv[1]), read_credits(sys.argv[2])
     names = [name for name in new if name in old]
     rows = ["".join(f'"{name}" {run[name]}\n' for name in names) + "e\n"
             for run in (old, new)]
--- a/tests/world.py
+++ b/tests/cluster.py
@@ -1,7 +1,7 @@
-"""Starts a small world on loopback: platform, targets, nodes.
+"""Starts a test cluster on loopback: fake platform, fake targets and nodes.
 
-Used by the demo, the process tests and the benchmarks. Every process is
-started here and ended here; all addresses are on 127.0.0.1.
+Used by the demo, the process tests and the benchmarks. Starts and ends all
+processes; all addresses are on 127.0.0.1.
 """
 
 import json
@@ -45,7 +45,7 @@
 
 
 def http(address, path, body=None, timeout=20):
-    """One request; returns (status, parsed body or None)."""
+    """Send one request; returns (status, parsed body or None)."""
     data = body if body is None or isinstance(body, bytes) else (
         json.dumps(body).encode())
     req = urllib.request.Request(f"http://{address}{path}", data=data)
@@ -58,37 +58,38 @@
         return err.code, json.loads(text) if text else None
 
 
-def wait_for(check, what, seconds=30):
-    """Wait on a condition; the limit only ends a test that hangs."""
+def wait_for(condition, what, seconds=30):
+    """Wait for a condition; the time limit only ends a test that hangs."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
-            value = check()
+            value = condition()
         except OSError:
             value = None
         if value:
             return value
         time.sleep(0.02)
-    raise AssertionError(f"never came true: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 def make_fleet(site, nodes, base_port, versions=(1,)):
-    """Each leaf holds its own shard and its neighbour's, a domain apart."""
+    """Each leaf holds its own shard and its neighbour's, in another domain."""
     domains = site["domains"]
     targets, shards = [], []
     port = base_port
-    for index, (leafs, slots, connections) in site["indexes"].items():
-        for i in range(leafs):
+    for index, (target_count, slots, connections) in site["indexes"].items():
+        for i in range(target_count):
             targets.append({
                 "name": f"{index}-{i}", "address": f"127.0.0.1:{port}",
                 "domain": domains[i % len(domains)], "state": "live",
                 "slots": slots, "connections": connections})
             port += 1
-        for i in range(leafs):
+        for i in range(target_count):
             shards.append({
                 "id": len(shards) + 1, "index": index,
                 "from": i * 100, "to": (i + 1) * 100, "weight": 1,
-                "replicas": [f"{index}-{i}", f"{index}-{(i + 1) % leafs}"]})
+                "replicas": [f"{index}-{i}",
+                             f"{index}-{(i + 1) % target_count}"]})
     return {
         "version": 1,
         "domains": [{"name": d, "state": "in"} for d in domains],
@@ -110,8 +111,8 @@
             "allowances": [allowance]}
 
 
-class World:
-    """Use as a context; everything is ended and removed on leaving it."""
+class Cluster:
+    """Context manager; leaving it ends all processes and removes the files."""
 
     def __init__(self, site=SMALL, nodes=3, base=21000, targets=(),
                  versions=(1,), limits=None, settings=None):
@@ -152,13 +153,13 @@
                    self.write("fleet.json", self.fleet))
         wait_for(lambda: http(self.platform, "/book"), "platform is up")
 
-    def start_node(self, i, wait=False, **more):
+    def start_node(self, i, wait=False, **overrides):
         node = self.nodes[i]
         settings = {k: node[k] for k in
                     ("peer", "callers", "operators", "domain")}
         settings["platforms"] = [self.platform]
         settings.update(self.settings)
-        settings.update(more)
+        settings.update(overrides)
         file = self.write(node["name"] + ".json", settings)
         self.spawn(node["name"], f"{BUILD}/wasabimoor", "serve",
                    "--settings", file)
@@ -174,24 +175,24 @@
             self.start_platform()
             self.spawn("targets", f"{BUILD}/tests/fake-targets", self.control,
                        self.path("fleet.json"), *self.target_args)
-            wait_for(lambda: self.book(), "targets are up")
+            wait_for(lambda: self.stats(), "targets are up")
             for i in range(len(self.nodes)):
                 self.start_node(i)
             for i in range(len(self.nodes)):
                 self.wait_live(i)
-            self.settle()
+            self.wait_for_members()
         except BaseException:
             self.close()
             raise
         return self
 
-    def settle(self):
-        """Every node hears every other."""
+    def wait_for_members(self):
+        """Wait until every running node sees every other one as usable."""
         live = [n for n in self.nodes if self.alive(n["name"])]
         for node in live:
             wait_for(lambda n=node: sum(
                 vm["usable"] for vm in self.status(n)["vms"]) >= len(live),
-                f"{node['name']} hears all")
+                f"{node['name']} sees all other nodes")
 
     def alive(self, name):
         proc = self.procs.get(name)
@@ -217,7 +218,7 @@
         self.procs[name].send_signal(number)
 
     def stop_node(self, i, seconds=60):
-        """Planned stop; returns the exit code."""
+        """Stop a node as planned; returns its exit code."""
         name = self.nodes[i]["name"]
         self.signal(name, signal.SIGTERM)
         return self.procs[name].wait(seconds)
@@ -227,13 +228,13 @@
         self.procs[name].kill()
         self.procs[name].wait()
 
-    # What the outside says.
+    # Platform and targets.
 
     def publish(self, kind, doc):
         http(self.platform, f"/publish/{kind}", doc)
 
     def publish_fleet(self, change):
-        """Apply change(fleet), raise the version and publish."""
+        """Apply change(fleet), increment the version and publish."""
         change(self.fleet)
         self.fleet["version"] += 1
         self.publish("fleet", self.fleet)
@@ -242,15 +243,15 @@
         query = "&".join(f"{k}={v}" for k, v in flags.items())
         http(self.platform, "/set?" + query)
 
-    def set_targets(self, target="all", **knobs):
-        query = "&".join(f"{k}={v}" for k, v in knobs.items())
+    def set_targets(self, target="all", **options):
+        query = "&".join(f"{k}={v}" for k, v in options.items())
         http(self.control, f"/set?target={target}&{query}")
 
-    def book(self):
+    def stats(self):
         return http(self.control, "/book")[1]
 
-    def leaf_book(self, name):
-        return next(t for t in self.book()["targets"]
+    def target_stats(self, name):
+        return next(t for t in self.stats()["targets"]
                     if t["target"] == name)
 
     def status(self, node):
@@ -262,28 +263,29 @@
     def audit(self, node):
         return http(node["operators"], "/audit")[1]
 
-    def ask(self, i=0, terms="t", indexes=None, **more):
+    def ask(self, i=0, terms="t", indexes=None, **overrides):
         body = {"customer": "mill-7", "request_id": "r", "terms": terms,
                 "indexes": indexes or list(self.site["indexes"])}
-        body.update(more)
+        body.update(overrides)
         return http(self.nodes[i]["callers"], "/v1/questions", body)
 
     def ticket(self, i, request_id):
         return http(self.nodes[i]["callers"], "/v1/tickets",
                     {"customer": "mill-7", "request_id": request_id})[1]
 
-    def entry_body(self, request_id, ticket=None, key=0, index=None, **more):
+    def entry_body(self, request_id, ticket=None, key=0, index=None,
+                   **overrides):
         body = {"customer": "mill-7", "request_id": request_id,
                 "index": index or list(self.site["indexes"])[0], "key": key,
                 "entry": {"order": request_id}}
         if ticket:
             body["ticket"] = ticket
-        body.update(more)
+        body.update(overrides)
         return body
 
-    def enter(self, i, request_id, ticket=None, **more):
+    def enter(self, i, request_id, ticket=None, **overrides):
         return http(self.nodes[i]["callers"], "/v1/entries",
-                    self.entry_body(request_id, ticket, **more))
+                    self.entry_body(request_id, ticket, **overrides))
 
     def lookup(self, i, request_id, ticket):
         return http(self.nodes[i]["callers"], "/v1/lookups",
