--- a/batch.c
+++ b/batch.c
@@ -107,9 +107,9 @@
 	fx->msg.attempt = (uint32_t)tried;
 	fx->msg.remaining_us = call->deadline - calls->now;
 	fx->msg.wait_us = calls->now - call->start + HOP_RTT_US;
-	fx->msg.hash = call->print.content[0];
-	fx->msg.hash2 = call->print.content[1];
-	fx->msg.key = call->print.caller;
+	fx->msg.hash = call->fingerprint.content[0];
+	fx->msg.hash2 = call->fingerprint.content[1];
+	fx->msg.key = call->fingerprint.caller;
 	fx->msg.body = str_dup(calls->fx->pool, buf_str(&body));
 	fx->msg.name =
 		pack_parts(calls, shard_indexes(call, parts, nparts), nparts);
@@ -383,7 +383,8 @@
 		      struct str from, uint64_t incarnation,
 		      const struct msg *msg, int64_t delay_us)
 {
-	struct fingerprint print = { { msg->hash, msg->hash2 }, msg->key };
+	struct fingerprint fingerprint = { { msg->hash, msg->hash2 },
+					   msg->key };
 	int64_t remaining_us = msg->remaining_us - delay_us;
 	struct flow_request request;
 	const struct route *route;
@@ -399,7 +400,7 @@
 	 * sender, is refused too: the sender runs its trial.
 	 */
 	if (!route || remaining_us <= 0 ||
-	    poison_verdict(calls->poison, &print) != POISON_NONE) {
+	    poison_verdict(calls->poison, &fingerprint) != POISON_NONE) {
 		send_refusal(calls, from, incarnation, msg->id);
 		apr_pool_destroy(pool);
 		return;
@@ -407,7 +408,7 @@
 	request.time_left_us = remaining_us;
 	call = call_create(calls, peer_call_bit | ++calls->next_id, &request,
 			   catalog, route);
-	call->print = print;
+	call->fingerprint = fingerprint;
 	call->start -= msg->wait_us + delay_us;
 	call->deadline = calls->now + remaining_us;
 	call->origin = str_dup(call->pool, from);
@@ -471,7 +472,7 @@
 {
 	size_t max_tried = call->tried + 1;
 
-	if (poison_verdict(calls->poison, &call->print) == POISON_NONE)
+	if (poison_verdict(calls->poison, &call->fingerprint) == POISON_NONE)
 		return 0;
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ntried > max_tried)
--- a/call.c
+++ b/call.c
@@ -219,9 +219,9 @@
 	attempt->baseline = call->baseline;
 	attempt->baseline_us = call->baseline->us;
 	attempt->extra = p->ntried > 0;
-	attempt->print = call->print;
-	attempt->round = poison_round(calls->poison, &call->print);
-	call->trial.sends += call->trial.state == TRIAL_GRANTED;
+	attempt->fingerprint = call->fingerprint;
+	attempt->round = poison_round(calls->poison, &call->fingerprint);
+	call->trial.sends += call->trial.lease == LEASE_GRANTED;
 	attempt->next = call->attempts;
 	call->attempts = attempt;
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id),
@@ -305,13 +305,13 @@
 {
 	struct part *p = &call->parts[part];
 	struct live_target *target;
-	enum send_result permission;
+	enum send_result trial_result;
 
 	if (!call_may_send(call, p))
 		return SEND_NO_TRIES;
-	permission = trial_may_send(calls, call, p);
-	if (permission != SEND_DONE)
-		return permission;
+	trial_result = trial_check_send(calls, call, p);
+	if (trial_result != SEND_DONE)
+		return trial_result;
 	target = choose(calls, call, p);
 	if (!target)
 		return SEND_NO_TARGET;
@@ -371,9 +371,10 @@
 void call_mark_served(struct calls *calls, struct call *call)
 {
 	call->served = true;
-	if (poison_answered(calls->poison, &call->print, calls->now))
-		decision_log_cleared(calls->dlog, calls->now, &call->print);
-	poison_sync_send(calls->news, calls->now);
+	if (poison_on_answer(calls->poison, &call->fingerprint, calls->now))
+		decision_log_cleared(calls->dlog, calls->now,
+				     &call->fingerprint);
+	poison_sync_send(calls->poison_sync, calls->now);
 }
 
 /*
@@ -395,13 +396,13 @@
 	    reply->result != FETCH_BROKEN ||
 	    (call ? call->served : attempt->served))
 		return;
-	entry = poison_crashed(calls->poison, &attempt->print, attempt->round,
-			       &crash);
+	entry = poison_on_crash(calls->poison, &attempt->fingerprint,
+				attempt->round, &crash);
 	if (!entry)
 		return;
 	decision_log_suspect(calls->dlog, calls->now, calls->poison, entry,
 			     attempt->target->id);
-	poison_sync_send(calls->news, calls->now);
+	poison_sync_send(calls->poison_sync, calls->now);
 }
 
 static void handle_reply(struct calls *calls, uint64_t id,
@@ -494,8 +495,8 @@
 {
 	if (call->served || (call->origin.len && call->abandoned))
 		return;
-	poison_unanswered(calls->poison, &call->print);
-	poison_sync_send(calls->news, calls->now);
+	poison_on_unanswered(calls->poison, &call->fingerprint);
+	poison_sync_send(calls->poison_sync, calls->now);
 }
 
 static void call_end(struct calls *calls, struct call *call)
@@ -555,7 +556,7 @@
 static int error_code(const struct calls *calls, const struct call *call,
 		      int status)
 {
-	if (poison_verdict(calls->poison, &call->print) == POISON_BLOCKED)
+	if (poison_verdict(calls->poison, &call->fingerprint) == POISON_BLOCKED)
 		return ERR_BLOCKED;
 	if (status == 503)
 		return ERR_OVERLOADED;
--- a/call.h
+++ b/call.h
@@ -31,7 +31,7 @@
  * @baseline: baseline latency of this kind of request
  * @baseline_us: value of @baseline when the attempt was sent
  * @extra: not the first attempt for its shard
- * @print: fingerprint of the request, for crash evidence
+ * @fingerprint: fingerprint of the request, for crash evidence
  * @round: evidence round of the request when the attempt was sent
  * @served: the call had been served when the attempt was orphaned
  */
@@ -44,7 +44,7 @@
 	struct baseline *baseline;
 	double baseline_us;
 	bool extra;
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	int round;
 	bool served;
 	struct attempt *next; /* next attempt of the same call */
@@ -79,23 +79,23 @@
 	SEND_BLOCKED, /* blocked: must not be sent */
 };
 
-/** enum trial_state - permission to send a suspect request */
-enum trial_state {
-	TRIAL_NONE,
-	TRIAL_REQUESTED,
-	TRIAL_GRANTED,
-	TRIAL_DENIED,
+/** enum lease_state - permission to send a suspect request */
+enum lease_state {
+	LEASE_NONE,
+	LEASE_REQUESTED,
+	LEASE_GRANTED,
+	LEASE_DENIED,
 };
 
 /**
  * struct trial - trial of a suspect request
- * @grant_deadline: when a pending permission request expires
+ * @lease_reply_deadline: when a pending permission request expires
  * @sends: attempts sent with permission
  * @held: at least one attempt was held back
  */
 struct trial {
-	enum trial_state state;
-	int64_t grant_deadline;
+	enum lease_state lease;
+	int64_t lease_reply_deadline;
 	int sends;
 	bool held;
 };
@@ -141,7 +141,7 @@
 /**
  * struct call - one client request
  * @id: id of the client request, or generated here for another node's batch
- * @print: fingerprint that identifies repeats of the request
+ * @fingerprint: fingerprint that identifies repeats of the request
  * @kind: operations of its kind
  * @baseline: baseline latency of its route
  * @origin: address of the node that delegated it; empty for a client request
@@ -169,7 +169,7 @@
 	uint64_t id;
 	apr_pool_t *pool;
 	struct flow_request request;
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	struct catalog *catalog;
 	const struct route *route;
 	const struct call_kind *kind;
@@ -232,7 +232,7 @@
 	struct decision_log *dlog;
 	struct gossip *gossip;
 	struct poison *poison;
-	struct poison_sync *news;
+	struct poison_sync *poison_sync;
 	struct batch_table *batches;
 	const struct call_kind *shards_kind;
 };
--- a/decision_log.c
+++ b/decision_log.c
@@ -73,11 +73,12 @@
 				 : -1LL);
 }
 
-static void add_fingerprint(struct buf *line, const struct fingerprint *print)
+static void add_fingerprint(struct buf *line,
+			    const struct fingerprint *fingerprint)
 {
 	buf_printf(line, ",\"content\":\"%016llx\",\"caller\":\"%016llx\"",
-		   (unsigned long long)print->content[0],
-		   (unsigned long long)print->caller);
+		   (unsigned long long)fingerprint->content[0],
+		   (unsigned long long)fingerprint->caller);
 }
 
 static void add_call(struct buf *line, int64_t now, const struct call *call)
@@ -86,7 +87,7 @@
 	buf_json_add(line, call->request.request_id);
 	buf_printf(line, ",\"route\":");
 	buf_json_add(line, call->route->name);
-	add_fingerprint(line, &call->print);
+	add_fingerprint(line, &call->fingerprint);
 	buf_printf(line, ",\"after_ms\":%.1f,\"left_ms\":%.1f",
 		   (double)(now - call->start) / 1000,
 		   (double)(call->deadline - now) / 1000);
@@ -257,14 +258,15 @@
 			  const struct poison *poison,
 			  const struct poison_entry *entry, struct str target)
 {
-	enum poison_verdict verdict = poison_verdict(poison, &entry->print);
+	enum poison_verdict verdict =
+		poison_verdict(poison, &entry->fingerprint);
 	struct buf line = { 0 };
 
 	if (!admit(dlog, now, DECISION_STATE))
 		return;
 	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes targets\"");
-	add_fingerprint(&line, &entry->print);
+	add_fingerprint(&line, &entry->fingerprint);
 	buf_printf(&line,
 		   ",\"verdict\":\"%s\",\"rounds\":%d,\"crashes\":%zu,"
 		   "\"target\":",
@@ -275,7 +277,7 @@
 }
 
 void decision_log_cleared(struct decision_log *dlog, int64_t now,
-			  const struct fingerprint *print)
+			  const struct fingerprint *fingerprint)
 {
 	struct buf line = { 0 };
 
@@ -283,7 +285,7 @@
 		return;
 	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes no target\"");
-	add_fingerprint(&line, print);
+	add_fingerprint(&line, fingerprint);
 	buf_printf(&line, ",\"why\":\"a target answered it\"}");
 	write_line(dlog, &line, false);
 }
--- a/decision_log.h
+++ b/decision_log.h
@@ -61,7 +61,7 @@
 			  const struct poison_entry *entry, struct str target);
 /** decision_log_cleared() - log that a target answered a suspect request. */
 void decision_log_cleared(struct decision_log *dlog, int64_t now,
-			  const struct fingerprint *print);
+			  const struct fingerprint *fingerprint);
 /**
  * decision_log_batch_returned() - log that this node takes back shards which it
  * had delegated to the node at @addr
--- a/fingerprint.c
+++ b/fingerprint.c
@@ -21,14 +21,14 @@
 				  struct str caller)
 {
 	unsigned char digest[APR_SHA1_DIGESTSIZE];
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	struct apr_sha1_ctx_t sha;
 
 	apr_sha1_init(&sha);
 	for (size_t i = 0; i < count; i++)
 		hash_part(&sha, parts[i]);
 	apr_sha1_final(digest, &sha);
-	memcpy(print.content, digest, sizeof(print.content));
-	print.caller = str_hash(caller);
-	return print;
+	memcpy(fingerprint.content, digest, sizeof(fingerprint.content));
+	fingerprint.caller = str_hash(caller);
+	return fingerprint;
 }
--- a/front_poison.c
+++ b/front_poison.c
@@ -141,7 +141,8 @@
 
 	if (q->served)
 		return;
-	poison_crashed(&front->poison, &q->fingerprint, attempt->round, &crash);
+	poison_on_crash(&front->poison, &q->fingerprint, attempt->round,
+			&crash);
 	poison_sync_send(&front->news, node->now);
 	if (!was_blocked && front_question_blocked(node, q))
 		node_audit(node, "question", STR("suspect"), STR("blocked"),
@@ -157,7 +158,7 @@
 	q->served = true;
 	replica->boot = msg->hash;
 	replica->boot_seen_at = node->now;
-	poison_answered(&node->front->poison, &q->fingerprint, node->now);
+	poison_on_answer(&node->front->poison, &q->fingerprint, node->now);
 	poison_sync_send(&node->front->news, node->now);
 }
 
@@ -165,6 +166,6 @@
 {
 	if (q->served)
 		return;
-	poison_unanswered(&node->front->poison, &q->fingerprint);
+	poison_on_unanswered(&node->front->poison, &q->fingerprint);
 	poison_sync_send(&node->front->news, node->now);
 }
--- a/merge.c
+++ b/merge.c
@@ -66,7 +66,7 @@
 
 static bool is_suspect(const struct calls *calls, const struct call *call)
 {
-	return poison_verdict(calls->poison, &call->print) != POISON_NONE;
+	return poison_verdict(calls->poison, &call->fingerprint) != POISON_NONE;
 }
 
 bool merge_has_coverage(const struct route *route, size_t done)
--- a/payload.c
+++ b/payload.c
@@ -217,9 +217,9 @@
 			   struct encoded_suspect *out)
 {
 	wire__suspect__init(&out->wire);
-	out->wire.content_high = entry->print.content[0];
-	out->wire.content_low = entry->print.content[1];
-	out->wire.caller = entry->print.caller;
+	out->wire.content_high = entry->fingerprint.content[0];
+	out->wire.content_low = entry->fingerprint.content[1];
+	out->wire.caller = entry->fingerprint.caller;
 	out->wire.rounds = (uint32_t)entry->rounds;
 	out->wire.harmless = entry->harmless;
 	out->wire.n_crashes = entry->ncrashes;
@@ -253,8 +253,8 @@
 					  int64_t now)
 {
 	struct poison_entry entry = {
-		.print = { { from->content_high, from->content_low },
-			   from->caller },
+		.fingerprint = { { from->content_high, from->content_low },
+				 from->caller },
 		.harmless = from->harmless,
 	};
 
--- a/poison.c
+++ b/poison.c
@@ -67,21 +67,22 @@
 
 /* Table. */
 
-static struct poison_entry *find_content(const struct poison *poison,
-					 const struct fingerprint *print)
+static struct poison_entry *
+find_first_entry(const struct poison *poison,
+		 const struct fingerprint *fingerprint)
 {
 	if (!poison->count)
 		return NULL;
-	return apr_hash_get(poison->entries, print->content,
-			    sizeof(print->content));
+	return apr_hash_get(poison->entries, fingerprint->content,
+			    sizeof(fingerprint->content));
 }
 
 static struct poison_entry *find_entry(const struct poison *poison,
-				       const struct fingerprint *print)
+				       const struct fingerprint *fingerprint)
 {
-	struct poison_entry *entry = find_content(poison, print);
+	struct poison_entry *entry = find_first_entry(poison, fingerprint);
 
-	while (entry && entry->print.caller != print->caller)
+	while (entry && entry->fingerprint.caller != fingerprint->caller)
 		entry = entry->next;
 	return entry;
 }
@@ -89,30 +90,32 @@
 /* The key of the hash table is stored in the first entry of a content. */
 static void link_entry(struct poison *poison, struct poison_entry *entry)
 {
-	struct poison_entry *first = find_content(poison, &entry->print);
+	struct poison_entry *first =
+		find_first_entry(poison, &entry->fingerprint);
 
 	if (first) {
 		entry->next = first->next;
 		first->next = entry;
 	} else {
-		apr_hash_set(poison->entries, entry->print.content,
-			     sizeof(entry->print.content), entry);
+		apr_hash_set(poison->entries, entry->fingerprint.content,
+			     sizeof(entry->fingerprint.content), entry);
 	}
 	poison->count++;
 }
 
 static void remove_entry(struct poison *poison, struct poison_entry *entry)
 {
-	struct poison_entry *first = find_content(poison, &entry->print);
+	struct poison_entry *first =
+		find_first_entry(poison, &entry->fingerprint);
 	struct poison_entry *before = first;
 
 	if (first == entry) {
-		apr_hash_set(poison->entries, entry->print.content,
-			     sizeof(entry->print.content), NULL);
+		apr_hash_set(poison->entries, entry->fingerprint.content,
+			     sizeof(entry->fingerprint.content), NULL);
 		if (entry->next)
 			apr_hash_set(poison->entries,
-				     entry->next->print.content,
-				     sizeof(entry->next->print.content),
+				     entry->next->fingerprint.content,
+				     sizeof(entry->next->fingerprint.content),
 				     entry->next);
 	} else {
 		while (before->next != entry)
@@ -178,18 +181,18 @@
 	return least;
 }
 
-static struct poison_entry *get_or_create(struct poison *poison,
-					  const struct fingerprint *print,
-					  int64_t now)
+static struct poison_entry *
+get_or_create_entry(struct poison *poison,
+		    const struct fingerprint *fingerprint, int64_t now)
 {
-	struct poison_entry *entry = find_entry(poison, print);
+	struct poison_entry *entry = find_entry(poison, fingerprint);
 
 	if (entry)
 		return entry;
 	if (poison->count >= POISON_ENTRIES_MAX)
 		remove_entry(poison, eviction_candidate(poison));
 	entry = xcalloc(1, sizeof(*entry));
-	entry->print = *print;
+	entry->fingerprint = *fingerprint;
 	entry->requested_at = now;
 	link_entry(poison, entry);
 	return entry;
@@ -204,16 +207,17 @@
 /* Verdict. */
 
 enum poison_verdict poison_verdict(const struct poison *poison,
-				   const struct fingerprint *print)
+				   const struct fingerprint *fingerprint)
 {
-	const struct poison_entry *first = find_content(poison, print);
+	const struct poison_entry *first =
+		find_first_entry(poison, fingerprint);
 	const struct poison_entry *own;
 	struct evidence evidence;
 
 	if (!first)
 		return POISON_NONE;
 	evidence = sum_evidence(first);
-	own = find_entry(poison, print);
+	own = find_entry(poison, fingerprint);
 	if (own && own->harmless)
 		return POISON_NONE;
 	if (own && is_blocked(own, evidence.crashes))
@@ -223,41 +227,43 @@
 	return evidence.callers ? POISON_SUSPECT : POISON_NONE;
 }
 
-void poison_touch(struct poison *poison, const struct fingerprint *print,
+void poison_touch(struct poison *poison, const struct fingerprint *fingerprint,
 		  int64_t now)
 {
-	struct poison_entry *entry = find_content(poison, print);
+	struct poison_entry *entry = find_first_entry(poison, fingerprint);
 
 	for (; entry; entry = entry->next)
 		entry->requested_at = now;
 }
 
-int poison_round(const struct poison *poison, const struct fingerprint *print)
+int poison_round(const struct poison *poison,
+		 const struct fingerprint *fingerprint)
 {
-	return sum_evidence(find_content(poison, print)).rounds + 1;
+	return sum_evidence(find_first_entry(poison, fingerprint)).rounds + 1;
 }
 
 /* Recently answered requests. */
 
-static uint64_t answered_key(const struct fingerprint *print)
+static uint64_t answered_key(const struct fingerprint *fingerprint)
 {
-	return str_hash((struct str){ (const char *)print, sizeof(*print) });
+	return str_hash((struct str){ (const char *)fingerprint,
+				      sizeof(*fingerprint) });
 }
 
 static void record_answered(struct poison *poison,
-			    const struct fingerprint *print, int64_t now)
+			    const struct fingerprint *fingerprint, int64_t now)
 {
-	uint64_t key = answered_key(print);
+	uint64_t key = answered_key(fingerprint);
 
 	poison->answered[key % POISON_ANSWERED_MAX] =
-		(struct poison_answered){ key, now };
+		(struct answered_request){ key, now };
 }
 
 static bool was_answered(const struct poison *poison,
-			 const struct fingerprint *print, int64_t now)
+			 const struct fingerprint *fingerprint, int64_t now)
 {
-	uint64_t key = answered_key(print);
-	const struct poison_answered *answered =
+	uint64_t key = answered_key(fingerprint);
+	const struct answered_request *answered =
 		&poison->answered[key % POISON_ANSWERED_MAX];
 
 	return answered->key == key &&
@@ -296,33 +302,33 @@
 	       entry->rounds > before->rounds;
 }
 
-const struct poison_entry *poison_crashed(struct poison *poison,
-					  const struct fingerprint *print,
-					  int round,
-					  const struct poison_crash *crash)
+const struct poison_entry *
+poison_on_crash(struct poison *poison, const struct fingerprint *fingerprint,
+		int round, const struct poison_crash *crash)
 {
 	struct poison_entry *entry;
 	struct poison_entry before;
 
-	if (was_answered(poison, print, crash->at))
+	if (was_answered(poison, fingerprint, crash->at))
 		return NULL;
-	entry = get_or_create(poison, print, crash->at);
+	entry = get_or_create_entry(poison, fingerprint, crash->at);
 	before = *entry;
 	entry->harmless = false;
 	if (add_crash(entry, crash) && round > entry->rounds)
 		entry->rounds = round;
 	if (!has_grown(entry, &before) ||
-	    poison_verdict(poison, print) == POISON_NONE)
+	    poison_verdict(poison, fingerprint) == POISON_NONE)
 		return NULL;
-	/* The first round is sent by poison_unanswered(). */
+	/* The first round is sent by poison_on_unanswered(). */
 	if (entry->rounds > 1 && entry->rounds > before.rounds)
 		mark_pending(poison, entry);
 	return entry;
 }
 
-void poison_unanswered(struct poison *poison, const struct fingerprint *print)
+void poison_on_unanswered(struct poison *poison,
+			  const struct fingerprint *fingerprint)
 {
-	struct poison_entry *entry = find_entry(poison, print);
+	struct poison_entry *entry = find_entry(poison, fingerprint);
 
 	if (entry && entry->ncrashes && !entry->announced)
 		mark_pending(poison, entry);
@@ -330,12 +336,13 @@
 
 /* Return: there are crashes under the same content of another caller. */
 static bool other_callers_suspect(const struct poison *poison,
-				  const struct fingerprint *print)
+				  const struct fingerprint *fingerprint)
 {
-	const struct poison_entry *at = find_content(poison, print);
+	const struct poison_entry *at = find_first_entry(poison, fingerprint);
 
 	for (; at; at = at->next)
-		if (at->print.caller != print->caller && at->ncrashes)
+		if (at->fingerprint.caller != fingerprint->caller &&
+		    at->ncrashes)
 			return true;
 	return false;
 }
@@ -350,41 +357,42 @@
 
 /* Return: the entry if it has become harmless now, or NULL. */
 static struct poison_entry *set_harmless(struct poison *poison,
-					 const struct fingerprint *print,
+					 const struct fingerprint *fingerprint,
 					 int64_t now)
 {
-	struct poison_entry *entry = find_entry(poison, print);
+	struct poison_entry *entry = find_entry(poison, fingerprint);
 
-	record_answered(poison, print, now);
-	if (!entry && !other_callers_suspect(poison, print))
+	record_answered(poison, fingerprint, now);
+	if (!entry && !other_callers_suspect(poison, fingerprint))
 		return NULL;
-	entry = get_or_create(poison, print, now);
+	entry = get_or_create_entry(poison, fingerprint, now);
 	if (entry->harmless)
 		return NULL;
 	clear_evidence(entry);
 	return entry;
 }
 
-bool poison_answered(struct poison *poison, const struct fingerprint *print,
-		     int64_t now)
+bool poison_on_answer(struct poison *poison,
+		      const struct fingerprint *fingerprint, int64_t now)
 {
-	bool was_suspect = poison_verdict(poison, print) != POISON_NONE;
-	struct poison_entry *entry = set_harmless(poison, print, now);
+	bool was_suspect = poison_verdict(poison, fingerprint) != POISON_NONE;
+	struct poison_entry *entry = set_harmless(poison, fingerprint, now);
 
 	if (entry && entry->announced)
 		mark_pending(poison, entry);
 	return was_suspect;
 }
 
-bool poison_lease(struct poison *poison, const struct fingerprint *print,
-		  int64_t now)
+bool poison_take_lease(struct poison *poison,
+		       const struct fingerprint *fingerprint, int64_t now)
 {
-	const struct poison_entry *at = find_content(poison, print);
+	const struct poison_entry *at = find_first_entry(poison, fingerprint);
 
 	for (; at; at = at->next)
 		if (at->leased_until > now)
 			return false;
-	get_or_create(poison, print, now)->leased_until = now + LEASE_US;
+	get_or_create_entry(poison, fingerprint, now)->leased_until =
+		now + LEASE_US;
 	return true;
 }
 
@@ -404,17 +412,17 @@
 					  const struct poison_entry *from,
 					  bool store_fresh, int64_t now)
 {
-	struct poison_entry *entry = find_entry(poison, &from->print);
+	struct poison_entry *entry = find_entry(poison, &from->fingerprint);
 	struct poison_entry before = { 0 };
 
 	if (entry)
 		before = *entry;
-	if (was_answered(poison, &from->print, now))
+	if (was_answered(poison, &from->fingerprint, now))
 		return NULL;
 	for (size_t i = 0; i < from->ncrashes; i++) {
 		if (store_fresh && is_refuted(poison, &from->crashes[i], now))
 			continue;
-		entry = get_or_create(poison, &from->print, now);
+		entry = get_or_create_entry(poison, &from->fingerprint, now);
 		entry->harmless = false;
 		add_crash(entry, &from->crashes[i]);
 	}
@@ -429,7 +437,7 @@
 		  bool relay, bool store_fresh, int64_t now)
 {
 	struct poison_entry *entry =
-		from->harmless ? set_harmless(poison, &from->print, now)
+		from->harmless ? set_harmless(poison, &from->fingerprint, now)
 			       : merge_crashes(poison, from, store_fresh, now);
 
 	if (!entry)
@@ -509,8 +517,10 @@
 
 static uint64_t entry_digest(const struct poison_entry *entry)
 {
-	uint64_t words[] = { entry->print.content[0], entry->print.content[1],
-			     entry->print.caller, (uint64_t)entry->rounds };
+	uint64_t words[] = { entry->fingerprint.content[0],
+			     entry->fingerprint.content[1],
+			     entry->fingerprint.caller,
+			     (uint64_t)entry->rounds };
 
 	return str_hash((struct str){ (const char *)words, sizeof(words) });
 }
--- a/poison.h
+++ b/poison.h
@@ -68,7 +68,7 @@
  * @next: entry of the same content with another caller
  */
 struct poison_entry {
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	int rounds;
 	struct poison_crash crashes[POISON_TARGETS_MAX];
 	size_t ncrashes;
@@ -80,8 +80,8 @@
 	struct poison_entry *next;
 };
 
-/** struct poison_answered - hash of a request, and when it was answered */
-struct poison_answered {
+/** struct answered_request - hash of a request, and when it was answered */
+struct answered_request {
 	uint64_t key;
 	int64_t at;
 };
@@ -96,7 +96,7 @@
  */
 struct poison {
 	apr_hash_t *entries;
-	struct poison_answered *answered;
+	struct answered_request *answered;
 	struct poison_targets targets;
 	size_t count;
 	bool has_pending;
@@ -106,43 +106,44 @@
 		 struct poison_targets targets);
 void poison_destroy(struct poison *poison);
 enum poison_verdict poison_verdict(const struct poison *poison,
-				   const struct fingerprint *print);
+				   const struct fingerprint *fingerprint);
 /** poison_touch() - record an arrival, which postpones expiry. */
-void poison_touch(struct poison *poison, const struct fingerprint *print,
+void poison_touch(struct poison *poison, const struct fingerprint *fingerprint,
 		  int64_t now);
 /** poison_round() - number of the round of a send made now, from 1. */
-int poison_round(const struct poison *poison, const struct fingerprint *print);
+int poison_round(const struct poison *poison,
+		 const struct fingerprint *fingerprint);
 /**
- * poison_crashed() - record a broken connection to a target under a request
+ * poison_on_crash() - record a broken connection to a target under a request
  * @round: round of that send
  *
  * Return: the entry if it has new evidence and is not POISON_NONE, or NULL.
  */
-const struct poison_entry *poison_crashed(struct poison *poison,
-					  const struct fingerprint *print,
-					  int round,
-					  const struct poison_crash *crash);
+const struct poison_entry *
+poison_on_crash(struct poison *poison, const struct fingerprint *fingerprint,
+		int round, const struct poison_crash *crash);
 /**
- * poison_unanswered() - a request has ended without an answer of any target
+ * poison_on_unanswered() - a request has ended without an answer of any target
  *
  * Evidence of its first round is sent to other nodes only now, because most
  * requests that lose some connections are answered shortly after.
  */
-void poison_unanswered(struct poison *poison, const struct fingerprint *print);
+void poison_on_unanswered(struct poison *poison,
+			  const struct fingerprint *fingerprint);
 /**
- * poison_answered() - a target answered the request, which clears it
+ * poison_on_answer() - a target answered the request, which clears it
  *
  * Return: whether it was suspect or blocked.
  */
-bool poison_answered(struct poison *poison, const struct fingerprint *print,
-		     int64_t now);
+bool poison_on_answer(struct poison *poison,
+		      const struct fingerprint *fingerprint, int64_t now);
 /**
- * poison_lease() - take the lease for a trial
+ * poison_take_lease() - take the lease for a trial
  *
  * Return: false while another trial of the same content runs.
  */
-bool poison_lease(struct poison *poison, const struct fingerprint *print,
-		  int64_t now);
+bool poison_take_lease(struct poison *poison,
+		       const struct fingerprint *fingerprint, int64_t now);
 /**
  * poison_merge() - merge evidence of another node
  * @from: the evidence, with times in this node's clock
--- a/poison_sync.c
+++ b/poison_sync.c
@@ -19,12 +19,12 @@
 /**
  * struct destination - receivers of evidence
  * @addr: one node; empty for a broadcast
- * @near: broadcast within this failure domain only
+ * @near_only: broadcast within this failure domain only
  * @wants_reply: the receiver sends its own evidence if its digest differs
  */
 struct destination {
 	struct str addr;
-	bool near;
+	bool near_only;
 	bool wants_reply;
 };
 
@@ -44,7 +44,8 @@
 	if (to->addr.len)
 		sync->transport.send(sync->transport.ctx, to->addr, &msg);
 	else
-		sync->transport.broadcast(sync->transport.ctx, &msg, to->near);
+		sync->transport.broadcast(sync->transport.ctx, &msg,
+					  to->near_only);
 	buf_free(&body);
 }
 
@@ -83,9 +84,9 @@
 	} while (sent < count);
 }
 
-static void send_pending(struct poison_sync *sync, bool near, int64_t now)
+static void send_pending(struct poison_sync *sync, bool near_only, int64_t now)
 {
-	struct destination to = { .near = near };
+	struct destination to = { .near_only = near_only };
 	struct poison_entry **list;
 	size_t count;
 
--- a/poison_sync.h
+++ b/poison_sync.h
@@ -14,12 +14,12 @@
 
 /**
  * struct poison_transport - how messages are sent to other nodes
- * @broadcast: send to all nodes, or with @near only to those of this failure
- *             domain; sets msg.ran for nodes that must relay it
+ * @broadcast: send to all nodes, or with @near_only only to those of this
+ * failure domain; sets msg.ran for nodes that must relay it
  * @send: send to the node at @addr
  */
 struct poison_transport {
-	void (*broadcast)(void *ctx, const struct msg *msg, bool near);
+	void (*broadcast)(void *ctx, const struct msg *msg, bool near_only);
 	void (*send)(void *ctx, struct str addr, const struct msg *msg);
 	void *ctx;
 };
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -519,16 +519,17 @@
 	struct flow_effects fx;
 	struct decision_log dlog = { .fx = &fx };
 	struct poison poison;
-	struct poison_sync news = { .poison = &poison,
-				    .transport = { tell_nobody, NULL, NULL },
-				    .pool = pool };
+	struct poison_sync poison_sync = { .poison = &poison,
+					   .transport = { tell_nobody, NULL,
+							  NULL },
+					   .pool = pool };
 	struct calls calls;
 	struct call *call;
 
 	flow_effects_init(&fx, pool);
 	calls_init(&calls, pool, 1);
 	calls.poison = &poison;
-	calls.news = &news;
+	calls.poison_sync = &poison_sync;
 	calls.fx = &fx;
 	calls.dlog = &dlog;
 	calls.now = 100 * (int64_t)SECOND_US;
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -276,31 +276,31 @@
 				     (uint64_t)caller + 1 };
 }
 
-static void broke(struct scene *scene, const struct fingerprint *print,
+static void broke(struct scene *scene, const struct fingerprint *fingerprint,
 		  int round, int target)
 {
 	struct poison_crash crash = { .key = str_hash(target_id(scene, target)),
 				      .at = scene->now };
 
-	poison_crashed(&scene->poison, print, round, &crash);
+	poison_on_crash(&scene->poison, fingerprint, round, &crash);
 }
 
 static void take_step(struct scene *scene, const struct step *step)
 {
-	struct fingerprint print = print_of(0, step->caller);
+	struct fingerprint fingerprint = print_of(0, step->caller);
 
 	switch (step->kind) {
 	case STEP_END:
 		break;
 	case STEP_BROKE:
-		broke(scene, &print, poison_round(&scene->poison, &print),
-		      step->target);
+		broke(scene, &fingerprint,
+		      poison_round(&scene->poison, &fingerprint), step->target);
 		break;
 	case STEP_BESIDE:
-		broke(scene, &print, 1, step->target);
+		broke(scene, &fingerprint, 1, step->target);
 		break;
 	case STEP_SERVED:
-		poison_answered(&scene->poison, &print, scene->now);
+		poison_on_answer(&scene->poison, &fingerprint, scene->now);
 		break;
 	case STEP_PASS:
 		scene->now += step->target * (int64_t)SECOND_US;
@@ -325,12 +325,12 @@
 	for (int i = 0; i < STEPS_MAX && c->steps[i].kind; i++)
 		take_step(&scene, &c->steps[i]);
 	for (int caller = 0; caller < 2; caller++) {
-		struct fingerprint print = print_of(0, caller);
+		struct fingerprint fingerprint = print_of(0, caller);
 
-		ck_assert_msg(poison_verdict(&scene.poison, &print) ==
+		ck_assert_msg(poison_verdict(&scene.poison, &fingerprint) ==
 				      c->verdicts[caller],
 			      "%s: caller %d: verdict %d", c->name, caller,
-			      poison_verdict(&scene.poison, &print));
+			      poison_verdict(&scene.poison, &fingerprint));
 	}
 	scene_destroy(&scene);
 }
@@ -365,9 +365,9 @@
 	for (size_t i = 0; i < count; i++)
 		poison_merge(&other.poison, &got[i], false, true, other.now);
 	for (int caller = 0; caller < 2; caller++) {
-		struct fingerprint print = print_of(0, caller);
+		struct fingerprint fingerprint = print_of(0, caller);
 
-		ck_assert_msg(poison_verdict(&other.poison, &print) ==
+		ck_assert_msg(poison_verdict(&other.poison, &fingerprint) ==
 				      c->verdicts[caller],
 			      "%s: caller %d", c->name, caller);
 	}
@@ -391,11 +391,11 @@
 	for (int i = 0; i < 3; i++)
 		broke(&scene, &guilty, i + 1, i);
 	for (int i = 1; i < 3 * POISON_ENTRIES_MAX; i++) {
-		struct fingerprint print = print_of(i, 0);
+		struct fingerprint fingerprint = print_of(i, 0);
 
 		scene.now += SECOND_US / 1000;
-		broke(&scene, &print, 1, 0);
-		broke(&scene, &print, 1, 1);
+		broke(&scene, &fingerprint, 1, 0);
+		broke(&scene, &fingerprint, 1, 1);
 	}
 	ck_assert_uint_le(scene.poison.count, POISON_ENTRIES_MAX);
 	ck_assert_int_eq(poison_verdict(&scene.poison, &guilty),
@@ -407,16 +407,16 @@
 /* Repeats that come to several nodes at once crash one target, not one each. */
 START_TEST(test_one_trial_at_a_time)
 {
-	struct fingerprint print = print_of(0, 0);
+	struct fingerprint fingerprint = print_of(0, 0);
 	struct fingerprint other = print_of(0, 1);
 	struct scene scene;
 
 	scene_init(&scene);
-	ck_assert(poison_lease(&scene.poison, &print, scene.now));
-	ck_assert(!poison_lease(&scene.poison, &print, scene.now));
-	ck_assert(!poison_lease(&scene.poison, &other, scene.now));
+	ck_assert(poison_take_lease(&scene.poison, &fingerprint, scene.now));
+	ck_assert(!poison_take_lease(&scene.poison, &fingerprint, scene.now));
+	ck_assert(!poison_take_lease(&scene.poison, &other, scene.now));
 	scene.now += 2 * SECOND_US;
-	ck_assert(poison_lease(&scene.poison, &other, scene.now));
+	ck_assert(poison_take_lease(&scene.poison, &other, scene.now));
 	scene_destroy(&scene);
 }
 END_TEST
--- a/tier.c
+++ b/tier.c
@@ -175,7 +175,7 @@
 		.pool = tier->pool,
 	};
 	tier->calls.poison = &tier->poison;
-	tier->calls.news = &tier->poison_sync;
+	tier->calls.poison_sync = &tier->poison_sync;
 	tier->calls.gossip = &tier->gossip;
 	return tier;
 }
@@ -239,7 +239,7 @@
 	const char *why = "blocked";
 	int64_t retry_us = 0;
 
-	if (poison_verdict(&tier->poison, &call->print) != POISON_BLOCKED)
+	if (poison_verdict(&tier->poison, &call->fingerprint) != POISON_BLOCKED)
 		return false;
 	metric_add(&tier->dlog.metrics, METRIC_BLOCKED);
 	trial_refusal_reason(&tier->calls, call, &why, &retry_us);
@@ -275,9 +275,9 @@
 	}
 	call = call_create(&tier->calls, event->id, request, tier->dir.catalog,
 			   route);
-	call->print = flow_fingerprint(request);
+	call->fingerprint = flow_fingerprint(request);
 	call->kind = route->nshards ? &merge_kind : &forward_kind;
-	poison_touch(&tier->poison, &call->print, event->now);
+	poison_touch(&tier->poison, &call->fingerprint, event->now);
 	if (refuse_blocked(tier, call))
 		return;
 	call->kind->begin(&tier->calls, call);
--- a/trial.c
+++ b/trial.c
@@ -16,12 +16,12 @@
 
 static uint64_t content_key(const struct call *call)
 {
-	return call->print.content[0];
+	return call->fingerprint.content[0];
 }
 
 static void set_lease(struct calls *calls, struct call *call, bool granted)
 {
-	call->trial.state = granted ? TRIAL_GRANTED : TRIAL_DENIED;
+	call->trial.lease = granted ? LEASE_GRANTED : LEASE_DENIED;
 	if (granted)
 		metric_add(&calls->dlog->metrics, METRIC_TRIALS);
 }
@@ -33,26 +33,27 @@
 	struct flow_effect *fx;
 
 	if (!owner) {
-		set_lease(
-			calls, call,
-			poison_lease(calls->poison, &call->print, calls->now));
+		set_lease(calls, call,
+			  poison_take_lease(calls->poison, &call->fingerprint,
+					    calls->now));
 		return;
 	}
-	call->trial.state = TRIAL_REQUESTED;
-	call->trial.grant_deadline = calls->now + LEASE_REPLY_TIMEOUT_US;
+	call->trial.lease = LEASE_REQUESTED;
+	call->trial.lease_reply_deadline = calls->now + LEASE_REPLY_TIMEOUT_US;
 	fx = flow_add(calls->fx, FLOW_PEER_SEND);
 	fx->addr = str_dup(calls->fx->pool, owner->addr);
 	fx->msg.kind = MSG_TRY;
 	fx->msg.id = call->id;
-	fx->msg.hash = call->print.content[0];
-	fx->msg.hash2 = call->print.content[1];
-	fx->msg.key = call->print.caller;
+	fx->msg.hash = call->fingerprint.content[0];
+	fx->msg.hash2 = call->fingerprint.content[1];
+	fx->msg.key = call->fingerprint.caller;
 }
 
 void trial_on_request(struct calls *calls, struct str from,
 		      uint64_t incarnation, const struct msg *msg)
 {
-	struct fingerprint print = { { msg->hash, msg->hash2 }, msg->key };
+	struct fingerprint fingerprint = { { msg->hash, msg->hash2 },
+					   msg->key };
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_PEER_SEND);
 
 	fx->addr = str_dup(calls->fx->pool, from);
@@ -60,15 +61,15 @@
 	fx->msg.kind = MSG_TRY_REPLY;
 	fx->msg.id = msg->id;
 	fx->msg.state =
-		poison_verdict(calls->poison, &print) != POISON_BLOCKED &&
-		poison_lease(calls->poison, &print, calls->now);
+		poison_verdict(calls->poison, &fingerprint) != POISON_BLOCKED &&
+		poison_take_lease(calls->poison, &fingerprint, calls->now);
 }
 
 void trial_on_reply(struct calls *calls, const struct msg *msg)
 {
 	struct call *call = call_find(calls, msg->id);
 
-	if (!call || call->trial.state != TRIAL_REQUESTED)
+	if (!call || call->trial.lease != LEASE_REQUESTED)
 		return;
 	set_lease(calls, call, msg->state);
 	call->kind->review(calls, call);
@@ -77,19 +78,19 @@
 /* Return: the owner has not replied, and its timeout has not expired. */
 static bool awaits_lease(const struct calls *calls, const struct call *call)
 {
-	return call->trial.state == TRIAL_REQUESTED &&
-	       calls->now < call->trial.grant_deadline;
+	return call->trial.lease == LEASE_REQUESTED &&
+	       calls->now < call->trial.lease_reply_deadline;
 }
 
 static bool has_lease(const struct call *call)
 {
-	return call->trial.state == TRIAL_GRANTED &&
+	return call->trial.lease == LEASE_GRANTED &&
 	       call->trial.sends < TRIAL_SENDS_MAX;
 }
 
 bool trial_exhausted(const struct calls *calls, const struct call *call)
 {
-	switch (poison_verdict(calls->poison, &call->print)) {
+	switch (poison_verdict(calls->poison, &call->fingerprint)) {
 	case POISON_NONE:
 		return false;
 	case POISON_BLOCKED:
@@ -103,7 +104,7 @@
 	/* Only the node of the caller runs trials. */
 	if (call->origin.len)
 		return true;
-	return call->trial.state != TRIAL_NONE && !awaits_lease(calls, call) &&
+	return call->trial.lease != LEASE_NONE && !awaits_lease(calls, call) &&
 	       !has_lease(call);
 }
 
@@ -119,10 +120,10 @@
 	return false;
 }
 
-enum send_result trial_may_send(struct calls *calls, struct call *call,
-				const struct part *part)
+enum send_result trial_check_send(struct calls *calls, struct call *call,
+				  const struct part *part)
 {
-	if (poison_verdict(calls->poison, &call->print) == POISON_NONE)
+	if (poison_verdict(calls->poison, &call->fingerprint) == POISON_NONE)
 		return SEND_DONE;
 	call->trial.held = true;
 	if (trial_exhausted(calls, call))
@@ -130,7 +131,7 @@
 	if (call->attempts || call->batches || call->origin.len ||
 	    has_untried_part(call, part))
 		return SEND_HELD;
-	if (call->trial.state == TRIAL_NONE)
+	if (call->trial.lease == LEASE_NONE)
 		request_lease(calls, call);
 	if (!has_lease(call))
 		return trial_exhausted(calls, call) ? SEND_BLOCKED : SEND_HELD;
@@ -142,7 +143,8 @@
 {
 	if (!trial_exhausted(calls, call))
 		return;
-	if (poison_verdict(calls->poison, &call->print) == POISON_BLOCKED) {
+	if (poison_verdict(calls->poison, &call->fingerprint) ==
+	    POISON_BLOCKED) {
 		*why = "it crashes the targets that run it";
 		*retry_us = BLOCKED_RETRY_US;
 		return;
@@ -154,7 +156,7 @@
 bool trial_clear(struct calls *calls, struct call *call)
 {
 	if (!call->trial.held ||
-	    poison_verdict(calls->poison, &call->print) != POISON_NONE)
+	    poison_verdict(calls->poison, &call->fingerprint) != POISON_NONE)
 		return false;
 	call->trial = (struct trial){ 0 };
 	return true;
--- a/trial.h
+++ b/trial.h
@@ -12,9 +12,9 @@
  * the call then continues as any other.
  */
 
-/** trial_may_send() - SEND_DONE if @part may be sent to a target now. */
-enum send_result trial_may_send(struct calls *calls, struct call *call,
-				const struct part *part);
+/** trial_check_send() - SEND_DONE if @part may be sent to a target now. */
+enum send_result trial_check_send(struct calls *calls, struct call *call,
+				  const struct part *part);
 /** trial_exhausted() - the request of @call will not be sent any more. */
 bool trial_exhausted(const struct calls *calls, const struct call *call);
 /**
