--- a/balancer.c
+++ b/balancer.c
@@ -91,8 +91,8 @@
 	str_free(target->domain);
 }
 
-static bool is_mechanism_on(const struct balancer *balancer,
-			    enum mechanism mechanism)
+static bool is_mechanism_enabled(const struct balancer *balancer,
+				 enum mechanism mechanism)
 {
 	return mechanism_enabled(balancer->without, mechanism);
 }
@@ -289,7 +289,7 @@
 		return false;
 	if (target->slots && limit > target->slots)
 		limit = target->slots;
-	if (is_mechanism_on(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
+	if (is_mechanism_enabled(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
 	    us * 2 > (double)goal_us)
 		limit = (int)(limit * (double)goal_us / (us * 2));
 	return target->open >= (limit > 1 ? limit : 1);
@@ -335,9 +335,9 @@
 	     target->leaving_at - balancer->store_lost_at > ENTRY_LAPSE_US))
 		return AVAIL_LEAVING;
 	if (now < target->down_until &&
-	    is_mechanism_on(balancer, MECHANISM_TARGET_REST))
+	    is_mechanism_enabled(balancer, MECHANISM_TARGET_REST))
 		return AVAIL_DOWN;
-	if (is_mechanism_on(balancer, MECHANISM_COLD_BOUND) &&
+	if (is_mechanism_enabled(balancer, MECHANISM_COLD_BOUND) &&
 	    cold_limit_reached(service_targets, target, now))
 		return AVAIL_COLD;
 	if (is_busy(balancer, service_targets, target, baseline_us, goal_us))
@@ -356,25 +356,26 @@
 			     const struct live_target *target,
 			     double baseline_us, int64_t now)
 {
-	double us = baseline_us * (is_mechanism_on(balancer, MECHANISM_SLOWNESS)
-					   ? target_health_slowness(target, now)
-					   : 1);
+	double us = baseline_us *
+		    (is_mechanism_enabled(balancer, MECHANISM_SLOWNESS)
+			     ? target_health_slowness(target, now)
+			     : 1);
 	int slots = target->slots > 0 ? target->slots : 1;
 	double queued = (double)target->open / slots;
 	int64_t expected_us = (int64_t)(us * (1 + queued));
 
-	if (is_mechanism_on(balancer, MECHANISM_OVERDUE_COST) &&
+	if (is_mechanism_enabled(balancer, MECHANISM_OVERDUE_COST) &&
 	    target_health_is_overdue(target, now))
 		expected_us += OVERDUE_COST_US;
 	if (now < target->cold_until)
 		expected_us += (int64_t)us;
-	if (is_mechanism_on(balancer, MECHANISM_FAULT_COST))
+	if (is_mechanism_enabled(balancer, MECHANISM_FAULT_COST))
 		expected_us += (int64_t)(FAILURE_COST_US *
 					 target_health_error_rate(target, now));
-	if (is_mechanism_on(balancer, MECHANISM_TARGET_REST) &&
+	if (is_mechanism_enabled(balancer, MECHANISM_TARGET_REST) &&
 	    now < target->backoff_until)
 		expected_us += target->backoff_until - now;
-	if (is_mechanism_on(balancer, MECHANISM_FAR_COST) && !target->near)
+	if (is_mechanism_enabled(balancer, MECHANISM_FAR_COST) && !target->near)
 		expected_us += FAR_COST_US;
 	return expected_us;
 }
@@ -429,7 +430,7 @@
 		if (is_excluded(target_query, target->key))
 			continue;
 		if (availability == AVAIL_BUSY &&
-		    is_mechanism_on(balancer, MECHANISM_BUSY_WAIT) &&
+		    is_mechanism_enabled(balancer, MECHANISM_BUSY_WAIT) &&
 		    expected_when_busy(balancer, target, target_query) <
 			    best_busy_us)
 			best_busy_us = expected_when_busy(balancer, target,
--- a/batch.c
+++ b/batch.c
@@ -78,7 +78,7 @@
 
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
-		size_t nparts, bool may_delegate, size_t tried)
+		size_t nparts, bool may_delegate, size_t ntried)
 {
 	struct flow_effect *fx = queue_msg(calls, member->addr, 0, MSG_ASK);
 	struct batch *batch = apr_pcalloc(call->pool, sizeof(*batch));
@@ -91,7 +91,7 @@
 	batch->parts = apr_palloc(call->pool, nparts * sizeof(*parts));
 	memcpy(batch->parts, parts, nparts * sizeof(*parts));
 	batch->nparts = nparts;
-	batch->tried = tried;
+	batch->ntried = ntried;
 	batch->next = call->batches;
 	call->batches = batch;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id),
@@ -104,7 +104,7 @@
 	fx->msg.id = batch->id;
 	fx->msg.version = call->catalog->version;
 	fx->msg.state = may_delegate;
-	fx->msg.attempt = (uint32_t)tried;
+	fx->msg.attempt = (uint32_t)ntried;
 	fx->msg.remaining_us = call->deadline - calls->now;
 	fx->msg.wait_us = calls->now - call->start + HOP_RTT_US;
 	fx->msg.hash = call->fingerprint.content[0];
@@ -175,11 +175,12 @@
 {
 	struct call *call = batch->call;
 
-	decision_log_batch_returned(calls->dlog, calls->now, call, batch->addr,
-				    batch->nparts, why);
+	decision_log_batch_failed(calls->dlog, calls->now, call, batch->addr,
+				  batch->nparts, why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
-			       batch->tried + (batch->granted ? 2 : 1));
+			       batch->ntried +
+				       (batch->retries_granted ? 2 : 1));
 }
 
 /*
@@ -239,14 +240,14 @@
  * waits for the grant; from then on this node queries no more targets itself if
  * the other one is lost.
  */
-static void grant(struct calls *calls, struct batch *batch)
+static void grant_retries(struct calls *calls, struct batch *batch)
 {
-	if (batch->granted)
+	if (batch->retries_granted)
 		return;
-	batch->wants_grant = true;
-	if (batch->call->origin.len && !batch->call->go)
+	batch->wants_retry_grant = true;
+	if (batch->call->origin.len && !batch->call->retries_granted)
 		return;
-	batch->granted = true;
+	batch->retries_granted = true;
 	queue_msg(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
 }
 
@@ -266,11 +267,12 @@
 }
 
 /* Return: targets that may have received each of the unanswered shards. */
-static size_t tries_used(const struct batch *batch, const struct msg *msg)
+static size_t count_tried_targets(const struct batch *batch,
+				  const struct msg *msg)
 {
 	if (!msg->ran)
-		return batch->tried;
-	return msg->attempt ? batch->tried + msg->attempt : CALL_TARGETS_MAX;
+		return batch->ntried;
+	return msg->attempt ? batch->ntried + msg->attempt : CALL_TARGETS_MAX;
 }
 
 void batch_on_reply(struct calls *calls, struct str from, const struct msg *msg)
@@ -299,7 +301,7 @@
 	}
 	batch->replied = true;
 	if (!msg->state)
-		grant(calls, batch);
+		grant_retries(calls, batch);
 	drop_parts(batch, parts, nparts);
 	if (msg->state) {
 		/* This is the last reply: remaining shards have failed. */
@@ -310,7 +312,7 @@
 		if (batch->nparts && !call->finished)
 			calls->batches->failed(calls, call, batch->parts,
 					       batch->nparts,
-					       tries_used(batch, msg));
+					       count_tried_targets(batch, msg));
 		return;
 	}
 	calls->batches->replied(calls, call, parts, nparts, msg);
@@ -418,8 +420,8 @@
 	call->wanted = apr_palloc(call->pool, msg->name.len + 1);
 	memcpy(call->wanted, msg->name.ptr, msg->name.len);
 	call->may_delegate = msg->state;
-	call->tried = msg->attempt < CALL_TARGETS_MAX ? msg->attempt
-						      : CALL_TARGETS_MAX;
+	call->ntried = msg->attempt < CALL_TARGETS_MAX ? msg->attempt
+						       : CALL_TARGETS_MAX;
 	call->kind = calls->shards_kind;
 	call->kind->begin(calls, call);
 	apr_pool_destroy(pool);
@@ -450,16 +452,17 @@
 		call_abandon(calls, call);
 }
 
-void batch_on_grant(struct calls *calls, struct str from, const struct msg *msg)
+void batch_on_retry_grant(struct calls *calls, struct str from,
+			  const struct msg *msg)
 {
 	struct call *call = find_peer_call(calls, from, msg->id);
 
-	if (!call || call->go)
+	if (!call || call->retries_granted)
 		return;
-	call->go = true;
+	call->retries_granted = true;
 	for (struct batch *batch = call->batches; batch; batch = batch->next)
-		if (batch->wants_grant)
-			grant(calls, batch);
+		if (batch->wants_retry_grant)
+			grant_retries(calls, batch);
 	call->kind->review(calls, call);
 }
 
@@ -467,17 +470,17 @@
  * A suspect request is returned to the node of its caller before all tries are
  * used, so that this node can continue with it if a trial shows it harmless.
  */
-static uint32_t tries_to_report(const struct calls *calls,
-				const struct call *call)
+static uint32_t tried_targets_to_report(const struct calls *calls,
+					const struct call *call)
 {
-	size_t max_tried = call->tried + 1;
+	size_t max_tried = call->ntried + 1;
 
 	if (poison_verdict(calls->poison, &call->fingerprint) == POISON_NONE)
 		return 0;
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ntried > max_tried)
 			max_tried = call->parts[i].ntried;
-	return (uint32_t)(max_tried - call->tried);
+	return (uint32_t)(max_tried - call->ntried);
 }
 
 void batch_send_reply(struct calls *calls, const struct call *call,
@@ -490,7 +493,7 @@
 	fx->msg.id = call->origin_id;
 	fx->msg.state = last;
 	fx->msg.ran = true;
-	fx->msg.attempt = last ? tries_to_report(calls, call) : 0;
+	fx->msg.attempt = last ? tried_targets_to_report(calls, call) : 0;
 	fx->msg.name = pack_parts(calls, parts, nparts);
 	fx->msg.body = str_dup(calls->fx->pool, records);
 	fx->msg.text = str_dup(calls->fx->pool, signatures);
--- a/batch.h
+++ b/batch.h
@@ -18,10 +18,11 @@
  * struct batch - shards sent to one node
  * @addr: address of the node
  * @parts: indexes of the shards that it has not answered yet
- * @tried: targets of each shard that may have received the request before
+ * @ntried: targets of each shard that may have received the request before
  * @replied: at least one reply was received
- * @wants_grant: the node requested permission to query more targets per shard
- * @granted: that permission was sent to it
+ * @wants_retry_grant: the node requested permission to query more targets per
+ * shard
+ * @retries_granted: that permission was sent to it
  */
 struct batch {
 	uint64_t id;
@@ -30,10 +31,10 @@
 	int64_t sent_at;
 	uint16_t *parts;
 	size_t nparts;
-	size_t tried;
+	size_t ntried;
 	bool replied;
-	bool wants_grant;
-	bool granted;
+	bool wants_retry_grant;
+	bool retries_granted;
 	struct batch *next;
 };
 
@@ -43,7 +44,7 @@
  * @replied: called with an answer; @msg holds the records and signatures of
  *           @parts
  * @failed: called when the node will not answer for @parts; each of them may
- *          have been sent to @tried targets already
+ *          have been sent to @ntried targets already
  */
 struct batch_table {
 	struct gossip *gossip;
@@ -53,7 +54,7 @@
 			const uint16_t *parts, size_t nparts,
 			const struct msg *msg);
 	void (*failed)(struct calls *calls, struct call *call,
-		       const uint16_t *parts, size_t nparts, size_t tried);
+		       const uint16_t *parts, size_t nparts, size_t ntried);
 };
 
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
@@ -61,11 +62,11 @@
 /**
  * batch_send() - send @nparts shards of @call to @member
  * @may_delegate: @member may forward shards of other failure domains in turn
- * @tried: targets of each shard that may have received the request already
+ * @ntried: targets of each shard that may have received the request already
  */
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
-		size_t nparts, bool may_delegate, size_t tried);
+		size_t nparts, bool may_delegate, size_t ntried);
 /** batch_cancel_all() - cancel all open batches of @call. */
 void batch_cancel_all(struct calls *calls, struct call *call);
 /**
@@ -79,9 +80,10 @@
 /** batch_on_lost() - the connection to the node at @addr broke. */
 void batch_on_lost(struct calls *calls, struct str addr);
 
-/** batch_on_grant() - the node at @from permits more targets per shard. */
-void batch_on_grant(struct calls *calls, struct str from,
-		    const struct msg *msg);
+/** batch_on_retry_grant() - the node at @from permits more targets per shard.
+ */
+void batch_on_retry_grant(struct calls *calls, struct str from,
+			  const struct msg *msg);
 
 /**
  * batch_on_request() - process a batch that the node at @from sent
--- a/call.c
+++ b/call.c
@@ -24,7 +24,8 @@
 	INITIAL_BASELINE_DIVISOR = 8,
 };
 
-bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism)
+bool calls_mechanism_enabled(const struct calls *calls,
+			     enum mechanism mechanism)
 {
 	return mechanism_enabled(calls->without, mechanism);
 }
@@ -34,7 +35,7 @@
 	*calls = (struct calls){ .pool = pool, .rng.seed = seed };
 	calls->open = hash_make(pool);
 	calls->attempts = hash_make(pool);
-	calls->baseline = hash_make(pool);
+	calls->baselines = hash_make(pool);
 	calls->wait_queues = hash_make(pool);
 }
 
@@ -57,22 +58,22 @@
 	     it = apr_hash_next(it)) {
 		struct call *call = hash_value(it);
 
-		call->next_dead = calls->dead;
-		calls->dead = call;
+		call->next_ended = calls->ended_calls;
+		calls->ended_calls = call;
 	}
 	calls_reap(calls);
 	free_all(calls->attempts);
-	free_all(calls->baseline);
+	free_all(calls->baselines);
 	wait_queues_free(calls->wait_queues);
 	timers_free(&calls->timers);
 }
 
 void calls_reap(struct calls *calls)
 {
-	while (calls->dead) {
-		struct call *call = calls->dead;
+	while (calls->ended_calls) {
+		struct call *call = calls->ended_calls;
 
-		calls->dead = call->next_dead;
+		calls->ended_calls = call->next_ended;
 		catalog_unref(call->catalog);
 		apr_pool_destroy(call->pool);
 	}
@@ -108,7 +109,7 @@
 	call->catalog = catalog_ref(catalog);
 	call->route = route;
 	call->baseline =
-		baseline_get(calls->baseline, str_hash(route->name),
+		baseline_get(calls->baselines, str_hash(route->name),
 			     route->goal_us / INITIAL_BASELINE_DIVISOR);
 	call->start = calls->now;
 	if (request->time_left_us >= 0 && request->time_left_us < wait)
@@ -204,21 +205,21 @@
 	part->rejected &= ~(1U << at);
 }
 
-static void attempt_start(struct calls *calls, struct call *call, size_t part,
+static void attempt_start(struct calls *calls, struct call *call, size_t index,
 			  struct live_target *target)
 {
 	struct attempt *attempt = xcalloc(1, sizeof(*attempt));
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_SEND);
-	struct part *p = &call->parts[part];
+	struct part *part = &call->parts[index];
 
 	attempt->id = ++calls->next_id;
 	attempt->call = call;
-	attempt->part = part;
+	attempt->part = index;
 	attempt->target = target;
 	attempt->sent_at = calls->now;
 	attempt->baseline = call->baseline;
 	attempt->baseline_us = call->baseline->us;
-	attempt->extra = p->ntried > 0;
+	attempt->extra = part->ntried > 0;
 	attempt->fingerprint = call->fingerprint;
 	attempt->round = poison_round(calls->poison, &call->fingerprint);
 	call->trial.sends += call->trial.lease == LEASE_GRANTED;
@@ -226,10 +227,10 @@
 	call->attempts = attempt;
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id),
 		     attempt);
-	record_tried(p, target->key);
-	p->nsent++;
-	p->queued = false;
-	p->open++;
+	record_tried(part, target->key);
+	part->nsent++;
+	part->queued = false;
+	part->open++;
 	target_health_on_send(target, attempt->baseline_us, calls->now);
 	fx->id = attempt->id;
 	fx->addr = str_dup(calls->fx->pool, target->addr);
@@ -239,8 +240,7 @@
 	fx->timeout_us = fx->time_left_us + REPLY_SLACK_US;
 }
 
-static bool has_untried_targets(const struct call *call,
-				const struct part *part)
+static bool may_try_new_target(const struct call *call, const struct part *part)
 {
 	return (int)part->ntried < call->route->max_attempts &&
 	       part->ntried < CALL_TARGETS_MAX;
@@ -250,7 +250,7 @@
 {
 	if (part->nsent >= CALL_SENDS_MAX)
 		return false;
-	return has_untried_targets(call, part) || part->rejected;
+	return may_try_new_target(call, part) || part->rejected;
 }
 
 /*
@@ -259,9 +259,9 @@
  * rejected the request may get it again. Otherwise the shard would be missing
  * whenever one of its targets is full or paused.
  */
-static struct live_target *choose_rejected(struct calls *calls,
-					   const struct call *call,
-					   const struct part *part)
+static struct live_target *choose_rejected_target(struct calls *calls,
+						  const struct call *call,
+						  const struct part *part)
 {
 	uint64_t excluded[CALL_TARGETS_MAX];
 	struct target_query target_query = { .service = part->service,
@@ -281,8 +281,9 @@
 	return target;
 }
 
-static struct live_target *choose(struct calls *calls, const struct call *call,
-				  const struct part *part)
+static struct live_target *choose_target(struct calls *calls,
+					 const struct call *call,
+					 const struct part *part)
 {
 	struct target_query target_query = { .service = part->service,
 					     .excluded = part->tried,
@@ -292,52 +293,52 @@
 					     .now = calls->now };
 	struct live_target *target = NULL;
 
-	if (has_untried_targets(call, part))
+	if (may_try_new_target(call, part))
 		target = balancer_choose(calls->balancer, &target_query);
 	if (!target && part->rejected &&
-	    call_mechanism_on(calls, MECHANISM_RETRY_REJECTED))
-		target = choose_rejected(calls, call, part);
+	    calls_mechanism_enabled(calls, MECHANISM_RETRY_REJECTED))
+		target = choose_rejected_target(calls, call, part);
 	return target;
 }
 
 static enum send_result try_send(struct calls *calls, struct call *call,
-				 size_t part)
+				 size_t index)
 {
-	struct part *p = &call->parts[part];
+	struct part *part = &call->parts[index];
 	struct live_target *target;
 	enum send_result trial_result;
 
-	if (!call_may_send(call, p))
-		return SEND_NO_TRIES;
-	trial_result = trial_check_send(calls, call, p);
+	if (!call_may_send(call, part))
+		return SEND_NO_ATTEMPTS;
+	trial_result = trial_check_send(calls, call, part);
 	if (trial_result != SEND_DONE)
 		return trial_result;
-	target = choose(calls, call, p);
+	target = choose_target(calls, call, part);
 	if (!target)
 		return SEND_NO_TARGET;
-	if (!p->ntried && !p->sent_elsewhere) {
-		budget_count_first(calls->budget, p->service, calls->now);
+	if (!part->ntried && !part->sent_elsewhere) {
+		budget_count_first(calls->budget, part->service, calls->now);
 		metric_add(&calls->dlog->metrics, METRIC_SENT);
-	} else if (budget_take(calls->budget, p->service, call->retry_share,
+	} else if (budget_take(calls->budget, part->service, call->retry_share,
 			       calls->now)) {
 		metric_add(&calls->dlog->metrics, METRIC_SENT_AGAIN);
 	} else {
 		metric_add(&calls->dlog->metrics, METRIC_NO_BUDGET);
 		return SEND_NO_BUDGET;
 	}
-	attempt_start(calls, call, part, target);
+	attempt_start(calls, call, index, target);
 	return SEND_DONE;
 }
 
-enum send_result call_send(struct calls *calls, struct call *call, size_t part)
+enum send_result call_send(struct calls *calls, struct call *call, size_t index)
 {
-	enum send_result result = try_send(calls, call, part);
-	struct part *p = &call->parts[part];
+	enum send_result result = try_send(calls, call, index);
+	struct part *part = &call->parts[index];
 
-	p->last_send_result = result;
-	if (result == SEND_NO_TARGET && call->kind->may_queue && !p->open &&
-	    !p->queued && call_mechanism_on(calls, MECHANISM_LINE))
-		call_queue_join(calls, call, part);
+	part->last_send_result = result;
+	if (result == SEND_NO_TARGET && call->kind->may_queue && !part->open &&
+	    !part->queued && calls_mechanism_enabled(calls, MECHANISM_LINE))
+		call_queue_join(calls, call, index);
 	return result;
 }
 
@@ -392,7 +393,7 @@
 
 	if (call && classify_reply(reply) == REPLY_GOOD)
 		call_mark_served(calls, call);
-	if (!call_mechanism_on(calls, MECHANISM_POISON) ||
+	if (!calls_mechanism_enabled(calls, MECHANISM_POISON) ||
 	    reply->result != FETCH_BROKEN ||
 	    (call ? call->served : attempt->served))
 		return;
@@ -521,8 +522,8 @@
 	call->finished = true;
 	apr_hash_set(calls->open, &call->id, sizeof(call->id), NULL);
 	calls->nopen--;
-	call->next_dead = calls->dead;
-	calls->dead = call;
+	call->next_ended = calls->ended_calls;
+	calls->ended_calls = call;
 }
 
 void call_answer(struct calls *calls, struct call *call,
@@ -548,7 +549,7 @@
 {
 	uint64_t range = (uint64_t)us / JITTER_DIVISOR + 1;
 
-	if (!call_mechanism_on(calls, MECHANISM_RETURN_SPREAD))
+	if (!calls_mechanism_enabled(calls, MECHANISM_RETURN_SPREAD))
 		return us;
 	return us - (int64_t)rng_below(&calls->rng, range);
 }
--- a/call.h
+++ b/call.h
@@ -74,7 +74,7 @@
 	SEND_DONE,
 	SEND_NO_TARGET, /* no target is available now */
 	SEND_NO_BUDGET, /* the retry budget is used up */
-	SEND_NO_TRIES, /* attempts of the shard are exhausted */
+	SEND_NO_ATTEMPTS, /* attempts of the shard are exhausted */
 	SEND_HELD, /* suspected of crashing targets, waits for a trial */
 	SEND_BLOCKED, /* blocked: must not be sent */
 };
@@ -118,7 +118,7 @@
  * @open: number of attempts in flight
  * @done: a good reply has arrived
  * @ran: a target may have run the request
- * @batched: delegated to another node that has not answered for it
+ * @delegated: delegated to another node that has not answered for it
  * @sent_elsewhere: another node may already have sent it to a target
  * @queued: waits in the queue of its service for a target with capacity
  * @last_send_result: result of the last call_send()
@@ -132,7 +132,7 @@
 	int open;
 	bool done;
 	bool ran;
-	bool batched;
+	bool delegated;
 	bool sent_elsewhere;
 	bool queued;
 	enum send_result last_send_result;
@@ -154,11 +154,12 @@
  * @nwanted: number of shards in @wanted
  * @may_delegate: @origin delegated a whole question: this node may delegate the
  *                far shards in turn
- * @go: @origin has confirmed that this node may send to further targets
+ * @retries_granted: @origin has confirmed that this node may send to further
+ * targets
  * @retry_share: this node's share of the free retries, 0 for an equal share
- * @tried: number of targets per shard that other nodes may already have used
+ * @ntried: number of targets per shard that other nodes may already have used
  * @batches: shards delegated to other nodes
- * @handovers: how often the whole question was delegated
+ * @delegations: how often the whole question was delegated
  * @trial: trial of a suspect request
  * @served: some target has answered it
  * @abandoned: the client or @origin no longer waits for it
@@ -188,17 +189,17 @@
 	uint16_t *wanted;
 	size_t nwanted;
 	bool may_delegate;
-	bool go;
+	bool retries_granted;
 	double retry_share;
-	size_t tried;
+	size_t ntried;
 	struct batch *batches;
-	int handovers;
+	int delegations;
 	struct trial trial;
 	bool served;
 	bool abandoned;
 	bool finished;
 	void *state;
-	struct call *next_dead;
+	struct call *next_ended;
 };
 
 /**
@@ -208,9 +209,9 @@
  * @fx: effects of the current event
  * @open: id -> struct call
  * @attempts: id -> struct attempt
- * @baseline: hash of the route name -> struct baseline
+ * @baselines: hash of the route name -> struct baseline
  * @wait_queues: service -> struct wait_queue
- * @dead: ended calls, freed by calls_reap()
+ * @ended_calls: ended calls, freed by calls_reap()
  * @shards_kind: kind of the calls that other nodes delegate to this one
  */
 struct calls {
@@ -224,10 +225,10 @@
 	struct rng rng;
 	apr_hash_t *open;
 	apr_hash_t *attempts;
-	apr_hash_t *baseline;
+	apr_hash_t *baselines;
 	apr_hash_t *wait_queues;
 	uint64_t next_id;
-	struct call *dead;
+	struct call *ended_calls;
 	size_t nopen;
 	struct decision_log *dlog;
 	struct gossip *gossip;
@@ -237,8 +238,9 @@
 	const struct call_kind *shards_kind;
 };
 
-/** call_mechanism_on() - whether a mechanism is enabled */
-bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism);
+/** calls_mechanism_enabled() - whether a mechanism is enabled */
+bool calls_mechanism_enabled(const struct calls *calls,
+			     enum mechanism mechanism);
 void calls_init(struct calls *calls, apr_pool_t *pool, uint64_t seed);
 void calls_destroy(struct calls *calls);
 /** calls_reap() - free ended calls; no effect may point to them any more */
@@ -251,8 +253,10 @@
 struct call *call_find(struct calls *calls, uint64_t id);
 /** call_may_send() - whether the limits on attempts allow another for @part */
 bool call_may_send(const struct call *call, const struct part *part);
-/** call_send() - send one more attempt for @part to the best target left */
-enum send_result call_send(struct calls *calls, struct call *call, size_t part);
+/** call_send() - send one more attempt for shard @index to the best target left
+ */
+enum send_result call_send(struct calls *calls, struct call *call,
+			   size_t index);
 /** call_schedule_review() - review at @when, unless an earlier one is due */
 void call_schedule_review(struct calls *calls, struct call *call, int64_t when);
 /**
--- a/call_queue.c
+++ b/call_queue.c
@@ -15,7 +15,7 @@
 	struct part *part = call ? &call->parts[waiter->part] : NULL;
 
 	if (part && part->nsent == waiter->sends) {
-		if (!part->done && !part->batched)
+		if (!part->done && !part->delegated)
 			return true;
 		part->queued = false;
 	}
--- a/decision_log.c
+++ b/decision_log.c
@@ -123,10 +123,10 @@
 {
 	static const char *const names[] = {
 		[SEND_DONE] = "not_sent",	[SEND_NO_TARGET] = "no_target",
-		[SEND_NO_BUDGET] = "no_budget", [SEND_NO_TRIES] = "no_tries",
+		[SEND_NO_BUDGET] = "no_budget", [SEND_NO_ATTEMPTS] = "no_tries",
 		[SEND_HELD] = "held",		[SEND_BLOCKED] = "blocked",
 	};
-	int held[sizeof(names) / sizeof(*names)] = { 0 };
+	int unsent[sizeof(names) / sizeof(*names)] = { 0 };
 	int replies = 0;
 	int nodes = 0;
 
@@ -139,16 +139,16 @@
 			continue;
 		if (part->open)
 			replies++;
-		else if (part->batched)
+		else if (part->delegated)
 			nodes++;
 		else
-			held[part->last_send_result]++;
+			unsent[part->last_send_result]++;
 	}
 	buf_printf(line, ",\"missing\":{\"reply\":%d,\"node\":%d", replies,
 		   nodes);
-	for (size_t i = 0; i < sizeof(held) / sizeof(*held); i++)
-		if (held[i])
-			buf_printf(line, ",\"%s\":%d", names[i], held[i]);
+	for (size_t i = 0; i < sizeof(unsent) / sizeof(*unsent); i++)
+		if (unsent[i])
+			buf_printf(line, ",\"%s\":%d", names[i], unsent[i]);
 	buf_str_add(line, STR("}"));
 }
 
@@ -290,9 +290,9 @@
 	write_line(dlog, &line, false);
 }
 
-void decision_log_batch_returned(struct decision_log *dlog, int64_t now,
-				 const struct call *call, struct str addr,
-				 size_t shards, const char *why)
+void decision_log_batch_failed(struct decision_log *dlog, int64_t now,
+			       const struct call *call, struct str addr,
+			       size_t shards, const char *why)
 {
 	struct buf line = { 0 };
 
--- a/decision_log.h
+++ b/decision_log.h
@@ -63,12 +63,12 @@
 void decision_log_cleared(struct decision_log *dlog, int64_t now,
 			  const struct fingerprint *fingerprint);
 /**
- * decision_log_batch_returned() - log that this node takes back shards which it
+ * decision_log_batch_failed() - log that this node takes back shards which it
  * had delegated to the node at @addr
  */
-void decision_log_batch_returned(struct decision_log *dlog, int64_t now,
-				 const struct call *call, struct str addr,
-				 size_t shards, const char *why);
+void decision_log_batch_failed(struct decision_log *dlog, int64_t now,
+			       const struct call *call, struct str addr,
+			       size_t shards, const char *why);
 /** decision_log_state() - log that @what changed for @who, because of @why. */
 void decision_log_state(struct decision_log *dlog, int64_t now,
 			const char *what, struct str who, const char *why,
--- a/forward.c
+++ b/forward.c
@@ -7,7 +7,7 @@
 
 enum {
 	/* Interval of checks for a target that has become available. */
-	RECHECK_US = 10000,
+	REVIEW_INTERVAL_US = 10000,
 	RETRY_AFTER_US = 300000,
 };
 
@@ -52,19 +52,19 @@
 }
 
 /* A target that rejected the request may be tried again and still be full. */
-static const char *held_reason(const struct call *call)
+static const char *unsent_reason(const struct call *call)
 {
 	return call->parts[0].rejected ? "the target is full"
 				       : "no target may be asked";
 }
 
-static int64_t wait_until(const struct call *call)
+static int64_t wait_deadline(const struct call *call)
 {
 	return call->start +
 	       (int64_t)((double)call->route->goal_us * WAIT_GOAL_FRACTION);
 }
 
-static int64_t hedge_at(const struct call *call)
+static int64_t hedge_due_at(const struct call *call)
 {
 	return call->start +
 	       (int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
@@ -79,16 +79,17 @@
 		return;
 	case SEND_NO_TARGET:
 	case SEND_NO_BUDGET:
-		if (calls->now + RECHECK_US < wait_until(call)) {
+		if (calls->now + REVIEW_INTERVAL_US < wait_deadline(call)) {
 			call_schedule_review(calls, call,
-					     calls->now + RECHECK_US);
+					     calls->now + REVIEW_INTERVAL_US);
 			return;
 		}
 		break;
 	case SEND_HELD:
-		call_schedule_review(calls, call, calls->now + RECHECK_US);
+		call_schedule_review(calls, call,
+				     calls->now + REVIEW_INTERVAL_US);
 		return;
-	case SEND_NO_TRIES:
+	case SEND_NO_ATTEMPTS:
 	case SEND_BLOCKED:
 		break;
 	}
@@ -108,8 +109,9 @@
 	send_or_give_up(calls, call, "no target may be asked");
 	if (call->attempts)
 		call_schedule_review(calls, call,
-				     call->route->idempotent ? hedge_at(call)
-							     : call->deadline);
+				     call->route->idempotent
+					     ? hedge_due_at(call)
+					     : call->deadline);
 }
 
 static void review(struct calls *calls, struct call *call)
@@ -123,18 +125,18 @@
 		return;
 	}
 	if (!call->parts[0].open) {
-		send_or_give_up(calls, call, held_reason(call));
+		send_or_give_up(calls, call, unsent_reason(call));
 		if (!call->attempts)
 			return;
 	} else if (call->route->idempotent && call->parts[0].open == 1 &&
-		   call_mechanism_on(calls, MECHANISM_HEDGES)) {
+		   calls_mechanism_enabled(calls, MECHANISM_HEDGES)) {
 		call_send(calls, call, 0);
 	}
 	call_schedule_review(calls, call, call->deadline);
 }
 
-static void relay_reply(struct calls *calls, struct call *call,
-			const struct flow_reply *reply)
+static void answer_with_reply(struct calls *calls, struct call *call,
+			      const struct flow_reply *reply)
 {
 	struct final final = { .status = reply->status,
 			       .headers = reply->headers,
@@ -176,7 +178,7 @@
 
 	(void)attempt;
 	if (is_final(call, reply)) {
-		relay_reply(calls, call, reply);
+		answer_with_reply(calls, call, reply);
 		return;
 	}
 	if (part->open)
--- a/merge.c
+++ b/merge.c
@@ -19,7 +19,7 @@
 	/* Return path to the client, and time for a busy core to answer. */
 	RESPONSE_MARGIN_US = 12000,
 	/* Nodes of another version refuse; no more than these are tried. */
-	HANDOVERS_MAX = 2,
+	DELEGATIONS_MAX = 2,
 	/* A message to a node costs as much as a request to a target. */
 	BATCH_SHARDS_MIN = 2,
 };
@@ -98,22 +98,22 @@
 	       (int64_t)((double)call->route->goal_us * BATCH_GOAL_FRACTION);
 }
 
-static int64_t hedge_after(const struct call *call,
+static int64_t hedge_delay(const struct call *call,
 			   const struct attempt *attempt)
 {
 	int64_t late =
 		(int64_t)(target_health_expected_us(attempt->target,
 						    attempt->baseline_us) *
 			  HEDGE_FACTOR);
-	int64_t most =
+	int64_t max =
 		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 
 	if (late < HEDGE_MIN_US)
 		late = HEDGE_MIN_US;
-	return late < most ? late : most;
+	return late < max ? late : max;
 }
 
-static void answer(struct calls *calls, struct call *call, const char *why)
+static void send_answer(struct calls *calls, struct call *call, const char *why)
 {
 	struct merge_state *state = call->state;
 	struct final final = {
@@ -131,14 +131,14 @@
 
 static bool is_unassigned(const struct part *part)
 {
-	return !part->done && !part->open && !part->batched;
+	return !part->done && !part->open && !part->delegated;
 }
 
 static bool may_have_run(const struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ran || call->parts[i].open ||
-		    call->parts[i].sent_elsewhere || call->parts[i].batched)
+		    call->parts[i].sent_elsewhere || call->parts[i].delegated)
 			return true;
 	return false;
 }
@@ -167,15 +167,16 @@
  */
 static size_t count_possible(const struct calls *calls, const struct call *call)
 {
-	bool can_wait = (call_mechanism_on(calls, MECHANISM_LATE_ANSWERS) ||
-			 calls->now < call->soft_deadline) &&
-			!trial_exhausted(calls, call);
+	bool can_wait =
+		(calls_mechanism_enabled(calls, MECHANISM_LATE_ANSWERS) ||
+		 calls->now < call->soft_deadline) &&
+		!trial_exhausted(calls, call);
 	size_t possible = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
-		if (part->done || part->open || part->batched ||
+		if (part->done || part->open || part->delegated ||
 		    (can_wait && call_may_send(call, part) &&
 		     balancer_has_usable(calls->balancer, part->service,
 					 calls->now)))
@@ -191,7 +192,7 @@
 	size_t possible = count_possible(calls, call);
 
 	if (call->ndone == call->nparts) {
-		answer(calls, call, "complete");
+		send_answer(calls, call, "complete");
 		return true;
 	}
 	if (!call->ndone && trial_exhausted(calls, call)) {
@@ -200,7 +201,8 @@
 	}
 	if (merge_has_coverage(call->route, call->ndone) &&
 	    (late || possible == call->ndone)) {
-		answer(calls, call, late ? "soft deadline" : "nothing more");
+		send_answer(calls, call,
+			    late ? "soft deadline" : "nothing more");
 		return true;
 	}
 	if (calls->now >= call->deadline) {
@@ -257,21 +259,24 @@
 }
 
 /* Return: the earlier of @when and @other, or @when if @other has passed */
-static int64_t earlier(int64_t when, int64_t other, int64_t now)
+static int64_t earlier_unless_passed(int64_t when, int64_t other, int64_t now)
 {
 	return other > now && other < when ? other : when;
 }
 
-static void plan_review(struct calls *calls, struct call *call)
+static void schedule_next_review(struct calls *calls, struct call *call)
 {
-	int64_t when = earlier(call->deadline, call->soft_deadline, calls->now);
+	int64_t when = earlier_unless_passed(call->deadline,
+					     call->soft_deadline, calls->now);
 
 	if (call->batches)
-		when = earlier(when, batch_due_at(call), calls->now);
+		when = earlier_unless_passed(when, batch_due_at(call),
+					     calls->now);
 	if (call->origin.len)
-		when = earlier(when, progress_due_at(call), calls->now);
+		when = earlier_unless_passed(when, progress_due_at(call),
+					     calls->now);
 	for (const struct attempt *at = call->attempts; at; at = at->next) {
-		int64_t due = at->sent_at + hedge_after(call, at);
+		int64_t due = at->sent_at + hedge_delay(call, at);
 
 		if (!call_may_send(call, &call->parts[at->part]))
 			continue;
@@ -300,7 +305,8 @@
 {
 	const struct merge_state *state = call->state;
 
-	if (!call->origin.len || call->go || !call->parts[part].ntried)
+	if (!call->origin.len || call->retries_granted ||
+	    !call->parts[part].ntried)
 		call_send(calls, call, part);
 	else if (!state->reported)
 		report_to_origin(calls, call, false);
@@ -314,12 +320,12 @@
 		if (is_unassigned(part))
 			send_retry(calls, call, i);
 	}
-	if (!call_mechanism_on(calls, MECHANISM_HEDGES))
+	if (!calls_mechanism_enabled(calls, MECHANISM_HEDGES))
 		return;
 	/* call_send() prepends new attempts, so this loop does not see them. */
 	for (struct attempt *at = call->attempts; at; at = at->next)
 		if (call->parts[at->part].open == 1 &&
-		    calls->now - at->sent_at >= hedge_after(call, at))
+		    calls->now - at->sent_at >= hedge_delay(call, at))
 			send_retry(calls, call, at->part);
 }
 
@@ -333,7 +339,7 @@
 		return;
 	trial_clear(calls, call);
 	send_retries(calls, call);
-	plan_review(calls, call);
+	schedule_next_review(calls, call);
 }
 
 static size_t count_reachable(struct calls *calls, const struct call *call)
@@ -347,19 +353,19 @@
 	return reachable;
 }
 
-static void delegate(struct calls *calls, struct call *call,
-		     struct member_info *member, const uint16_t *parts,
-		     size_t nparts, size_t tried)
+static void delegate_parts(struct calls *calls, struct call *call,
+			   struct member_info *member, const uint16_t *parts,
+			   size_t nparts, size_t ntried)
 {
-	bool whole =
+	bool whole_question =
 		!call->origin.len &&
 		!placement_is_local(calls->batches->placement, call->catalog,
 				    call->route, calls->now);
 
-	call->handovers += whole;
+	call->delegations += whole_question;
 	for (size_t i = 0; i < nparts; i++)
-		call->parts[parts[i]].batched = true;
-	batch_send(calls, call, member, parts, nparts, whole, tried);
+		call->parts[parts[i]].delegated = true;
+	batch_send(calls, call, member, parts, nparts, whole_question, ntried);
 }
 
 /* Collects unassigned shards that have an available target in @domain. */
@@ -391,14 +397,15 @@
 	uint64_t domains[PLACEMENT_DOMAINS_MAX];
 	size_t count = placement_domains(placement, domains);
 	uint64_t best = 0;
-	size_t most = BATCH_SHARDS_MIN - 1;
+	size_t max_shards = BATCH_SHARDS_MIN - 1;
 
 	for (size_t i = 0; i < count; i++) {
-		size_t held = collect_in_domain(calls, call, domains[i], parts);
+		size_t shards =
+			collect_in_domain(calls, call, domains[i], parts);
 
-		if (held <= most)
+		if (shards <= max_shards)
 			continue;
-		most = held;
+		max_shards = shards;
 		best = domains[i];
 	}
 	return best;
@@ -408,14 +415,14 @@
  * Delegates shards without a good target in this failure domain to nodes in
  * other domains.
  */
-static void delegate_far(struct calls *calls, struct call *call)
+static void delegate_to_far_domains(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
 	uint16_t *parts =
 		apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 
 	for (int i = 0; i < PLACEMENT_DOMAINS_MAX &&
-			call_mechanism_on(calls, MECHANISM_BATCHES) &&
+			calls_mechanism_enabled(calls, MECHANISM_BATCHES) &&
 			!is_suspect(calls, call);
 	     i++) {
 		uint64_t domain = best_domain(calls, call, parts);
@@ -429,11 +436,11 @@
 		if (!member)
 			return;
 		count = collect_in_domain(calls, call, domain, parts);
-		delegate(calls, call, member, parts, count, call->tried);
+		delegate_parts(calls, call, member, parts, count, call->ntried);
 	}
 }
 
-static void send_to_near(struct calls *calls, struct call *call)
+static void send_to_near_targets(struct calls *calls, struct call *call)
 {
 	struct target_query target_query = { .baseline_us = call->baseline->us,
 					     .goal_us = call->route->goal_us,
@@ -456,14 +463,14 @@
 
 static void send_all(struct calls *calls, struct call *call, bool may_delegate)
 {
-	send_to_near(calls, call);
+	send_to_near_targets(calls, call);
 	if (may_delegate)
-		delegate_far(calls, call);
+		delegate_to_far_domains(calls, call);
 	send_unassigned(calls, call);
 }
 
 /* Return: true if the whole question was delegated to another node */
-static bool delegate_whole(struct calls *calls, struct call *call)
+static bool delegate_whole_question(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
@@ -479,7 +486,7 @@
 	parts = apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 	for (size_t i = 0; i < call->nparts; i++)
 		parts[i] = (uint16_t)i;
-	delegate(calls, call, member, parts, call->nparts, 0);
+	delegate_parts(calls, call, member, parts, call->nparts, 0);
 	return true;
 }
 
@@ -487,14 +494,14 @@
  * Counts targets that other nodes may have sent the part to. Their keys are not
  * known, so 0 stands for each.
  */
-static void count_tried(struct part *part, size_t tried)
+static void count_tried_elsewhere(struct part *part, size_t ntried)
 {
-	part->sent_elsewhere = tried > 0;
-	while (part->ntried < tried && part->ntried < CALL_TARGETS_MAX)
+	part->sent_elsewhere = ntried > 0;
+	while (part->ntried < ntried && part->ntried < CALL_TARGETS_MAX)
 		part->tried[part->ntried++] = 0;
 }
 
-static void prepare(struct calls *calls, struct call *call)
+static void prepare_call(struct calls *calls, struct call *call)
 {
 	const struct route *route = call->route;
 	struct merge_state *state =
@@ -507,9 +514,10 @@
 	records_init(&state->records, route->top_k, call->pool);
 	state->unreported = apr_palloc(
 		call->pool, (route->nshards + 1) * sizeof(*state->unreported));
-	call->soft_deadline = call_mechanism_on(calls, MECHANISM_SOFT_DEADLINE)
-				      ? merge_soft_deadline(call)
-				      : call->deadline;
+	call->soft_deadline =
+		calls_mechanism_enabled(calls, MECHANISM_SOFT_DEADLINE)
+			? merge_soft_deadline(call)
+			: call->deadline;
 	call->retry_share = placement_retry_share(
 		calls->batches->placement, call->catalog, route, calls->now);
 	call->nparts = call->wanted ? call->nwanted : route->nshards;
@@ -519,16 +527,16 @@
 		call->parts[i].service =
 			route->shards[call->wanted ? call->wanted[i] : i];
 	for (size_t i = 0; i < call->nparts; i++)
-		count_tried(&call->parts[i], call->tried);
+		count_tried_elsewhere(&call->parts[i], call->ntried);
 }
 
 static void begin(struct calls *calls, struct call *call)
 {
-	prepare(calls, call);
+	prepare_call(calls, call);
 	if (call->origin.len) {
 		send_all(calls, call, call->may_delegate);
 		if (!finish_if_settled(calls, call))
-			plan_review(calls, call);
+			schedule_next_review(calls, call);
 		return;
 	}
 	if (!merge_has_coverage(call->route, count_reachable(calls, call))) {
@@ -541,10 +549,10 @@
 		send_unassigned(calls, call);
 		if (finish_if_settled(calls, call))
 			return;
-	} else if (!delegate_whole(calls, call)) {
+	} else if (!delegate_whole_question(calls, call)) {
 		send_all(calls, call, true);
 	}
-	plan_review(calls, call);
+	schedule_next_review(calls, call);
 }
 
 static bool is_valid_part(const struct flow_reply *reply)
@@ -569,7 +577,7 @@
 	struct merge_state *state = call->state;
 
 	call->parts[index].done = true;
-	call->parts[index].batched = false;
+	call->parts[index].delegated = false;
 	call->ndone++;
 	state->unreported[state->nunreported++] =
 		call->wanted ? call->wanted[index] : (uint16_t)index;
@@ -588,7 +596,7 @@
 	if (trial_clear(calls, call))
 		send_all(calls, call, call->may_delegate || !call->origin.len);
 	if (!finish_if_settled(calls, call) && !is_valid_part(reply))
-		plan_review(calls, call);
+		schedule_next_review(calls, call);
 }
 
 static void batch_replied(struct calls *calls, struct call *call,
@@ -616,14 +624,14 @@
  * Return: false if that is not possible.
  */
 static bool delegate_again(struct calls *calls, struct call *call,
-			   const uint16_t *parts, size_t nparts, size_t tried)
+			   const uint16_t *parts, size_t nparts, size_t ntried)
 {
 	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
 
 	if (call->origin.len || nparts < BATCH_SHARDS_MIN ||
-	    call->handovers >= HANDOVERS_MAX ||
-	    (int)tried >= call->route->max_attempts ||
+	    call->delegations >= DELEGATIONS_MAX ||
+	    (int)ntried >= call->route->max_attempts ||
 	    is_suspect(calls, call) ||
 	    placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
@@ -632,22 +640,22 @@
 				  calls->now);
 	if (!member)
 		return false;
-	delegate(calls, call, member, parts, nparts, tried);
+	delegate_parts(calls, call, member, parts, nparts, ntried);
 	return true;
 }
 
 static void batch_failed(struct calls *calls, struct call *call,
-			 const uint16_t *parts, size_t nparts, size_t tried)
+			 const uint16_t *parts, size_t nparts, size_t ntried)
 {
 	for (size_t i = 0; i < nparts; i++) {
-		call->parts[parts[i]].batched = false;
-		count_tried(&call->parts[parts[i]], tried);
+		call->parts[parts[i]].delegated = false;
+		count_tried_elsewhere(&call->parts[parts[i]], ntried);
 	}
-	if (!delegate_again(calls, call, parts, nparts, tried))
+	if (!delegate_again(calls, call, parts, nparts, ntried))
 		for (size_t i = 0; i < nparts; i++)
 			send_retry(calls, call, parts[i]);
 	if (!finish_if_settled(calls, call))
-		plan_review(calls, call);
+		schedule_next_review(calls, call);
 }
 
 static void ended(struct calls *calls, struct call *call)
--- a/tier.c
+++ b/tier.c
@@ -415,7 +415,7 @@
 		batch_on_reply(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_GO:
-		batch_on_grant(&tier->calls, event->from, msg);
+		batch_on_retry_grant(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_CANCEL:
 		batch_on_cancel(&tier->calls, event->from, msg);
