--- a/balancer.c
+++ b/balancer.c
@@ -186,8 +186,8 @@
 	       str_eq(target->addr, entry->addr);
 }
 
-void balancer_put(struct balancer *balancer, const struct target_entry *entry,
-		  int64_t now)
+void balancer_publish(struct balancer *balancer,
+		      const struct target_entry *entry, int64_t now)
 {
 	uint64_t key = str_hash(entry->id);
 	struct live_target *target =
@@ -388,8 +388,8 @@
 	return false;
 }
 
-struct live_target *balancer_first(const struct balancer *balancer,
-				   uint64_t service)
+struct live_target *balancer_first_target(const struct balancer *balancer,
+					  uint64_t service)
 {
 	const struct service_targets *service_targets =
 		service_targets_find(balancer, service);
@@ -412,15 +412,16 @@
 						  target_query->baseline_us);
 }
 
-struct live_target *balancer_choose(struct balancer *balancer,
-				    const struct target_query *target_query)
+struct live_target *
+balancer_choose_target(struct balancer *balancer,
+		       const struct target_query *target_query)
 {
 	struct live_target *best = NULL;
 	int64_t best_us = 0;
 	int64_t best_busy_us = INT64_MAX;
 
 	for (struct live_target *target =
-		     balancer_first(balancer, target_query->service);
+		     balancer_first_target(balancer, target_query->service);
 	     target; target = target->next) {
 		enum target_availability availability = availability_for(
 			balancer, target, target_query->baseline_us,
@@ -451,7 +452,8 @@
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
 			 int64_t now)
 {
-	for (struct live_target *target = balancer_first(balancer, service);
+	for (struct live_target *target =
+		     balancer_first_target(balancer, service);
 	     target; target = target->next) {
 		enum target_availability availability =
 			balancer_availability(balancer, target, now);
@@ -468,7 +470,7 @@
 			   const struct target_query *target_query)
 {
 	const struct live_target *target =
-		balancer_choose(balancer, target_query);
+		balancer_choose_target(balancer, target_query);
 
 	return target && target->near;
 }
@@ -476,7 +478,8 @@
 bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
 			    uint64_t domain, int64_t now)
 {
-	for (struct live_target *target = balancer_first(balancer, service);
+	for (struct live_target *target =
+		     balancer_first_target(balancer, service);
 	     target; target = target->next)
 		if (target->domain_key == domain &&
 		    balancer_availability(balancer, target, now) == AVAIL_OK)
--- a/balancer.h
+++ b/balancer.h
@@ -50,9 +50,9 @@
 				 uint32_t without);
 void balancer_destroy(struct balancer *balancer);
 
-/** balancer_put() - add or update a target from its entry in the store */
-void balancer_put(struct balancer *balancer, const struct target_entry *entry,
-		  int64_t now);
+/** balancer_publish() - add or update a target from its entry in the store */
+void balancer_publish(struct balancer *balancer,
+		      const struct target_entry *entry, int64_t now);
 /** balancer_unpublish() - the entry of a target is gone from the store */
 void balancer_unpublish(struct balancer *balancer, struct str id, int64_t now);
 /** balancer_set_domain() - take a failure domain out of use, or back in */
@@ -82,7 +82,7 @@
 			     struct conn_limit limit);
 
 /**
- * balancer_choose() - choose the best target for a request
+ * balancer_choose_target() - choose the best target for a request
  *
  * Prefers the target whose reply is expected first, from its smoothed latency,
  * the requests in flight there and penalties such as for an overdue reply.
@@ -90,8 +90,9 @@
  * Return: the target, or NULL if none is available or a busy one is expected to
  * reply first.
  */
-struct live_target *balancer_choose(struct balancer *balancer,
-				    const struct target_query *target_query);
+struct live_target *
+balancer_choose_target(struct balancer *balancer,
+		       const struct target_query *target_query);
 /** balancer_expected_us() - expected time to the reply if sent now */
 int64_t balancer_expected_us(const struct balancer *balancer,
 			     const struct live_target *target,
@@ -108,9 +109,9 @@
 /** balancer_has_target_in() - whether a target in @domain is available now */
 bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
 			    uint64_t domain, int64_t now);
-/** balancer_first() - first target of a service, linked by next */
-struct live_target *balancer_first(const struct balancer *balancer,
-				   uint64_t service);
+/** balancer_first_target() - first target of a service, linked by next */
+struct live_target *balancer_first_target(const struct balancer *balancer,
+					  uint64_t service);
 /**
  * balancer_is_published() - whether a target process is published
  * @key: hash of the target id
--- a/budget.c
+++ b/budget.c
@@ -56,7 +56,7 @@
 	apr_pool_destroy(budget->pool);
 }
 
-void budget_rules(struct budget *budget, struct budget_rules rules)
+void budget_set_rules(struct budget *budget, struct budget_rules rules)
 {
 	budget->rules = rules;
 }
@@ -66,7 +66,7 @@
 	budget->nodes = nodes > 0 ? nodes : 1;
 }
 
-static void advance(struct send_counts *send_counts, int64_t slice)
+static void advance_to_slice(struct send_counts *send_counts, int64_t slice)
 {
 	for (int i = 0; send_counts->slice < slice && i <= SLICES; i++) {
 		send_counts->slice++;
@@ -90,7 +90,7 @@
 		apr_hash_set(budget->counts, &send_counts->service,
 			     sizeof(send_counts->service), send_counts);
 	}
-	advance(send_counts, slice);
+	advance_to_slice(send_counts, slice);
 	return send_counts;
 }
 
@@ -101,8 +101,8 @@
 	send_counts->first[send_counts->slice % (SLICES + 1)]++;
 }
 
-int budget_left(struct budget *budget, uint64_t service, double share,
-		int64_t now)
+int budget_retries_left(struct budget *budget, uint64_t service, double share,
+			int64_t now)
 {
 	struct send_counts *send_counts = send_counts_get(budget, service, now);
 	int first = 0;
@@ -119,12 +119,12 @@
 	return (int)(allowed * SAFETY_FACTOR) - retries;
 }
 
-bool budget_take(struct budget *budget, uint64_t service, double share,
-		 int64_t now)
+bool budget_take_retry(struct budget *budget, uint64_t service, double share,
+		       int64_t now)
 {
 	struct send_counts *send_counts = send_counts_get(budget, service, now);
 
-	if (budget_left(budget, service, share, now) < 1)
+	if (budget_retries_left(budget, service, share, now) < 1)
 		return false;
 	send_counts->retries[send_counts->slice % (SLICES + 1)]++;
 	return true;
--- a/budget.h
+++ b/budget.h
@@ -31,19 +31,19 @@
 
 struct budget *budget_create(apr_pool_t *parent, struct budget_rules rules);
 void budget_destroy(struct budget *budget);
-void budget_rules(struct budget *budget, struct budget_rules rules);
+void budget_set_rules(struct budget *budget, struct budget_rules rules);
 /** budget_set_nodes() - set how many nodes share the limit, at least 1 */
 void budget_set_nodes(struct budget *budget, int nodes);
 /** budget_count_first() - count a first send to @service */
 void budget_count_first(struct budget *budget, uint64_t service, int64_t now);
 /**
- * budget_take() - take one hedge or retry from the budget of @service
+ * budget_take_retry() - take one hedge or retry from the budget of @service
  * @share: this node's share of the free sends, 0 for an equal share
  *
  * Return: true if it is allowed, and then counted.
  */
-bool budget_take(struct budget *budget, uint64_t service, double share,
-		 int64_t now);
-/** budget_left() - number of hedges and retries that are allowed now */
-int budget_left(struct budget *budget, uint64_t service, double share,
-		int64_t now);
+bool budget_take_retry(struct budget *budget, uint64_t service, double share,
+		       int64_t now);
+/** budget_retries_left() - number of hedges and retries that are allowed now */
+int budget_retries_left(struct budget *budget, uint64_t service, double share,
+			int64_t now);
--- a/call.c
+++ b/call.c
@@ -274,7 +274,7 @@
 	for (size_t i = 0; i < part->ntried; i++)
 		if (!(part->rejected & 1U << i))
 			excluded[target_query.nexcluded++] = part->tried[i];
-	target = balancer_choose(calls->balancer, &target_query);
+	target = balancer_choose_target(calls->balancer, &target_query);
 	if (!target || calls->now < target->backoff_until ||
 	    tried_index(part, target->key) == part->ntried)
 		return NULL;
@@ -294,7 +294,7 @@
 	struct live_target *target = NULL;
 
 	if (may_try_new_target(call, part))
-		target = balancer_choose(calls->balancer, &target_query);
+		target = balancer_choose_target(calls->balancer, &target_query);
 	if (!target && part->rejected &&
 	    calls_mechanism_enabled(calls, MECHANISM_RETRY_REJECTED))
 		target = choose_rejected_target(calls, call, part);
@@ -319,8 +319,8 @@
 	if (!part->ntried && !part->sent_elsewhere) {
 		budget_count_first(calls->budget, part->service, calls->now);
 		metric_add(&calls->dlog->metrics, METRIC_SENT);
-	} else if (budget_take(calls->budget, part->service, call->retry_share,
-			       calls->now)) {
+	} else if (budget_take_retry(calls->budget, part->service,
+				     call->retry_share, calls->now)) {
 		metric_add(&calls->dlog->metrics, METRIC_SENT_AGAIN);
 	} else {
 		metric_add(&calls->dlog->metrics, METRIC_NO_BUDGET);
--- a/decision_log.c
+++ b/decision_log.c
@@ -47,8 +47,8 @@
 	}
 }
 
-static bool admit(struct decision_log *dlog, int64_t now,
-		  enum decision_kind kind)
+static bool admit_line(struct decision_log *dlog, int64_t now,
+		       enum decision_kind kind)
 {
 	if (now - dlog->second >= SECOND_US) {
 		dlog->second = now;
@@ -181,7 +181,7 @@
 	count_answer(dlog, now - call->start, call, final);
 	if (final->status / 100 == 2 && !late && !final->missing)
 		return;
-	if (!admit(dlog, now, DECISION_FINAL))
+	if (!admit_line(dlog, now, DECISION_FINAL))
 		return;
 	begin_line(dlog, &line, now, DECISION_FINAL);
 	add_call(&line, now, call);
@@ -200,7 +200,7 @@
 	/* If another node cancelled its shards, no caller has gone. */
 	if (!call->origin.len)
 		metric_add(&dlog->metrics, METRIC_CALLERS_GONE);
-	if (!admit(dlog, now, DECISION_FINAL))
+	if (!admit_line(dlog, now, DECISION_FINAL))
 		return;
 	begin_line(dlog, &line, now, DECISION_FINAL);
 	add_call(&line, now, call);
@@ -222,7 +222,7 @@
 		   reply->not_run ? METRIC_NOT_RUN : METRIC_FAILED);
 	if (reply->result == FETCH_BROKEN)
 		metric_add(&dlog->metrics, METRIC_BROKEN);
-	if (!admit(dlog, now, DECISION_ATTEMPT))
+	if (!admit_line(dlog, now, DECISION_ATTEMPT))
 		return;
 	begin_line(dlog, &line, now, DECISION_ATTEMPT);
 	add_call(&line, now, call);
@@ -262,7 +262,7 @@
 		poison_verdict(poison, &entry->fingerprint);
 	struct buf line = { 0 };
 
-	if (!admit(dlog, now, DECISION_STATE))
+	if (!admit_line(dlog, now, DECISION_STATE))
 		return;
 	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes targets\"");
@@ -281,7 +281,7 @@
 {
 	struct buf line = { 0 };
 
-	if (!admit(dlog, now, DECISION_STATE))
+	if (!admit_line(dlog, now, DECISION_STATE))
 		return;
 	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes no target\"");
@@ -297,7 +297,7 @@
 	struct buf line = { 0 };
 
 	metric_add(&dlog->metrics, METRIC_BATCHES_BACK);
-	if (!admit(dlog, now, DECISION_ATTEMPT))
+	if (!admit_line(dlog, now, DECISION_ATTEMPT))
 		return;
 	begin_line(dlog, &line, now, DECISION_ATTEMPT);
 	add_call(&line, now, call);
@@ -312,7 +312,7 @@
 {
 	struct buf line = { 0 };
 
-	if (!admit(dlog, now, DECISION_STATE))
+	if (!admit_line(dlog, now, DECISION_STATE))
 		return;
 	begin_line(dlog, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"%s\",\"who\":", change->what);
--- a/dialect.h
+++ b/dialect.h
@@ -110,10 +110,11 @@
 
 /** enum store_record_kind - type of a key in the store */
 enum store_record_kind {
-	RECORD_NONE, /* not used by this program */
-	RECORD_CATALOG,
-	RECORD_TARGET,
-	RECORD_DOMAIN_OUT, /* no requests may be sent to a failure domain */
+	STORE_RECORD_NONE, /* not used by this program */
+	STORE_RECORD_CATALOG,
+	STORE_RECORD_TARGET,
+	STORE_RECORD_DOMAIN_OUT, /* no requests may be sent to a failure domain
+				  */
 };
 
 /** struct store_record - a decoded store item */
--- a/directory.c
+++ b/directory.c
@@ -78,29 +78,30 @@
 	return share > 0 ? share : 1;
 }
 
-struct conn_limit directory_conn_limits(int max_conns, int near, int far)
+struct conn_limit directory_conn_limits(int max_conns, int near_nodes,
+					int far_nodes)
 {
 	int total = (int)(max_conns * CONNS_FRACTION);
-	struct conn_limit bound = { .near = NEAR_CONNS_MIN,
+	struct conn_limit limit = { .near = NEAR_CONNS_MIN,
 				    .far = FAR_CONNS_MIN };
 	int per_node;
 
-	if (near <= 0)
-		return bound;
-	if (far > 0) {
-		per_node = (int)(total * FAR_CONNS_FRACTION) / far;
-		bound.far = per_node > bound.far ? per_node : bound.far;
-		total -= bound.far * far;
+	if (near_nodes <= 0)
+		return limit;
+	if (far_nodes > 0) {
+		per_node = (int)(total * FAR_CONNS_FRACTION) / far_nodes;
+		limit.far = per_node > limit.far ? per_node : limit.far;
+		total -= limit.far * far_nodes;
 	}
-	per_node = total / near;
-	bound.near = per_node > bound.near ? per_node : bound.near;
-	return bound;
+	per_node = total / near_nodes;
+	limit.near = per_node > limit.near ? per_node : limit.near;
+	return limit;
 }
 
-void directory_set_nodes(struct directory *dir, int nodes, int near)
+void directory_set_nodes(struct directory *dir, int nodes, int near_nodes)
 {
 	dir->nodes = nodes > 0 ? nodes : 1;
-	dir->near = near;
+	dir->near_nodes = near_nodes;
 	for (size_t i = 0; dir->catalog && i < dir->catalog->nservices; i++) {
 		const struct service *service = &dir->catalog->services[i];
 
@@ -111,8 +112,9 @@
 				: 0);
 		balancer_set_conn_limit(
 			dir->balancer, service->key,
-			directory_conn_limits(service->max_conns, dir->near,
-					      dir->nodes - dir->near));
+			directory_conn_limits(service->max_conns,
+					      dir->near_nodes,
+					      dir->nodes - dir->near_nodes));
 	}
 }
 
@@ -155,7 +157,7 @@
 	dir->catalog = catalog;
 	dir->catalog_revision = revision;
 	dir->dlog->version = catalog->version;
-	directory_set_nodes(dir, dir->nodes, dir->near);
+	directory_set_nodes(dir, dir->nodes, dir->near_nodes);
 	decision_log_state(dir->dlog, now, "configuration", STR("all routes"),
 			   "a newer version was published", catalog->version);
 }
@@ -184,24 +186,24 @@
 	apr_pool_create(&pool, dir->pool);
 	code = dir->dialect->decode(cached->key, cached->value, &record, pool,
 				    &err);
-	if (record.kind == RECORD_CATALOG) {
+	if (record.kind == STORE_RECORD_CATALOG) {
 		dir->seen_revision = cached->revision;
 		dir->seen_bytes = cached->value.len;
 	}
-	if (code && record.kind == RECORD_CATALOG) {
+	if (code && record.kind == STORE_RECORD_CATALOG) {
 		reject_catalog(dir, cached, err.text, now);
 	} else if (code) {
 		decision_log_state(dir->dlog, now, "unusable", cached->key,
 				   err.text, cached->revision);
 		/* A target with an invalid entry must not be used. */
-		if (record.kind == RECORD_TARGET && record.target.id.len)
+		if (record.kind == STORE_RECORD_TARGET && record.target.id.len)
 			balancer_unpublish(dir->balancer, record.target.id,
 					   now);
-	} else if (record.kind == RECORD_CATALOG) {
+	} else if (record.kind == STORE_RECORD_CATALOG) {
 		apply_catalog(dir, record.catalog, cached->revision, now);
-	} else if (record.kind == RECORD_TARGET) {
-		balancer_put(dir->balancer, &record.target, now);
-	} else if (record.kind == RECORD_DOMAIN_OUT) {
+	} else if (record.kind == STORE_RECORD_TARGET) {
+		balancer_publish(dir->balancer, &record.target, now);
+	} else if (record.kind == STORE_RECORD_DOMAIN_OUT) {
 		balancer_set_domain(dir->balancer, record.domain, true);
 		decision_log_state(dir->dlog, now, "failure domain out",
 				   record.domain, "operators took it out",
@@ -220,12 +222,12 @@
 	apr_pool_create(&pool, dir->pool);
 	/* Only the key matters; the value is the last one before deletion. */
 	dir->dialect->decode(cached->key, cached->value, &record, pool, &err);
-	if (record.kind == RECORD_TARGET && record.target.id.len) {
+	if (record.kind == STORE_RECORD_TARGET && record.target.id.len) {
 		balancer_unpublish(dir->balancer, record.target.id, now);
 		decision_log_state(dir->dlog, now, "target gone",
 				   record.target.id, "its entry is gone",
 				   cached->revision);
-	} else if (record.kind == RECORD_DOMAIN_OUT) {
+	} else if (record.kind == STORE_RECORD_DOMAIN_OUT) {
 		balancer_set_domain(dir->balancer, record.domain, false);
 		decision_log_state(dir->dlog, now, "failure domain in",
 				   record.domain, "operators took it back",
@@ -240,7 +242,7 @@
 {
 	struct cached_key *cached;
 
-	if (dir->dialect->kind(item->key) == RECORD_NONE)
+	if (dir->dialect->kind(item->key) == STORE_RECORD_NONE)
 		return;
 	cached = cached_key_get(dir, item->key);
 	cached->scan = dir->scan;
--- a/directory.h
+++ b/directory.h
@@ -26,7 +26,7 @@
  * @scan: number of the current scan of all keys
  * @cold_factor, @cold_extra: see struct vm_settings
  * @nodes: nodes that share the targets' limits
- * @near: those of them in this failure domain; 0 while the membership may
+ * @near_nodes: those of them in this failure domain; 0 while the membership may
  *        still be incomplete
  */
 struct directory {
@@ -46,7 +46,7 @@
 	double cold_factor;
 	int cold_extra;
 	int nodes;
-	int near;
+	int near_nodes;
 };
 
 /** struct cached_key - replica of one key; deleted keys stay as tombstones */
@@ -79,15 +79,16 @@
 /** directory_end_scan() - delete the keys that the scan did not return. */
 void directory_end_scan(struct directory *dir, uint64_t revision, int64_t now);
 /** directory_set_nodes() - recompute this node's shares of targets' limits. */
-void directory_set_nodes(struct directory *dir, int nodes, int near);
+void directory_set_nodes(struct directory *dir, int nodes, int near_nodes);
 /**
  * directory_conn_limits() - this node's share of a target's connections
  * @max_conns: connection limit of the target, over all nodes
- * @near: nodes in the target's failure domain that use it; 0 if not known
+ * @near_nodes: nodes in the target's failure domain that use it; 0 if not known
  *        yet, which gives the minimum
- * @far: nodes in other failure domains that use it
+ * @far_nodes: nodes in other failure domains that use it
  */
-struct conn_limit directory_conn_limits(int max_conns, int near, int far);
+struct conn_limit directory_conn_limits(int max_conns, int near_nodes,
+					int far_nodes);
 /** directory_sweep() - remove expired tombstones. */
 void directory_sweep(struct directory *dir, int64_t now);
 /** directory_encode() - append all changes after revision @since. */
--- a/explain.c
+++ b/explain.c
@@ -253,7 +253,7 @@
 				   out);
 }
 
-static void sort(struct log_lines *list)
+static void sort_lines(struct log_lines *list)
 {
 	if (list->count)
 		qsort(list->lines, list->count, sizeof(*list->lines),
@@ -270,8 +270,8 @@
 			   STR_ARG(explain->id), explain->omitted);
 		return 0;
 	}
-	sort(&explain->request_lines);
-	sort(&explain->crash_lines);
+	sort_lines(&explain->request_lines);
+	sort_lines(&explain->crash_lines);
 	for (size_t i = 0; i < explain->request_lines.count; i++)
 		print_line(&explain->request_lines.lines[i], explain->id, out);
 	print_crashes(explain, out);
--- a/flow.c
+++ b/flow.c
@@ -5,7 +5,7 @@
 #include "xmalloc.h"
 
 enum {
-	FIRST_CAP = 64,
+	INITIAL_CAPACITY = 64,
 };
 
 struct fingerprint flow_fingerprint(const struct flow_request *request)
@@ -29,7 +29,7 @@
 	struct flow_effect *effect;
 
 	if (fx->count == fx->cap) {
-		fx->cap = fx->cap ? fx->cap * 2 : FIRST_CAP;
+		fx->cap = fx->cap ? fx->cap * 2 : INITIAL_CAPACITY;
 		fx->list = xrealloc(fx->list, fx->cap * sizeof(*fx->list));
 	}
 	effect = &fx->list[fx->count++];
--- a/forward.c
+++ b/forward.c
@@ -101,7 +101,7 @@
 	call->nparts = 1;
 	call->parts = apr_pcalloc(call->pool, sizeof(*call->parts));
 	call->parts[0].service = forward_pick_service(calls, call->route);
-	if (!balancer_first(calls->balancer, call->parts[0].service)) {
+	if (!balancer_first_target(calls->balancer, call->parts[0].service)) {
 		call_refuse(calls, call, 503, "no target of the service",
 			    RETRY_AFTER_US);
 		return;
--- a/gossip.c
+++ b/gossip.c
@@ -183,7 +183,7 @@
  * Counts nodes that went down recently as well, see COUNTED_TIMEOUT_US, and
  * removes those that have been down for FORGET_TIMEOUT_US.
  */
-static void count_live(struct gossip *gossip, int64_t now)
+static void update_counts(struct gossip *gossip, int64_t now)
 {
 	apr_hash_index_t *it;
 	int counted = 1;
@@ -386,7 +386,7 @@
 	gossip->next_at = now + GOSSIP_PERIOD_US;
 	gossip->sent_at = now;
 	gossip->self.beat++;
-	count_live(gossip, now);
+	update_counts(gossip, now);
 	encode_members(gossip, true, now, &all);
 	count = sample_members(gossip, SCOPE_NEAR, NEAR_FANOUT, now, picked);
 	for (size_t i = 0; i < count; i++)
@@ -453,7 +453,7 @@
 		member->near = entry->domain == gossip->self.domain;
 		apr_hash_set(gossip->members, &member->entry.ip,
 			     sizeof(member->entry.ip), member);
-		count_live(gossip, now);
+		update_counts(gossip, now);
 		schedule_early_round(gossip, now);
 		return;
 	}
@@ -485,8 +485,8 @@
 	buf_free(&body);
 }
 
-void gossip_receive(struct gossip *gossip, struct str from, struct str body,
-		    int64_t now)
+void gossip_on_msg(struct gossip *gossip, struct str from, struct str body,
+		   int64_t now)
 {
 	bool known = gossip_find(gossip, from) != NULL;
 	struct member_entry *members;
--- a/gossip.h
+++ b/gossip.h
@@ -84,9 +84,9 @@
 void gossip_tick(struct gossip *gossip, int64_t now);
 /** gossip_announce() - send this node's state to all live nodes at once. */
 void gossip_announce(struct gossip *gossip, int64_t now);
-/** gossip_receive() - merge the members in the gossip message @body. */
-void gossip_receive(struct gossip *gossip, struct str from, struct str body,
-		    int64_t now);
+/** gossip_on_msg() - merge the members in the gossip message @body. */
+void gossip_on_msg(struct gossip *gossip, struct str from, struct str body,
+		   int64_t now);
 /** gossip_mark_answered() - record that the node at @addr sent a message. */
 void gossip_mark_answered(struct gossip *gossip, struct str addr);
 /**
--- a/merge.c
+++ b/merge.c
@@ -395,7 +395,7 @@
 {
 	const struct placement *placement = calls->batches->placement;
 	uint64_t domains[PLACEMENT_DOMAINS_MAX];
-	size_t count = placement_domains(placement, domains);
+	size_t count = placement_list_domains(placement, domains);
 	uint64_t best = 0;
 	size_t max_shards = BATCH_SHARDS_MIN - 1;
 
@@ -431,8 +431,9 @@
 
 		if (!domain)
 			return;
-		member = placement_choose(placement, call->catalog, call->route,
-					  domain, calls->now);
+		member = placement_choose_merger(placement, call->catalog,
+						 call->route, domain,
+						 calls->now);
 		if (!member)
 			return;
 		count = collect_in_domain(calls, call, domain, parts);
@@ -479,8 +480,8 @@
 	if (placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
 		return false;
-	member = placement_choose(placement, call->catalog, call->route, 0,
-				  calls->now);
+	member = placement_choose_merger(placement, call->catalog, call->route,
+					 0, calls->now);
 	if (!member)
 		return false;
 	parts = apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
@@ -636,8 +637,8 @@
 	    placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
 		return false;
-	member = placement_choose(placement, call->catalog, call->route, 0,
-				  calls->now);
+	member = placement_choose_merger(placement, call->catalog, call->route,
+					 0, calls->now);
 	if (!member)
 		return false;
 	delegate_parts(calls, call, member, parts, nparts, ntried);
--- a/placement.c
+++ b/placement.c
@@ -89,16 +89,16 @@
 	size_t nseen = 0;
 
 	for (struct live_target *target =
-		     balancer_first(placement->balancer, service);
+		     balancer_first_target(placement->balancer, service);
 	     target; target = target->next) {
 		struct coverage *coverage =
 			coverage_get(coverages, count, target->domain_key);
 		bool counted = false;
-		enum target_availability use =
+		enum target_availability availability =
 			balancer_availability(placement->balancer, target, now);
 
-		if (!coverage || use == AVAIL_LEAVING ||
-		    use == AVAIL_DOMAIN_OUT)
+		if (!coverage || availability == AVAIL_LEAVING ||
+		    availability == AVAIL_DOMAIN_OUT)
 			continue;
 		for (size_t i = 0; i < nseen; i++)
 			counted = counted || seen[i] == target->domain_key;
@@ -109,7 +109,8 @@
 	}
 }
 
-size_t placement_domains(const struct placement *placement, uint64_t *domains)
+size_t placement_list_domains(const struct placement *placement,
+			      uint64_t *domains)
 {
 	apr_hash_index_t *it;
 	size_t count = 0;
@@ -191,7 +192,7 @@
 }
 
 /* Most processor time first. The order must be the same on all nodes. */
-static int by_core(const void *a, const void *b)
+static int compare_core(const void *a, const void *b)
 {
 	const struct candidate *x = a;
 	const struct candidate *y = b;
@@ -208,11 +209,11 @@
  */
 static void add_mergers(struct placement_plan *plan,
 			struct candidate *candidates, size_t count,
-			size_t max_mergers, double least_core)
+			size_t max_mergers, double min_core)
 {
-	qsort(candidates, count, sizeof(*candidates), by_core);
+	qsort(candidates, count, sizeof(*candidates), compare_core);
 	for (size_t i = 0; i < count && i < max_mergers; i++) {
-		if ((double)candidates[i].core < least_core)
+		if ((double)candidates[i].core < min_core)
 			return;
 		if (!candidates[i].member)
 			plan->self = true;
@@ -221,7 +222,7 @@
 	}
 }
 
-static uint32_t best_core(const struct candidate *candidates, size_t count)
+static uint32_t max_core(const struct candidate *candidates, size_t count)
 {
 	uint32_t best = 0;
 
@@ -237,10 +238,10 @@
 	const struct service *service =
 		catalog_find_service(catalog, route->shards[0]);
 	double conns = service ? service->max_conns : 0;
-	size_t all = (size_t)(conns * CONNS_FRACTION / CONNS_PER_MERGER);
-	size_t each = all / domains;
+	size_t total = (size_t)(conns * CONNS_FRACTION / CONNS_PER_MERGER);
+	size_t per_domain = total / domains;
 
-	return each > MERGERS_MIN ? each : MERGERS_MIN;
+	return per_domain > MERGERS_MIN ? per_domain : MERGERS_MIN;
 }
 
 /*
@@ -286,19 +287,19 @@
 	const struct service *service =
 		catalog_find_service(catalog, route->shards[0]);
 	int merging = (int)plan->count + plan->self;
-	int near = plan->self;
-	struct conn_limit bound;
+	int near_mergers = plan->self;
+	struct conn_limit limit;
 
 	if (!service || !plan->self || !domains || !placement->discovery_done ||
 	    !mechanism_enabled(placement->without, MECHANISM_SHARED_CONNS))
 		return;
 	for (size_t i = 0; i < plan->count; i++)
-		near += plan->members[i]->near;
-	bound = directory_conn_limits(service->max_conns, near,
+		near_mergers += plan->members[i]->near;
+	limit = directory_conn_limits(service->max_conns, near_mergers,
 				      merging - merging / (int)domains);
 	for (size_t i = 0; i < route->nshards; i++)
 		balancer_set_conn_limit(placement->balancer, route->shards[i],
-					bound);
+					limit);
 }
 
 static void make_plan(struct placement *placement, struct placement_plan *plan,
@@ -316,7 +317,7 @@
 	for (size_t i = 0; i < domains; i++) {
 		size_t count = find_candidates(placement, coverages[i].domain,
 					       false, now, candidates);
-		uint32_t core = best_core(candidates, count);
+		uint32_t core = max_core(candidates, count);
 
 		best = core > best ? core : best;
 	}
@@ -355,7 +356,7 @@
 		now - member->unanswered_since < OVERDUE_US);
 }
 
-static double load(const struct member_info *member)
+static double relative_load(const struct member_info *member)
 {
 	return (member->in_flight + 1.0) / (member->entry.core + 1.0);
 }
@@ -386,10 +387,10 @@
 }
 
 /* The less loaded of two random nodes, preferably in this failure domain. */
-struct member_info *placement_choose(struct placement *placement,
-				     const struct catalog *catalog,
-				     const struct route *route, uint64_t domain,
-				     int64_t now)
+struct member_info *placement_choose_merger(struct placement *placement,
+					    const struct catalog *catalog,
+					    const struct route *route,
+					    uint64_t domain, int64_t now)
 {
 	const struct placement_plan *plan =
 		get_plan(placement, catalog, route, now);
@@ -417,5 +418,5 @@
 		return NULL;
 	a = available[rng_below(placement->rng, count)];
 	b = available[rng_below(placement->rng, count)];
-	return load(a) <= load(b) ? a : b;
+	return relative_load(a) <= relative_load(b) ? a : b;
 }
--- a/placement.h
+++ b/placement.h
@@ -69,16 +69,18 @@
 			     const struct catalog *catalog,
 			     const struct route *route, int64_t now);
 /**
- * placement_choose() - choose a node that merges questions of @route
+ * placement_choose_merger() - choose a node that merges questions of @route
  * @domain: its failure domain; 0 for any, preferably that of this node
  *
  * Return: NULL if none is available now.
  */
-struct member_info *placement_choose(struct placement *placement,
-				     const struct catalog *catalog,
-				     const struct route *route, uint64_t domain,
-				     int64_t now);
-/** placement_domains() - list the other failure domains with known nodes. */
-size_t placement_domains(const struct placement *placement, uint64_t *domains);
+struct member_info *placement_choose_merger(struct placement *placement,
+					    const struct catalog *catalog,
+					    const struct route *route,
+					    uint64_t domain, int64_t now);
+/** placement_list_domains() - list the other failure domains with known nodes.
+ */
+size_t placement_list_domains(const struct placement *placement,
+			      uint64_t *domains);
 /** placement_invalidate() - recompute the plans before their next use. */
 void placement_invalidate(struct placement *placement);
--- a/reader.c
+++ b/reader.c
@@ -177,8 +177,8 @@
 	reader->dir->synced = false;
 }
 
-void reader_reply(struct reader *reader, const struct flow_store_reply *reply,
-		  int64_t now)
+void reader_on_reply(struct reader *reader,
+		     const struct flow_store_reply *reply, int64_t now)
 {
 	if (reply->lost_history) {
 		restart_scan(reader);
--- a/reader.h
+++ b/reader.h
@@ -55,8 +55,8 @@
 void reader_set_active(struct reader *reader, bool active, int64_t now);
 /** reader_tick() - start the next call if it is due. */
 void reader_tick(struct reader *reader, int64_t now);
-/** reader_reply() - process the result of the call in flight. */
-void reader_reply(struct reader *reader, const struct flow_store_reply *reply,
-		  int64_t now);
+/** reader_on_reply() - process the result of the call in flight. */
+void reader_on_reply(struct reader *reader,
+		     const struct flow_store_reply *reply, int64_t now);
 /** reader_wake_at() - time at which reader_tick() is due. */
 int64_t reader_wake_at(const struct reader *reader);
--- a/relay.c
+++ b/relay.c
@@ -188,7 +188,7 @@
 	struct member_info *member; /* NULL: this node */
 };
 
-static int by_ip(const void *a, const void *b)
+static int compare_ip(const void *a, const void *b)
 {
 	const struct tree_node *x = a;
 	const struct tree_node *y = b;
@@ -221,7 +221,7 @@
 				member
 			};
 	}
-	qsort(tree, count, sizeof(*tree), by_ip);
+	qsort(tree, count, sizeof(*tree), compare_ip);
 	while (reader + 1 < count && !tree[reader].reads)
 		reader++;
 	first = tree[reader];
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -225,7 +225,7 @@
 					  .ok = true,
 					  .reply = &reply };
 
-	reader_reply(reader, &store, now);
+	reader_on_reply(reader, &store, now);
 }
 
 static void read_all(struct reader *reader, int version, int64_t *now)
@@ -258,7 +258,7 @@
 	reader_set_active(&reader, true, now);
 	read_all(&reader, 1, &now);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
-	reader_reply(&reader, &refused, now);
+	reader_on_reply(&reader, &refused, now);
 	read_all(&reader, 2, &now);
 	ck_assert_uint_eq(reading->dir.catalog->version, 2);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -125,10 +125,10 @@
 	for (int i = 0; i < c->first; i++)
 		budget_count_first(budget, 7, SECOND_US);
 	while (taken < 1000 &&
-	       budget_take(budget, 7, c->share, SECOND_US + c->later_us))
+	       budget_take_retry(budget, 7, c->share, SECOND_US + c->later_us))
 		taken++;
 	ck_assert_int_eq(taken, c->most);
-	ck_assert_int_eq(budget_left(budget, 8, 0, SECOND_US),
+	ck_assert_int_eq(budget_retries_left(budget, 8, 0, SECOND_US),
 			 (int)(0.8 * 50 / c->nodes));
 	budget_destroy(budget);
 }
@@ -273,7 +273,7 @@
 
 static struct live_target *find(struct balancer *balancer, const char *id)
 {
-	struct live_target *target = balancer_first(balancer, 5);
+	struct live_target *target = balancer_first_target(balancer, 5);
 
 	while (target && !str_eq(target->id, str_of(id)))
 		target = target->next;
@@ -312,7 +312,7 @@
 	if (facts & DOWN_A)
 		reply(balancer, REPLY_DOWN, 1000, now);
 	if (facts & LEAVING_A)
-		balancer_put(balancer, &leaving, now);
+		balancer_publish(balancer, &leaving, now);
 	if (facts & LAPSED_A)
 		balancer_on_store_lost(balancer, now - SECOND_US);
 	if (facts & (GONE_A | LAPSED_A))
@@ -335,14 +335,14 @@
 					     .now = now };
 	struct live_target *got;
 
-	balancer_put(balancer, &a, now - 20 * SECOND_US);
-	balancer_put(balancer, &b, now - 20 * SECOND_US);
+	balancer_publish(balancer, &a, now - 20 * SECOND_US);
+	balancer_publish(balancer, &b, now - 20 * SECOND_US);
 	apply(balancer, c->facts, now);
 	if (c->facts & TRIED_A)
 		tried[target_query.nexcluded++] = str_hash(STR("a"));
 	if (c->facts & TRIED_B)
 		tried[target_query.nexcluded++] = str_hash(STR("b"));
-	got = balancer_choose(balancer, &target_query);
+	got = balancer_choose_target(balancer, &target_query);
 	if (*c->want) {
 		ck_assert_ptr_nonnull(got);
 		ck_assert(str_eq(got->id, str_of(c->want)));
@@ -364,14 +364,14 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 
 	a.born_ms = 1;
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	reply(balancer, REPLY_DOWN, 1000, now);
 	balancer_unpublish(balancer, STR("a"), now);
 	ck_assert_int_ne(
 		balancer_availability(balancer, find(balancer, "a"), now),
 		AVAIL_OK);
 	a.born_ms = 2;
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	ck_assert_int_eq(
 		balancer_availability(balancer, find(balancer, "a"), now),
 		AVAIL_OK);
@@ -394,30 +394,33 @@
 					     .baseline_us = USUAL_US };
 	struct live_target *target;
 
-	balancer_put(balancer, &a, now);
-	balancer_put(balancer, &b, now);
+	balancer_publish(balancer, &a, now);
+	balancer_publish(balancer, &b, now);
 	target = find(balancer, "a");
 	for (int i = 0; i < 3; i++) {
 		target_health_on_send(target, USUAL_US, now);
 		now += 150000;
 		target_query.now = now;
-		ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
-				 find(balancer, "b"));
+		ck_assert_ptr_eq(
+			balancer_choose_target(balancer, &target_query),
+			find(balancer, "b"));
 		balancer_on_reply(balancer, target, REPLY_CANCELLED, USUAL_US,
 				  now - 150000, now);
 	}
 	target_query.now = now + 500000;
-	ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
+	ck_assert_ptr_eq(balancer_choose_target(balancer, &target_query),
 			 find(balancer, "b"));
 	target_query.now = now + 10 * (int64_t)SECOND_US;
-	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
+	ck_assert_ptr_eq(balancer_choose_target(balancer, &target_query),
+			 target);
 	for (int i = 0; i < 10; i++) {
 		target_health_on_send(target, USUAL_US, now);
 		balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
 				  now + 9000);
 	}
 	target_query.now = now + 9000;
-	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
+	ck_assert_ptr_eq(balancer_choose_target(balancer, &target_query),
+			 target);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -434,7 +437,7 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	target = find(balancer, "a");
 	for (int i = 0; i < 30; i++) {
 		target_health_on_send(target, 3 * USUAL_US, now);
@@ -542,8 +545,8 @@
 	call->parts = &part;
 	call->nparts = 1;
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_NO_TARGET);
-	balancer_put(calls.balancer, &a, calls.now);
-	balancer_put(calls.balancer, &b, calls.now);
+	balancer_publish(calls.balancer, &a, calls.now);
+	balancer_publish(calls.balancer, &b, calls.now);
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_DONE);
 	call_on_reply(&calls, call->attempts->id, &failed);
 	ck_assert_uint_eq(part.nsent, 1);
@@ -642,14 +645,14 @@
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	reply(balancer, REPLY_WRONG_TARGET, 1000, now);
-	balancer_put(balancer, &a, now + SECOND_US);
+	balancer_publish(balancer, &a, now + SECOND_US);
 	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
 					       now + SECOND_US),
 			 AVAIL_LEAVING);
 	a.addr = STR("10.0.0.2:1");
-	balancer_put(balancer, &a, now + SECOND_US);
+	balancer_publish(balancer, &a, now + SECOND_US);
 	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
 					       now + SECOND_US),
 			 AVAIL_OK);
@@ -668,7 +671,7 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	target = find(balancer, "a");
 	target_health_on_send(target, USUAL_US, now);
 	balancer_unpublish(balancer, STR("a"), now);
@@ -696,7 +699,7 @@
 	struct live_target *target;
 
 	a.cold_us = 3 * SECOND_US;
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	balancer_set_cold_limit(balancer, 5, 2);
 	target = find(balancer, "a");
 	for (int i = 0; i < 2; i++) {
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -165,7 +165,7 @@
 				   &record, pool, &err);
 
 	check_error(&entries[_i], code, ERR_LIST, &err);
-	ck_assert_int_eq(record.kind, RECORD_TARGET);
+	ck_assert_int_eq(record.kind, STORE_RECORD_TARGET);
 	if (!code)
 		ck_assert(str_eq(record.target.id, STR("i-1")));
 }
@@ -206,10 +206,14 @@
 };
 
 static const struct key_case keys[] = {
-	{ "op/config", RECORD_CATALOG },	{ "op/configs", RECORD_NONE },
-	{ "op/evacuate/z", RECORD_DOMAIN_OUT }, { "op/evacuate/", RECORD_NONE },
-	{ "servers/i-1", RECORD_TARGET },	{ "servers/", RECORD_NONE },
-	{ "my/leader", RECORD_NONE },		{ "", RECORD_NONE },
+	{ "op/config", STORE_RECORD_CATALOG },
+	{ "op/configs", STORE_RECORD_NONE },
+	{ "op/evacuate/z", STORE_RECORD_DOMAIN_OUT },
+	{ "op/evacuate/", STORE_RECORD_NONE },
+	{ "servers/i-1", STORE_RECORD_TARGET },
+	{ "servers/", STORE_RECORD_NONE },
+	{ "my/leader", STORE_RECORD_NONE },
+	{ "", STORE_RECORD_NONE },
 };
 
 START_TEST(test_keys)
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -259,7 +259,7 @@
 					      .addr = STR("10.0.0.1:80"),
 					      .domain = STR("here") };
 
-		balancer_put(scene->balancer, &entry, scene->now);
+		balancer_publish(scene->balancer, &entry, scene->now);
 	}
 }
 
--- a/tests/stage_dialect.c
+++ b/tests/stage_dialect.c
@@ -16,16 +16,16 @@
 static enum store_record_kind fake_kind(struct str key)
 {
 	if (key.len < 5)
-		return RECORD_NONE;
+		return STORE_RECORD_NONE;
 	switch (key.ptr[4]) {
 	case 'c':
-		return RECORD_CATALOG;
+		return STORE_RECORD_CATALOG;
 	case 't':
-		return RECORD_TARGET;
+		return STORE_RECORD_TARGET;
 	case 'o':
-		return RECORD_DOMAIN_OUT;
+		return STORE_RECORD_DOMAIN_OUT;
 	default:
-		return RECORD_NONE;
+		return STORE_RECORD_NONE;
 	}
 }
 
@@ -116,12 +116,12 @@
 	int born;
 
 	*out = (struct store_record){ .kind = fake_kind(key) };
-	if (out->kind == RECORD_CATALOG)
+	if (out->kind == STORE_RECORD_CATALOG)
 		out->catalog = make_catalog(strtoull(value.ptr, NULL, 10));
-	if (out->kind == RECORD_DOMAIN_OUT)
+	if (out->kind == STORE_RECORD_DOMAIN_OUT)
 		out->domain =
 			str_dup(pool, (struct str){ key.ptr + 6, key.len - 6 });
-	if (out->kind != RECORD_TARGET)
+	if (out->kind != STORE_RECORD_TARGET)
 		return 0;
 	out->target.id =
 		str_dup(pool, (struct str){ key.ptr + 6, key.len - 6 });
--- a/tier.c
+++ b/tier.c
@@ -103,7 +103,7 @@
  * Traffic between failure domains is billed, so each other domain receives the
  * message once, at a node that relays it there.
  */
-static void broadcast_evidence(void *ctx, const struct msg *msg, bool near)
+static void broadcast_evidence(void *ctx, const struct msg *msg, bool near_only)
 {
 	struct tier *tier = ctx;
 	int64_t now = tier->calls.now;
@@ -116,7 +116,7 @@
 					    : EVIDENCE_DIRECT_MAX,
 				 now, members);
 	send_to_members(tier, *msg, use_relays, members, count);
-	if (near)
+	if (near_only)
 		return;
 	count = gossip_pick_far(&tier->gossip, EVIDENCE_DIRECT_MAX, now,
 				members);
@@ -338,7 +338,7 @@
 	set_ready(tier, false);
 }
 
-static void check_stop(struct tier *tier)
+static void exit_when_drained(struct tier *tier)
 {
 	if (!tier->exit_at || tier->exit_sent ||
 	    tier->calls.now < tier->exit_at || tier->calls.nopen)
@@ -349,11 +349,11 @@
 
 static void on_settings(struct tier *tier, const struct vm_settings *settings)
 {
-	budget_rules(tier->calls.budget, budget_rules_of(settings));
+	budget_set_rules(tier->calls.budget, budget_rules_of(settings));
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
 	gossip_set_seeds(&tier->gossip, settings);
-	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near);
+	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near_nodes);
 }
 
 /* Other nodes. */
@@ -379,8 +379,8 @@
 	gossip_mark_answered(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
-		gossip_receive(&tier->gossip, event->from, msg->body,
-			       event->now);
+		gossip_on_msg(&tier->gossip, event->from, msg->body,
+			      event->now);
 		poison_sync_on_digest(&tier->poison_sync, event->from,
 				      msg->hash, event->now);
 		break;
@@ -431,13 +431,13 @@
 	int nodes = gossip_counted_nodes(&tier->gossip);
 	bool discovery_done =
 		tier->calls.now - tier->gossip.started_at > DISCOVERY_US;
-	int near = discovery_done ? tier->gossip.near_counted : 0;
+	int near_nodes = discovery_done ? tier->gossip.near_counted : 0;
 
-	if (nodes == tier->dir.nodes && near == tier->dir.near)
+	if (nodes == tier->dir.nodes && near_nodes == tier->dir.near_nodes)
 		return;
 	decision_log_state(&tier->dlog, tier->calls.now, "nodes", STR("all"),
 			   "membership changed", (uint64_t)nodes);
-	directory_set_nodes(&tier->dir, nodes, near);
+	directory_set_nodes(&tier->dir, nodes, near_nodes);
 	tier->placement.discovery_done = discovery_done;
 	placement_invalidate(&tier->placement);
 	budget_set_nodes(tier->calls.budget, nodes);
@@ -488,7 +488,7 @@
 		call_on_reply(&tier->calls, event->id, event->reply);
 		break;
 	case FLOW_STORE_REPLY:
-		reader_reply(&tier->reader, event->store, event->now);
+		reader_on_reply(&tier->reader, event->store, event->now);
 		if (event->store->ok && tier->reader.state == READER_IDLE)
 			relay_on_read(&tier->relay, event->now);
 		emit_limits(tier);
@@ -516,7 +516,7 @@
 	reader_tick(&tier->reader, event->now);
 	if (!tier->exit_at && tier->dir.catalog)
 		set_ready(tier, true);
-	check_stop(tier);
+	exit_when_drained(tier);
 }
 
 void tier_reap(struct tier *tier)
