--- a/balancer.c
+++ b/balancer.c
@@ -496,7 +496,7 @@
 	return target && target->published && target->born_ms == born_ms;
 }
 
-/* Return: a target that can be removed, or NULL */
+/* Return: a target that can be removed, or NULL. */
 static struct live_target *find_expired(struct balancer *balancer, int64_t now)
 {
 	apr_hash_index_t *it;
--- a/balancer.h
+++ b/balancer.h
@@ -42,7 +42,7 @@
 };
 
 /**
- * balancer_create() - create an empty table of targets
+ * balancer_create() - create an empty table of targets.
  * @domain: failure domain of this node
  * @without: set of disabled mechanisms
  */
@@ -50,21 +50,21 @@
 				 uint32_t without);
 void balancer_destroy(struct balancer *balancer);
 
-/** balancer_publish() - add or update a target from its entry in the store */
+/** balancer_publish() - add or update a target from its entry in the store. */
 void balancer_publish(struct balancer *balancer,
 		      const struct target_entry *entry, int64_t now);
-/** balancer_unpublish() - the entry of a target is gone from the store */
+/** balancer_unpublish() - the entry of a target is gone from the store. */
 void balancer_unpublish(struct balancer *balancer, struct str id, int64_t now);
-/** balancer_set_domain() - take a failure domain out of use, or back in */
+/** balancer_set_domain() - take a failure domain out of use, or back in. */
 void balancer_set_domain(struct balancer *balancer, struct str domain,
 			 bool out);
-/** balancer_on_store_lost() - entries of live targets may lapse from now on */
+/** balancer_on_store_lost() - entries of live targets may lapse from now on. */
 void balancer_on_store_lost(struct balancer *balancer, int64_t now);
-/** balancer_store_lost_at() - time of the last balancer_on_store_lost() */
+/** balancer_store_lost_at() - time of the last balancer_on_store_lost(). */
 int64_t balancer_store_lost_at(const struct balancer *balancer);
 /**
- * balancer_set_cold_limit() - set the rate limit of cold targets of @service
- * @per_second: requests that this node may send to each; 0 for no limit
+ * balancer_set_cold_limit() - set the rate limit of cold targets of @service.
+ * @per_second: requests that this node may send to each, 0 for no limit
  */
 void balancer_set_cold_limit(struct balancer *balancer, uint64_t service,
 			     int per_second);
@@ -82,7 +82,7 @@
 			     struct conn_limit limit);
 
 /**
- * balancer_choose_target() - choose the best target for a request
+ * balancer_choose_target() - choose the best target for a request.
  *
  * Prefers the target whose reply is expected first, from its smoothed latency,
  * the requests in flight there and penalties such as for an overdue reply.
@@ -93,38 +93,38 @@
 struct live_target *
 balancer_choose_target(struct balancer *balancer,
 		       const struct target_query *target_query);
-/** balancer_expected_us() - expected time to the reply if sent now */
+/** balancer_expected_us() - expected time to the reply if sent now. */
 int64_t balancer_expected_us(const struct balancer *balancer,
 			     const struct live_target *target,
 			     double baseline_us, int64_t now);
 enum target_availability balancer_availability(const struct balancer *balancer,
 					       const struct live_target *target,
 					       int64_t now);
-/** balancer_has_usable() - whether a target is usable now or soon */
+/** balancer_has_usable() - whether a target is usable now or soon. */
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
 			 int64_t now);
-/** balancer_prefers_near() - whether the best target is in the own domain */
+/** balancer_prefers_near() - whether the best target is in the own domain. */
 bool balancer_prefers_near(struct balancer *balancer,
 			   const struct target_query *target_query);
-/** balancer_has_target_in() - whether a target in @domain is available now */
+/** balancer_has_target_in() - whether a target in @domain is available now. */
 bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
 			    uint64_t domain, int64_t now);
-/** balancer_first_target() - first target of a service, linked by next */
+/** balancer_first_target() - first target of a service, linked by next. */
 struct live_target *balancer_first_target(const struct balancer *balancer,
 					  uint64_t service);
 /**
- * balancer_is_published() - whether a target process is published
+ * balancer_is_published() - whether a target process is published.
  * @key: hash of the target id
  * @born_ms: start of the process
  */
 bool balancer_is_published(const struct balancer *balancer, uint64_t key,
 			   int64_t born_ms);
-/** balancer_remove_expired() - remove targets whose entries are long gone */
+/** balancer_remove_expired() - remove targets whose entries are long gone. */
 void balancer_remove_expired(struct balancer *balancer, int64_t now);
 size_t balancer_count(const struct balancer *balancer);
 
 /**
- * balancer_on_reply() - record a reply with target_health_on_reply()
+ * balancer_on_reply() - record a reply with target_health_on_reply().
  *
  * Removes the target if its entry is long gone.
  */
--- a/baseline.h
+++ b/baseline.h
@@ -28,10 +28,10 @@
 };
 
 /**
- * baseline_get() - find or create the baseline of the kind @key in @table
+ * baseline_get() - find or create the baseline of the kind @key in @table.
  * @initial_us: value until the first reply
  */
 struct baseline *baseline_get(apr_hash_t *table, uint64_t key,
 			      int64_t initial_us);
-/** baseline_add() - add a reply that took @us */
+/** baseline_add() - add a reply that took @us. */
 void baseline_add(struct baseline *baseline, int64_t us);
--- a/batch.c
+++ b/batch.c
@@ -11,8 +11,7 @@
 	HOP_RTT_US = 3000,
 	/* A node that did not answer gets no batches for this long. */
 	BACKOFF_US = 500000,
-	/* Minimum time for a first reply, as of a node queried as the second.
-	 */
+	/* Minimum time for a first reply, also of the second node queried. */
 	SILENT_MIN_US = 25000,
 	/* A connection without any message this long after a batch is dead. */
 	CONN_DEAD_US = 150000,
@@ -74,7 +73,7 @@
 		(struct str){ (const char *)parts, nparts * sizeof(*parts) });
 }
 
-/* Requesting node. */
+/* Node that delegates shards. */
 
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
@@ -168,7 +167,7 @@
 
 /*
  * A failed node may have sent each unanswered shard to one target, and to a
- * second one only if it was granted that.
+ * second one only if it received the retry grant.
  */
 static void batch_fail(struct calls *calls, struct batch *batch,
 		       const char *why)
@@ -237,8 +236,8 @@
 /*
  * If two nodes both queried more targets of a shard, they could exceed the
  * number that its route allows. So a node first sends an interim reply and
- * waits for the grant; from then on this node queries no more targets itself if
- * the other one is lost.
+ * waits for the retry grant; once that is sent, this node queries no further
+ * targets if the other one is lost.
  */
 static void grant_retries(struct calls *calls, struct batch *batch)
 {
@@ -344,7 +343,7 @@
 		batch_fail(calls, batch, "its connection broke");
 }
 
-/* Serving node. */
+/* Node that the shards are delegated to. */
 
 static void send_refusal(struct calls *calls, struct str from,
 			 uint64_t incarnation, uint64_t id)
@@ -398,8 +397,8 @@
 	/*
 	 * After a connection was interrupted or a node was paused, requests
 	 * arrive that are seconds old. Nobody waits for them, so targets must
-	 * not run them. A request that is suspect here, but not yet at the
-	 * sender, is refused too: the sender runs its trial.
+	 * not run them. A request that is suspect here, but not yet at its
+	 * origin, is refused too: the origin runs its trial.
 	 */
 	if (!route || remaining_us <= 0 ||
 	    poison_verdict(calls->poison, &fingerprint) != POISON_NONE) {
@@ -467,8 +466,8 @@
 }
 
 /*
- * A suspect request is returned to the node of its caller before all tries are
- * used, so that this node can continue with it if a trial shows it harmless.
+ * A suspect request is returned to its origin before all attempts are used, so
+ * that the origin can continue with it if a trial shows it harmless.
  */
 static uint32_t tried_targets_to_report(const struct calls *calls,
 					const struct call *call)
--- a/batch.h
+++ b/batch.h
@@ -20,9 +20,9 @@
  * @parts: indexes of the shards that it has not answered yet
  * @ntried: targets of each shard that may have received the request before
  * @replied: at least one reply was received
- * @wants_retry_grant: the node requested permission to query more targets per
- * shard
- * @retries_granted: that permission was sent to it
+ * @wants_retry_grant: the node requested the retry grant, which allows it to
+ *                     send each shard to further targets
+ * @retries_granted: the retry grant was sent to it
  */
 struct batch {
 	uint64_t id;
@@ -60,8 +60,8 @@
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
 		      struct gossip *gossip, struct placement *placement);
 /**
- * batch_send() - send @nparts shards of @call to @member
- * @may_delegate: @member may forward shards of other failure domains in turn
+ * batch_send() - send @nparts shards of @call to @member.
+ * @may_delegate: @member may delegate shards of other failure domains in turn
  * @ntried: targets of each shard that may have received the request already
  */
 void batch_send(struct calls *calls, struct call *call,
@@ -71,7 +71,7 @@
 void batch_cancel_all(struct calls *calls, struct call *call);
 /**
  * batch_fail_overdue() - back off from nodes that have not replied yet, and
- * fail the batches of @call whose nodes are silent
+ * fail the batches of @call whose nodes are silent.
  */
 void batch_fail_overdue(struct calls *calls, struct call *call);
 /** batch_on_reply() - process a reply of the node at @from. */
@@ -80,13 +80,12 @@
 /** batch_on_lost() - the connection to the node at @addr broke. */
 void batch_on_lost(struct calls *calls, struct str addr);
 
-/** batch_on_retry_grant() - the node at @from permits more targets per shard.
- */
+/** batch_on_retry_grant() - the node at @from sent the retry grant. */
 void batch_on_retry_grant(struct calls *calls, struct str from,
 			  const struct msg *msg);
 
 /**
- * batch_on_request() - process a batch that the node at @from sent
+ * batch_on_request() - process a batch that the node at @from sent.
  * @delay_us: estimated delay of the message
  */
 void batch_on_request(struct calls *calls, struct catalog *catalog,
@@ -96,7 +95,7 @@
 void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg);
 /**
- * batch_send_reply() - send results of @call to the node that requested it
+ * batch_send_reply() - send results of @call to its origin.
  * @last: no further reply follows
  */
 void batch_send_reply(struct calls *calls, const struct call *call,
--- a/budget.h
+++ b/budget.h
@@ -10,8 +10,8 @@
  *
  * Hedges and retries are limited for each service over all nodes together. Each
  * node keeps to its own part: a ratio of the first sends it made to the service
- * itself, plus its share of the free sends, by default one over the number of
- * nodes. The parts add up to less than the limit, so it holds without
+ * itself, plus its share of the extra retries, by default one over the number
+ * of nodes. The parts add up to less than the limit, so it holds without
  * coordination.
  */
 
@@ -20,7 +20,7 @@
 /**
  * struct budget_rules - limit of hedges and retries over all nodes
  * @ratio: hedges and retries allowed per first send
- * @extra: free ones, allowed in addition
+ * @extra: hedges and retries allowed in addition, in each window
  * @window_us: length of the sliding window that the limit applies to
  */
 struct budget_rules {
@@ -32,18 +32,20 @@
 struct budget *budget_create(apr_pool_t *parent, struct budget_rules rules);
 void budget_destroy(struct budget *budget);
 void budget_set_rules(struct budget *budget, struct budget_rules rules);
-/** budget_set_nodes() - set how many nodes share the limit, at least 1 */
+/** budget_set_nodes() - set how many nodes share the limit, at least 1. */
 void budget_set_nodes(struct budget *budget, int nodes);
-/** budget_count_first() - count a first send to @service */
+/** budget_count_first() - count a first send to @service. */
 void budget_count_first(struct budget *budget, uint64_t service, int64_t now);
 /**
- * budget_take_retry() - take one hedge or retry from the budget of @service
- * @share: this node's share of the free sends, 0 for an equal share
+ * budget_take_retry() - take one hedge or retry from the budget of @service.
+ * @share: this node's share of the extra retries, 0 for an equal share
  *
  * Return: true if it is allowed, and then counted.
  */
 bool budget_take_retry(struct budget *budget, uint64_t service, double share,
 		       int64_t now);
-/** budget_retries_left() - number of hedges and retries that are allowed now */
+/**
+ * budget_retries_left() - number of hedges and retries that are allowed now.
+ */
 int budget_retries_left(struct budget *budget, uint64_t service, double share,
 			int64_t now);
--- a/call.c
+++ b/call.c
@@ -12,13 +12,13 @@
 	/*
 	 * An orphaned attempt may complete within this time after it was sent,
 	 * which keeps its connection reusable. Later it is cancelled, so that
-	 * targets do not work for clients that have gone. The limit that
-	 * clients check is half a second.
+	 * targets do not work for callers that have gone. The limit that
+	 * callers check is half a second.
 	 */
 	ORPHAN_TIMEOUT_US = 250000,
-	/* Client retries are spread over the last quarter of their delay. */
+	/* Callers' retries are spread over the last quarter of their delay. */
 	JITTER_DIVISOR = 4,
-	/* Lets a target's own time-out reply arrive after its deadline. */
+	/* Lets a target's own timeout reply arrive after its deadline. */
 	REPLY_SLACK_US = 30000,
 	/* Initial baseline latency of a route, as a fraction of its goal. */
 	INITIAL_BASELINE_DIVISOR = 8,
@@ -185,7 +185,7 @@
 	free(attempt);
 }
 
-/* Return: index of @key in @part->tried, or @part->ntried if it is not there */
+/* Return: index of @key in @part->tried, @part->ntried if it is not there. */
 static size_t tried_index(const struct part *part, uint64_t key)
 {
 	size_t at = 0;
@@ -488,7 +488,7 @@
 /* Ending calls. */
 
 /*
- * Other nodes get the evidence before the client gets its answer, as the client
+ * Other nodes get the evidence before the caller gets its answer, as the caller
  * may retry at any of them. A batch that its origin cancelled is left out: it
  * was mostly answered elsewhere.
  */
--- a/call.h
+++ b/call.h
@@ -13,10 +13,10 @@
 /**
  * DOC: calls and attempts
  *
- * A call is one client request from its arrival to its final answer. An attempt
- * is one request sent to a target for a call, or for one shard of a call. How a
- * call handles replies and timers depends on its kind: merged over shards
- * (merge.c) or forwarded to one target (forward.c).
+ * A call is one request of a caller from its arrival to its final answer. An
+ * attempt is one request sent to a target for a call, or for one shard of a
+ * call. How a call handles replies and timers depends on its kind: merged over
+ * shards (merge.c) or forwarded to one target (forward.c).
  */
 
 struct calls;
@@ -79,7 +79,7 @@
 	SEND_BLOCKED, /* blocked: must not be sent */
 };
 
-/** enum lease_state - permission to send a suspect request */
+/** enum lease_state - state of the lease for a trial */
 enum lease_state {
 	LEASE_NONE,
 	LEASE_REQUESTED,
@@ -89,8 +89,8 @@
 
 /**
  * struct trial - trial of a suspect request
- * @lease_reply_deadline: when a pending permission request expires
- * @sends: attempts sent with permission
+ * @lease_reply_deadline: when a pending lease request expires
+ * @sends: attempts sent with the lease
  * @held: at least one attempt was held back
  */
 struct trial {
@@ -139,30 +139,31 @@
 };
 
 /**
- * struct call - one client request
- * @id: id of the client request, or generated here for another node's batch
+ * struct call - one request of a caller
+ * @id: id of the caller's request, or generated here for another node's batch
  * @fingerprint: fingerprint that identifies repeats of the request
  * @kind: operations of its kind
  * @baseline: baseline latency of its route
- * @origin: address of the node that delegated it; empty for a client request
+ * @origin: address of the node that delegated it; empty for a request
+ *          of a caller of this node
  * @origin_incarnation: incarnation of that node
  * @origin_id: id of the batch at that node
- * @deadline: time-out of the client or of the route, whichever is earlier
+ * @deadline: timeout of the caller or of the route, whichever is earlier
  * @soft_deadline: a partial answer is sent from then on if coverage suffices
  * @next_review_at: time of the next review, 0 if none is scheduled
  * @wanted: shards that @origin wants, NULL for all shards of the route
  * @nwanted: number of shards in @wanted
  * @may_delegate: @origin delegated a whole question: this node may delegate the
  *                far shards in turn
- * @retries_granted: @origin has confirmed that this node may send to further
- * targets
- * @retry_share: this node's share of the free retries, 0 for an equal share
+ * @retries_granted: @origin has sent the retry grant: this node may send each
+ *                   shard to further targets
+ * @retry_share: this node's share of the extra retries, 0 for an equal share
  * @ntried: number of targets per shard that other nodes may already have used
  * @batches: shards delegated to other nodes
  * @delegations: how often the whole question was delegated
  * @trial: trial of a suspect request
  * @served: some target has answered it
- * @abandoned: the client or @origin no longer waits for it
+ * @abandoned: the caller or @origin no longer waits for it
  * @finished: it has ended and is freed by calls_reap()
  * @state: private state of its kind
  */
@@ -238,37 +239,36 @@
 	const struct call_kind *shards_kind;
 };
 
-/** calls_mechanism_enabled() - whether a mechanism is enabled */
+/** calls_mechanism_enabled() - whether a mechanism is enabled. */
 bool calls_mechanism_enabled(const struct calls *calls,
 			     enum mechanism mechanism);
 void calls_init(struct calls *calls, apr_pool_t *pool, uint64_t seed);
 void calls_destroy(struct calls *calls);
-/** calls_reap() - free ended calls; no effect may point to them any more */
+/** calls_reap() - free ended calls; no effect may point to them any more. */
 void calls_reap(struct calls *calls);
 
-/** call_create() - create a call, not yet started, with a copy of @request */
+/** call_create() - create a call, not yet started, with a copy of @request. */
 struct call *call_create(struct calls *calls, uint64_t id,
 			 const struct flow_request *request,
 			 struct catalog *catalog, const struct route *route);
 struct call *call_find(struct calls *calls, uint64_t id);
-/** call_may_send() - whether the limits on attempts allow another for @part */
+/** call_may_send() - whether the limits on attempts allow another for @part. */
 bool call_may_send(const struct call *call, const struct part *part);
-/** call_send() - send one more attempt for shard @index to the best target left
- */
+/** call_send() - send an attempt for shard @index to the best target left. */
 enum send_result call_send(struct calls *calls, struct call *call,
 			   size_t index);
-/** call_schedule_review() - review at @when, unless an earlier one is due */
+/** call_schedule_review() - review at @when, unless an earlier one is due. */
 void call_schedule_review(struct calls *calls, struct call *call, int64_t when);
 /**
- * call_mark_served() - record that a target has answered
+ * call_mark_served() - record that a target has answered.
  *
  * Clears the request of the suspicion that it crashes targets.
  */
 void call_mark_served(struct calls *calls, struct call *call);
-/** call_on_reply() - handle the reply to the attempt @id */
+/** call_on_reply() - handle the reply to the attempt @id. */
 void call_on_reply(struct calls *calls, uint64_t id,
 		   const struct flow_reply *reply);
-/** call_on_timer() - handle an expired timer of a call or an attempt */
+/** call_on_timer() - handle an expired timer of a call or an attempt. */
 void call_on_timer(struct calls *calls, const struct timer *due);
 
 /**
@@ -289,15 +289,17 @@
 	const char *why;
 };
 
-/** call_answer() - send the final answer and end the call */
+/** call_answer() - send the final answer and end the call. */
 void call_answer(struct calls *calls, struct call *call,
 		 const struct final *final);
-/** call_jitter() - shorten @us by up to a quarter to spread client retries */
+/**
+ * call_jitter() - shorten @us by up to a quarter to spread callers' retries.
+ */
 int64_t call_jitter(struct calls *calls, int64_t us);
-/** call_refuse() - end the call with an error generated by this node */
+/** call_refuse() - end the call with an error generated by this node. */
 void call_refuse(struct calls *calls, struct call *call, int status,
 		 const char *why, int64_t retry_after_us);
-/** call_finish() - end the call without an answer to a client */
+/** call_finish() - end the call without an answer to a caller. */
 void call_finish(struct calls *calls, struct call *call);
-/** call_abandon() - end the call without an answer: nobody waits for it */
+/** call_abandon() - end the call without an answer: nobody waits for it. */
 void call_abandon(struct calls *calls, struct call *call);
--- a/call_queue.c
+++ b/call_queue.c
@@ -3,7 +3,7 @@
 /*
  * Removes the waiter from the queue unless its part is still waiting. A part
  * that was sent in the meantime is not: only its call can decide whether it may
- * be sent again, as that may need another node's permission.
+ * be sent again, as that may need a retry grant of another node.
  *
  * Return: true if the part is still waiting.
  */
@@ -54,7 +54,7 @@
 	};
 }
 
-/* Return: index of the waiter with the highest priority, or SIZE_MAX */
+/* Return: index of the waiter with the highest priority, or SIZE_MAX. */
 static size_t first_waiter(struct calls *calls, struct wait_queue *wait_queue)
 {
 	struct wait_priority best_priority;
--- a/call_queue.h
+++ b/call_queue.h
@@ -10,7 +10,7 @@
  * call of highest priority.
  */
 
-/** call_queue_join() - queue shard @index of @call for a target */
+/** call_queue_join() - queue shard @index of @call for a target. */
 void call_queue_join(struct calls *calls, struct call *call, size_t index);
-/** call_queue_serve() - send queued parts while a target has capacity */
+/** call_queue_serve() - send queued parts while a target has capacity. */
 void call_queue_serve(struct calls *calls, uint64_t service);
--- a/catalog.h
+++ b/catalog.h
@@ -95,7 +95,7 @@
 /** catalog_unref() - free @catalog with its last reference; NULL is ignored. */
 void catalog_unref(struct catalog *catalog);
 /**
- * catalog_find_route() - route of @host with the longest prefix of @path
+ * catalog_find_route() - route of @host with the longest prefix of @path.
  *
  * Return: the route, or NULL.
  */
--- a/decision_log.c
+++ b/decision_log.c
@@ -96,7 +96,7 @@
 			   call->ndone);
 }
 
-/* The first few attempts whose replies the call no longer waits for. */
+/* Adds the first few attempts that the call no longer waits for. */
 static void add_pending_attempts(struct buf *line, int64_t now,
 				 const struct call *call)
 {
@@ -116,8 +116,8 @@
 
 /*
  * Counts the missing shards by what they wait for: a target's reply, another
- * node, or permission to send. This distinguishes a slow target from an
- * exhausted limit, which look the same to the caller.
+ * node's reply, or the reason why they were not sent. This distinguishes a slow
+ * target from an exhausted limit, which look the same to the caller.
  */
 static void add_missing_shards(struct buf *line, const struct call *call)
 {
--- a/decision_log.h
+++ b/decision_log.h
@@ -38,7 +38,7 @@
 };
 
 /**
- * decision_log_final() - log and count the answer to a caller
+ * decision_log_final() - log and count the answer to a caller.
  *
  * Complete answers within the route's goal are counted only.
  */
@@ -46,7 +46,7 @@
 			const struct call *call, const struct final *final);
 /**
  * decision_log_caller_gone() - log a request that its caller closed, or that
- * the node which had delegated it cancelled
+ * the node which had delegated it cancelled.
  */
 void decision_log_caller_gone(struct decision_log *dlog, int64_t now,
 			      const struct call *call);
@@ -64,7 +64,7 @@
 			  const struct fingerprint *fingerprint);
 /**
  * decision_log_batch_failed() - log that this node takes back shards which it
- * had delegated to the node at @addr
+ * had delegated to the node at @addr.
  */
 void decision_log_batch_failed(struct decision_log *dlog, int64_t now,
 			       const struct call *call, struct str addr,
--- a/dialect.h
+++ b/dialect.h
@@ -32,7 +32,7 @@
  * @retry_ratio: retry budget: requests beyond the first one per shard, as a
  *               ratio to first requests
  * @retry_window_us: time window of the retry budget
- * @retry_extra: additional retries allowed in each window
+ * @retry_extra: extra retries allowed in each window
  * @cold_factor, @cold_extra: a cold target may get its configured rate times
  *                            factor plus extra
  * @heartbeat_us: period at which targets refresh their entries
@@ -113,8 +113,7 @@
 	STORE_RECORD_NONE, /* not used by this program */
 	STORE_RECORD_CATALOG,
 	STORE_RECORD_TARGET,
-	STORE_RECORD_DOMAIN_OUT, /* no requests may be sent to a failure domain
-				  */
+	STORE_RECORD_DOMAIN_OUT, /* takes a failure domain out of use */
 };
 
 /** struct store_record - a decoded store item */
--- a/directory.c
+++ b/directory.c
@@ -271,7 +271,7 @@
 
 /*
  * A node that has just scanned the store has no tombstones for earlier
- * deletions. A peer that was cut off from the store still sends such keys; if
+ * deletions. A node that was cut off from the store still sends such keys; if
  * they were applied, requests would go to their targets until the next scan.
  */
 static bool is_deleted(const struct directory *dir,
--- a/directory.h
+++ b/directory.h
@@ -26,8 +26,8 @@
  * @scan: number of the current scan of all keys
  * @cold_factor, @cold_extra: see struct vm_settings
  * @nodes: nodes that share the targets' limits
- * @near_nodes: those of them in this failure domain; 0 while the membership may
- *        still be incomplete
+ * @near_nodes: those of them in this failure domain; 0 while the membership
+ *              may still be incomplete
  */
 struct directory {
 	apr_pool_t *pool;
@@ -67,7 +67,7 @@
 void directory_apply(struct directory *dir, const struct store_item *items,
 		     size_t count, int64_t now);
 /**
- * directory_merge() - apply items from another node's replica
+ * directory_merge() - apply items from another node's replica.
  *
  * The other node may lag behind. An item that this replica would hold at its
  * revision, but does not, was deleted in the meantime and is skipped.
@@ -81,10 +81,10 @@
 /** directory_set_nodes() - recompute this node's shares of targets' limits. */
 void directory_set_nodes(struct directory *dir, int nodes, int near_nodes);
 /**
- * directory_conn_limits() - this node's share of a target's connections
+ * directory_conn_limits() - this node's share of a target's connections.
  * @max_conns: connection limit of the target, over all nodes
- * @near_nodes: nodes in the target's failure domain that use it; 0 if not known
- *        yet, which gives the minimum
+ * @near_nodes: nodes in the target's failure domain that use it; 0 if not
+ *              known yet, which gives the minimum
  * @far_nodes: nodes in other failure domains that use it
  */
 struct conn_limit directory_conn_limits(int max_conns, int near_nodes,
--- a/fingerprint.h
+++ b/fingerprint.h
@@ -20,7 +20,7 @@
 };
 
 /**
- * fingerprint_of() - compute a fingerprint
+ * fingerprint_of() - compute a fingerprint.
  * @parts: everything that the request consists of but its id, in a fixed order
  */
 struct fingerprint fingerprint_of(const struct str *parts, size_t count,
--- a/flow.h
+++ b/flow.h
@@ -184,7 +184,10 @@
 	size_t cap;
 };
 
-/** flow_fingerprint() - of method, host, path, query, body and caller. */
+/**
+ * flow_fingerprint() - fingerprint of the method, host, path, query, body and
+ * caller.
+ */
 struct fingerprint flow_fingerprint(const struct flow_request *request);
 void flow_effects_init(struct flow_effects *fx, apr_pool_t *parent);
 struct flow_effect *flow_add(struct flow_effects *fx,
--- a/gossip.c
+++ b/gossip.c
@@ -226,8 +226,7 @@
 	     it = apr_hash_next(it)) {
 		struct member_info *member = hash_value(it);
 
-		/* Nodes that are down must not reappear through stale gossip.
-		 */
+		/* Nodes that are down must not return by stale gossip. */
 		if (is_up(member, now) && (all || member->near))
 			list[count++] = member->entry;
 	}
--- a/gossip.h
+++ b/gossip.h
@@ -24,13 +24,13 @@
  * @addr: "ip:port" for connections between nodes
  * @near: in this node's failure domain
  * @last_beat_at: when a higher beat was last received
- * @unanswered_since: when the first question since the last message from the
- *                    node was sent, 0 for none
+ * @unanswered_since: when the first batch since the last message from the node
+ *                    was sent to it, 0 for none
  * @clock_incarnation: incarnation that @min_clock_offset belongs to
  * @min_clock_offset: smallest difference seen between this node's clock and
  *                    the sender's timestamp; anything above it is delay
- * @in_flight: unanswered questions
- * @backoff_until: the node is sent no questions until then
+ * @in_flight: open batches
+ * @backoff_until: the node is sent no batches until then
  */
 struct member_info {
 	struct member_entry entry;
@@ -90,7 +90,7 @@
 /** gossip_mark_answered() - record that the node at @addr sent a message. */
 void gossip_mark_answered(struct gossip *gossip, struct str addr);
 /**
- * gossip_excess_delay() - delay of a message beyond the fastest one seen
+ * gossip_excess_delay() - delay of a message beyond the fastest one seen.
  * @addr: sender
  * @sent_us: time of sending by the sender's clock
  */
@@ -102,7 +102,7 @@
 int gossip_counted_nodes(const struct gossip *gossip);
 /**
  * gossip_pick_near() - uniform sample of the nodes of this failure domain that
- * are up
+ * are up.
  * @max: size of the sample
  *
  * Return: number of nodes in @out.
@@ -110,7 +110,7 @@
 size_t gossip_pick_near(struct gossip *gossip, size_t max, int64_t now,
 			struct member_info **out);
 /**
- * gossip_pick_far() - pick one node that is up in each other failure domain
+ * gossip_pick_far() - pick one node that is up in each other failure domain.
  * @max: maximum number of nodes
  *
  * Return: number of nodes in @out.
@@ -118,7 +118,7 @@
 size_t gossip_pick_far(struct gossip *gossip, size_t max, int64_t now,
 		       struct member_info **out);
 /**
- * gossip_owner() - live node that owns @key, by rendezvous hashing
+ * gossip_owner() - live node that owns @key, by rendezvous hashing.
  *
  * Nodes with the same membership get the same owner.
  *
@@ -133,7 +133,7 @@
 bool gossip_is_seed(const struct gossip *gossip);
 /**
  * gossip_is_store_reader() - whether this node reads the store for its failure
- * domain
+ * domain.
  *
  * It does if no live node of the domain whose calls to the store succeed has a
  * lower address.
--- a/mechanism.c
+++ b/mechanism.c
@@ -51,7 +51,7 @@
 				     "a target's connections are divided "
 				     "among the nodes that use it" },
 	[MECHANISM_MERGER_BUDGET] = { "merger-budget",
-				      "merging nodes get most of the free "
+				      "merging nodes get most of the extra "
 				      "retries" },
 	[MECHANISM_RETURN_SPREAD] = { "return-spread",
 				      "retry times of refused callers are "
--- a/merge.c
+++ b/merge.c
@@ -16,9 +16,12 @@
 	REVIEW_INTERVAL_US = 10000,
 	/* On a refusal: targets in backoff return within about this time. */
 	RETRY_AFTER_US = 300000,
-	/* Return path to the client, and time for a busy core to answer. */
+	/* Return path to the caller, and time for a busy core to answer. */
 	RESPONSE_MARGIN_US = 12000,
-	/* Nodes of another version refuse; no more than these are tried. */
+	/*
+	 * Nodes with another version of the configuration refuse; at most this
+	 * many nodes are tried.
+	 */
 	DELEGATIONS_MAX = 2,
 	/* A message to a node costs as much as a request to a target. */
 	BATCH_SHARDS_MIN = 2,
@@ -27,8 +30,8 @@
 /* Maximum hedge delay: the hedge's own reply must still be in time. */
 static const double HEDGE_GOAL_FRACTION = 0.3;
 /*
- * Goals are short where little is merged, so the return path takes a share of
- * the goal.
+ * Soft deadline. Goals are short where little is merged, so the time left for
+ * the return path is a fraction of the goal.
  */
 static const double SOFT_GOAL_FRACTION = 0.85;
 /*
@@ -37,7 +40,7 @@
  * enough for this node to send to targets itself.
  */
 static const double BATCH_GOAL_FRACTION = 0.5;
-/* Progress of a batch is reported by then, so as not to be considered stuck. */
+/* Progress of a batch is reported by then, before it is considered stuck. */
 static const double PROGRESS_GOAL_FRACTION = 0.35;
 
 /**
@@ -161,9 +164,9 @@
  * Counts shards that have been received or still may be, including those that
  * wait for a target with capacity or for the retry budget. Without sufficient
  * coverage a late answer is better than none: if calls gave up at the soft
- * deadline, clients would query all shards again and increase the load that
+ * deadline, callers would query all shards again and increase the load that
  * makes them wait. A shard without usable targets is not waited for, and the
- * client gets the error at once.
+ * caller gets the error at once.
  */
 static size_t count_possible(const struct calls *calls, const struct call *call)
 {
@@ -185,7 +188,7 @@
 	return possible;
 }
 
-/* For a client request. Return: true if the call has ended. */
+/* For a caller's request. Return: true if the call has ended. */
 static bool finish_answer(struct calls *calls, struct call *call)
 {
 	bool late = calls->now >= call->soft_deadline;
@@ -258,7 +261,7 @@
 				: finish_answer(calls, call);
 }
 
-/* Return: the earlier of @when and @other, or @when if @other has passed */
+/* Return: the earlier of @when and @other, or @when if @other has passed. */
 static int64_t earlier_unless_passed(int64_t when, int64_t other, int64_t now)
 {
 	return other > now && other < when ? other : when;
@@ -297,7 +300,7 @@
 
 /*
  * For a batch of another node, retries and hedges are sent only after the
- * origin has confirmed them. Without that, an origin that receives nothing more
+ * origin has sent a retry grant. Otherwise an origin that receives nothing more
  * from this node would send to further targets itself, and both together would
  * exceed the route's limit on targets.
  */
@@ -388,7 +391,7 @@
 
 /*
  * Return: the other failure domain with targets of most unassigned shards, or 0
- * if none has enough for a batch
+ * if none has enough for a batch.
  */
 static uint64_t best_domain(struct calls *calls, const struct call *call,
 			    uint16_t *parts)
@@ -470,7 +473,7 @@
 	send_unassigned(calls, call);
 }
 
-/* Return: true if the whole question was delegated to another node */
+/* Return: true if the whole question was delegated to another node. */
 static bool delegate_whole_question(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
@@ -612,7 +615,7 @@
 		add_records(call, msg->body, msg->text);
 		call_mark_served(calls, call);
 	}
-	/* The node may be about to retry, which the origin must know first. */
+	/* The node may be about to retry, which needs the origin's grant. */
 	if (!msg->state && call->origin.len && !state->reported)
 		report_to_origin(calls, call, false);
 	finish_if_settled(calls, call);
--- a/merge.h
+++ b/merge.h
@@ -14,9 +14,9 @@
 
 struct batch_table;
 
-/** merge_init() - register the handlers of batches from and to other nodes */
+/** merge_init() - register the handlers of batches from and to other nodes. */
 void merge_init(struct calls *calls, struct batch_table *batches);
-/** merge_soft_deadline() - from when on a partial answer may be sent */
+/** merge_soft_deadline() - from when on a partial answer may be sent. */
 int64_t merge_soft_deadline(const struct call *call);
-/** merge_has_coverage() - whether @done shards suffice for an answer */
+/** merge_has_coverage() - whether @done shards suffice for an answer. */
 bool merge_has_coverage(const struct route *route, size_t done);
--- a/payload.h
+++ b/payload.h
@@ -43,7 +43,7 @@
 int payload_decode_members(struct str body, apr_pool_t *pool,
 			   struct member_entry **members, size_t *count);
 /**
- * payload_encode_suspects() - append evidence against requests
+ * payload_encode_suspects() - append evidence against requests.
  * @now: crash times are encoded as ages at this time
  */
 void payload_encode_suspects(struct poison_entry *const *list, size_t count,
--- a/placement.c
+++ b/placement.c
@@ -22,7 +22,7 @@
 };
 
 /*
- * Fraction of the free retries for merging nodes, which send nearly all
+ * Fraction of the extra retries for merging nodes, which send nearly all
  * requests to targets; the rest is for nodes that cannot reach any of them.
  * Divided equally among all nodes, most retries would stay unused while the
  * merging nodes have none.
--- a/placement.h
+++ b/placement.h
@@ -60,8 +60,8 @@
 			const struct catalog *catalog,
 			const struct route *route, int64_t now);
 /**
- * placement_retry_share() - this node's share of the free retries to the
- * targets of @route, which all nodes have in common
+ * placement_retry_share() - this node's share of the extra retries to the
+ * targets of @route, which all nodes have in common.
  *
  * Return: greater than 0, at most 1.
  */
@@ -69,7 +69,7 @@
 			     const struct catalog *catalog,
 			     const struct route *route, int64_t now);
 /**
- * placement_choose_merger() - choose a node that merges questions of @route
+ * placement_choose_merger() - choose a node that merges questions of @route.
  * @domain: its failure domain; 0 for any, preferably that of this node
  *
  * Return: NULL if none is available now.
@@ -78,7 +78,8 @@
 					    const struct catalog *catalog,
 					    const struct route *route,
 					    uint64_t domain, int64_t now);
-/** placement_list_domains() - list the other failure domains with known nodes.
+/**
+ * placement_list_domains() - list the other failure domains with known nodes.
  */
 size_t placement_list_domains(const struct placement *placement,
 			      uint64_t *domains);
--- a/poison.h
+++ b/poison.h
@@ -58,8 +58,8 @@
 
 /**
  * struct poison_entry - evidence against a request of one caller
- * @rounds: successive rounds of broken sends; a send belongs to a new round if
- *          it was made after the previous round had broken
+ * @rounds: successive rounds of broken attempts; an attempt belongs to a new
+ *          round if it was sent after the previous round had broken
  * @requested_at: last arrival of the request
  * @leased_until: end of the lease of a node that runs a trial
  * @harmless: a target answered it; kept as others send the same content
@@ -110,12 +110,12 @@
 /** poison_touch() - record an arrival, which postpones expiry. */
 void poison_touch(struct poison *poison, const struct fingerprint *fingerprint,
 		  int64_t now);
-/** poison_round() - number of the round of a send made now, from 1. */
+/** poison_round() - number of the round of an attempt sent now, from 1. */
 int poison_round(const struct poison *poison,
 		 const struct fingerprint *fingerprint);
 /**
- * poison_on_crash() - record a broken connection to a target under a request
- * @round: round of that send
+ * poison_on_crash() - record a broken connection to a target under a request.
+ * @round: round of that attempt
  *
  * Return: the entry if it has new evidence and is not POISON_NONE, or NULL.
  */
@@ -123,7 +123,7 @@
 poison_on_crash(struct poison *poison, const struct fingerprint *fingerprint,
 		int round, const struct poison_crash *crash);
 /**
- * poison_on_unanswered() - a request has ended without an answer of any target
+ * poison_on_unanswered() - a request has ended without an answer of any target.
  *
  * Evidence of its first round is sent to other nodes only now, because most
  * requests that lose some connections are answered shortly after.
@@ -131,21 +131,21 @@
 void poison_on_unanswered(struct poison *poison,
 			  const struct fingerprint *fingerprint);
 /**
- * poison_on_answer() - a target answered the request, which clears it
+ * poison_on_answer() - a target answered the request, which clears it.
  *
  * Return: whether it was suspect or blocked.
  */
 bool poison_on_answer(struct poison *poison,
 		      const struct fingerprint *fingerprint, int64_t now);
 /**
- * poison_take_lease() - take the lease for a trial
+ * poison_take_lease() - take the lease for a trial.
  *
  * Return: false while another trial of the same content runs.
  */
 bool poison_take_lease(struct poison *poison,
 		       const struct fingerprint *fingerprint, int64_t now);
 /**
- * poison_merge() - merge evidence of another node
+ * poison_merge() - merge evidence of another node.
  * @from: the evidence, with times in this node's clock
  * @relay: send what is new to further nodes
  * @store_fresh: the table of targets is up to date
@@ -153,7 +153,8 @@
 void poison_merge(struct poison *poison, const struct poison_entry *from,
 		  bool relay, bool store_fresh, int64_t now);
 /**
- * poison_sweep() - remove evidence of targets that did not end, and old entries
+ * poison_sweep() - remove evidence of targets that did not end, and old
+ * entries.
  * @store_fresh: the table of targets is up to date
  */
 void poison_sweep(struct poison *poison, bool store_fresh, int64_t now);
@@ -161,7 +162,7 @@
 bool poison_is_shared(const struct poison_entry *entry, int64_t now);
 /**
  * poison_digest() - digest of the shared entries, equal on nodes with the same
- * evidence; 0 if there are none
+ * evidence; 0 if there are none.
  *
  * Newer entries are left out, as they are still in flight between nodes.
  */
--- a/poison_sync.h
+++ b/poison_sync.h
@@ -14,8 +14,8 @@
 
 /**
  * struct poison_transport - how messages are sent to other nodes
- * @broadcast: send to all nodes, or with @near_only only to those of this
- * failure domain; sets msg.ran for nodes that must relay it
+ * @broadcast: send to all nodes, or if @near_only to those of this failure
+ *             domain; sets msg.ran for nodes that must relay it
  * @send: send to the node at @addr
  */
 struct poison_transport {
@@ -41,7 +41,7 @@
 void poison_sync_on_digest(struct poison_sync *sync, struct str from,
 			   uint64_t digest, int64_t now);
 /**
- * poison_sync_on_msg() - merge evidence that the node at @from sent
+ * poison_sync_on_msg() - merge evidence that the node at @from sent.
  * @store_fresh: the state of targets is up to date
  */
 void poison_sync_on_msg(struct poison_sync *sync, struct str from,
--- a/reader.c
+++ b/reader.c
@@ -101,7 +101,7 @@
 			reader->dir->dlog, now,
 			active ? "reads the store" : "follows a reader",
 			STR("store"),
-			active ? "it is this node's part, or nothing was heard"
+			active ? "it reads for its domain, or got no updates"
 			       : "another node reads for this domain",
 			reader->dir->revision);
 	reader->active = active;
--- a/reader.h
+++ b/reader.h
@@ -3,7 +3,7 @@
 #include "directory.h"
 
 /**
- * DOC: client of the platform's store
+ * DOC: reader of the platform's store
  *
  * Scans all keys once, one page per call, then long-polls for changes. The
  * wait of each call is bounded, so that a silent connection is detected early
@@ -48,7 +48,7 @@
 		 struct flow_effects *fx, int64_t now);
 void reader_destroy(struct reader *reader);
 /**
- * reader_set_active() - start or stop reading
+ * reader_set_active() - start or stop reading.
  *
  * A call that is in flight when reading stops is not cancelled.
  */
--- a/relay.h
+++ b/relay.h
@@ -31,7 +31,7 @@
 };
 
 /**
- * relay_init() - initialize the relay
+ * relay_init() - initialize the relay.
  * @first_start: all VMs are new, and no caller waits yet
  */
 void relay_init(struct relay *relay, struct gossip *gossip,
--- a/target_health.h
+++ b/target_health.h
@@ -75,28 +75,28 @@
 enum target_reply {
 	REPLY_GOOD,
 	REPLY_REJECTED, /* refused without running the request */
-	REPLY_FAILED, /* error, broken connection or time-out */
+	REPLY_FAILED, /* error, broken connection or timeout */
 	REPLY_DOWN, /* no connection */
 	REPLY_WRONG_TARGET, /* another target answered at its address */
 	REPLY_CANCELLED, /* cancelled: the reply was no longer needed */
 };
 
-/** target_health_on_send() - record a request with baseline @baseline_us */
+/** target_health_on_send() - record a request with baseline @baseline_us. */
 void target_health_on_send(struct live_target *target, double baseline_us,
 			   int64_t now);
-/** target_health_on_reply() - record the outcome of the request of @sent_at */
+/** target_health_on_reply() - record the outcome of the request of @sent_at. */
 void target_health_on_reply(struct live_target *target,
 			    enum target_reply outcome, double baseline_us,
 			    int64_t sent_at, int64_t now);
-/** target_health_expected_us() - expected latency if otherwise idle */
+/** target_health_expected_us() - expected latency if otherwise idle. */
 double target_health_expected_us(const struct live_target *target,
 				 double baseline_us);
-/** target_health_slowness() - slowness, decayed since the last reply */
+/** target_health_slowness() - slowness, decayed since the last reply. */
 double target_health_slowness(const struct live_target *target, int64_t now);
-/** target_health_error_rate() - share of failed requests, decayed likewise */
+/** target_health_error_rate() - share of failed requests, decayed likewise. */
 double target_health_error_rate(const struct live_target *target, int64_t now);
 /**
- * target_health_is_overdue() - whether a reply is overdue
+ * target_health_is_overdue() - whether a reply is overdue.
  *
  * True after a multiple of its expected latency, mostly because of a pause.
  */
--- a/tier.c
+++ b/tier.c
@@ -358,7 +358,7 @@
 
 /* Other nodes. */
 
-/* Return: a target that is missing from the table is known to be gone. */
+/* Return: true if a target that is missing from the table is gone. */
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
 	return now - tier->dir.read_at < STORE_FRESH_US &&
@@ -421,7 +421,7 @@
 		batch_on_cancel(&tier->calls, event->from, msg);
 		break;
 	default:
-		/* Kinds that only nodes with an interface of their own use. */
+		/* The other kinds are used by node.c, not by the tier. */
 		break;
 	}
 }
@@ -556,7 +556,7 @@
 		     wait_queues_count(tier->calls.wait_queues));
 	metric_gauge(out, "targets", "targets in the table",
 		     balancer_count(tier->balancer));
-	metric_gauge(out, "nodes", "nodes that share bounds with this one",
+	metric_gauge(out, "nodes", "nodes that share limits with this one",
 		     (uint64_t)dir->nodes);
 	metric_gauge(out, "configuration_version", "in force",
 		     dir->catalog ? dir->catalog->version : 0);
@@ -564,18 +564,18 @@
 		     "of the store, at which it was published",
 		     dir->catalog_revision);
 	metric_gauge(out, "configuration_seen_revision",
-		     "of the newest one that was read; above the one in force: "
-		     "it was refused",
+		     "of the newest one that was read; if above the one in "
+		     "force, it was refused",
 		     dir->seen_revision);
 	metric_gauge(out, "configuration_seen_bytes", "size of that one",
 		     dir->seen_bytes);
-	metric_gauge(out, "store_revision", "that this node knows",
-		     dir->revision);
+	metric_gauge(out, "store_revision",
+		     "up to which this node has all changes", dir->revision);
 	metric_gauge(out, "store_age_ms",
-		     "since the store, or a reader of it, was heard of",
+		     "since the newest reading of the store, by any node",
 		     (uint64_t)(tier->calls.now - dir->read_at) / 1000);
 	metric_gauge(out, "suspect_requests",
-		     "contents that are tried at one target at a time",
+		     "contents that are sent to one target at a time",
 		     counts.suspect);
 	metric_gauge(out, "blocked_requests",
 		     "contents that are sent to no target", counts.blocked);
--- a/tier.h
+++ b/tier.h
@@ -7,8 +7,8 @@
  *
  * A node that serves published targets consists of its state and one function,
  * tier_reduce(), which combines the modules: published data (reader,
- * directory), targets (roster), retry limits (budget), requests (call, merge,
- * forward) and membership (gossip).
+ * directory), targets (balancer), retry budget (budget), requests (call,
+ * merge, forward) and membership (gossip).
  */
 
 struct tier;
--- a/trial.c
+++ b/trial.c
@@ -101,7 +101,7 @@
 	/* A reply to a request in flight may still clear it. */
 	if (call->attempts || call->batches)
 		return false;
-	/* Only the node of the caller runs trials. */
+	/* Only the node that received the caller's request runs trials. */
 	if (call->origin.len)
 		return true;
 	return call->trial.lease != LEASE_NONE && !awaits_lease(calls, call) &&
--- a/trial.h
+++ b/trial.h
@@ -18,14 +18,14 @@
 /** trial_exhausted() - the request of @call will not be sent any more. */
 bool trial_exhausted(const struct calls *calls, const struct call *call);
 /**
- * trial_refusal_reason() - reason of a refusal if trial_exhausted()
+ * trial_refusal_reason() - reason of a refusal if trial_exhausted().
  * @why: set to the reason
  * @retry_us: set to the time after which the caller may retry
  */
 void trial_refusal_reason(const struct calls *calls, const struct call *call,
 			  const char **why, int64_t *retry_us);
 /**
- * trial_clear() - reset the trial of a call that is no longer suspect
+ * trial_clear() - reset the trial of a call that is no longer suspect.
  *
  * Return: whether the call was held back and is not suspect any more.
  */
--- a/wait_queue.h
+++ b/wait_queue.h
@@ -35,15 +35,15 @@
 };
 
 /**
- * wait_queue_add() - append a waiter to the queue of @service
+ * wait_queue_add() - append a waiter to the queue of @service.
  * @wait_queues: service -> struct wait_queue
  */
 void wait_queue_add(apr_hash_t *wait_queues, uint64_t service,
 		    struct waiter waiter);
-/** wait_queue_find() - queue of @service, or NULL */
+/** wait_queue_find() - queue of @service, or NULL. */
 struct wait_queue *wait_queue_find(apr_hash_t *wait_queues, uint64_t service);
 void wait_queue_remove(struct wait_queue *wait_queue, size_t index);
-/** wait_queues_count() - number of waiters of all services */
+/** wait_queues_count() - number of waiters of all services. */
 size_t wait_queues_count(apr_hash_t *wait_queues);
 void wait_queues_free(apr_hash_t *wait_queues);
 
@@ -60,6 +60,6 @@
 	int64_t start;
 };
 
-/** wait_queue_precedes() - whether @a is served before @b */
+/** wait_queue_precedes() - whether @a is served before @b. */
 bool wait_queue_precedes(const struct wait_priority *a,
 			 const struct wait_priority *b);
