--- a/balancer.c
+++ b/balancer.c
@@ -512,12 +512,12 @@
 	return NULL;
 }
 
-void balancer_remove_expired(struct balancer *balancer, int64_t now)
+void balancer_sweep(struct balancer *balancer, int64_t now)
 {
-	struct live_target *gone;
+	struct live_target *expired;
 
-	while ((gone = find_expired(balancer, now)))
-		remove_target(balancer, gone);
+	while ((expired = find_expired(balancer, now)))
+		remove_target(balancer, expired);
 }
 
 size_t balancer_count(const struct balancer *balancer)
--- a/balancer.h
+++ b/balancer.h
@@ -119,8 +119,8 @@
  */
 bool balancer_is_published(const struct balancer *balancer, uint64_t key,
 			   int64_t born_ms);
-/** balancer_remove_expired() - remove targets whose entries are long gone. */
-void balancer_remove_expired(struct balancer *balancer, int64_t now);
+/** balancer_sweep() - remove targets whose entries are long gone. */
+void balancer_sweep(struct balancer *balancer, int64_t now);
 size_t balancer_count(const struct balancer *balancer);
 
 /**
--- a/batch.c
+++ b/batch.c
@@ -18,7 +18,7 @@
 };
 
 /* Set in ids of calls of other nodes; ids of callers' requests are smaller. */
-static const uint64_t peer_call_bit = 1ULL << 62;
+static const uint64_t delegated_call_bit = 1ULL << 62;
 
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
 		      struct gossip *gossip, struct placement *placement)
@@ -50,17 +50,19 @@
 		apr_palloc(call->pool, (nparts + 1) * sizeof(*shards));
 
 	for (size_t i = 0; i < nparts; i++)
-		shards[i] = call->wanted ? call->wanted[parts[i]] : parts[i];
+		shards[i] = call->requested_shards
+				    ? call->requested_shards[parts[i]]
+				    : parts[i];
 	return shards;
 }
 
 /* Return: index of the part in the call, UINT16_MAX if it lacks the shard. */
 static uint16_t find_part(const struct call *call, uint16_t shard)
 {
-	if (!call->wanted)
+	if (!call->requested_shards)
 		return shard;
-	for (size_t i = 0; i < call->nwanted; i++)
-		if (call->wanted[i] == shard)
+	for (size_t i = 0; i < call->nrequested; i++)
+		if (call->requested_shards[i] == shard)
 			return (uint16_t)i;
 	return UINT16_MAX;
 }
@@ -407,28 +409,28 @@
 		return;
 	}
 	request.time_left_us = remaining_us;
-	call = call_create(calls, peer_call_bit | ++calls->next_id, &request,
-			   catalog, route);
+	call = call_create(calls, delegated_call_bit | ++calls->next_id,
+			   &request, catalog, route);
 	call->fingerprint = fingerprint;
 	call->start -= msg->wait_us + delay_us;
 	call->deadline = calls->now + remaining_us;
 	call->origin = str_dup(call->pool, from);
 	call->origin_incarnation = incarnation;
 	call->origin_id = msg->id;
-	call->nwanted = msg->name.len / sizeof(uint16_t);
-	call->wanted = apr_palloc(call->pool, msg->name.len + 1);
-	memcpy(call->wanted, msg->name.ptr, msg->name.len);
+	call->nrequested = msg->name.len / sizeof(uint16_t);
+	call->requested_shards = apr_palloc(call->pool, msg->name.len + 1);
+	memcpy(call->requested_shards, msg->name.ptr, msg->name.len);
 	call->may_delegate = msg->state;
 	call->ntried = msg->attempt < CALL_TARGETS_MAX ? msg->attempt
 						       : CALL_TARGETS_MAX;
-	call->kind = calls->shards_kind;
+	call->kind = calls->delegated_call_kind;
 	call->kind->begin(calls, call);
 	apr_pool_destroy(pool);
 }
 
 /* Return: the call to which the node at @from gave @id, or NULL. */
-static struct call *find_peer_call(struct calls *calls, struct str from,
-				   uint64_t id)
+static struct call *find_delegated_call(struct calls *calls, struct str from,
+					uint64_t id)
 {
 	apr_hash_index_t *it;
 
@@ -445,7 +447,7 @@
 void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg)
 {
-	struct call *call = find_peer_call(calls, from, msg->id);
+	struct call *call = find_delegated_call(calls, from, msg->id);
 
 	if (call)
 		call_abandon(calls, call);
@@ -454,7 +456,7 @@
 void batch_on_retry_grant(struct calls *calls, struct str from,
 			  const struct msg *msg)
 {
-	struct call *call = find_peer_call(calls, from, msg->id);
+	struct call *call = find_delegated_call(calls, from, msg->id);
 
 	if (!call || call->retries_granted)
 		return;
--- a/call.c
+++ b/call.c
@@ -99,7 +99,7 @@
 {
 	apr_pool_t *pool;
 	struct call *call;
-	int64_t wait = route->timeout_us;
+	int64_t timeout = route->timeout_us;
 
 	apr_pool_create(&pool, calls->pool);
 	call = apr_pcalloc(pool, sizeof(*call));
@@ -112,9 +112,9 @@
 		baseline_get(calls->baselines, str_hash(route->name),
 			     route->goal_us / INITIAL_BASELINE_DIVISOR);
 	call->start = calls->now;
-	if (request->time_left_us >= 0 && request->time_left_us < wait)
-		wait = request->time_left_us;
-	call->deadline = calls->now + wait;
+	if (request->time_left_us >= 0 && request->time_left_us < timeout)
+		timeout = request->time_left_us;
+	call->deadline = calls->now + timeout;
 	apr_hash_set(calls->open, &call->id, sizeof(call->id), call);
 	calls->nopen++;
 	return call;
@@ -221,7 +221,7 @@
 	attempt->baseline_us = call->baseline->us;
 	attempt->extra = part->ntried > 0;
 	attempt->fingerprint = call->fingerprint;
-	attempt->round = poison_round(calls->poison, &call->fingerprint);
+	attempt->round = poison_next_round(calls->poison, &call->fingerprint);
 	call->trial.sends += call->trial.lease == LEASE_GRANTED;
 	attempt->next = call->attempts;
 	call->attempts = attempt;
--- a/call.h
+++ b/call.h
@@ -151,8 +151,9 @@
  * @deadline: timeout of the caller or of the route, whichever is earlier
  * @soft_deadline: a partial answer is sent from then on if coverage suffices
  * @next_review_at: time of the next review, 0 if none is scheduled
- * @wanted: shards that @origin wants, NULL for all shards of the route
- * @nwanted: number of shards in @wanted
+ * @requested_shards: shards that @origin wants, NULL for all shards of the
+ * route
+ * @nrequested: number of shards in @requested_shards
  * @may_delegate: @origin delegated a whole question: this node may delegate the
  *                far shards in turn
  * @retries_granted: @origin has sent the retry grant: this node may send each
@@ -187,8 +188,8 @@
 	size_t nparts;
 	size_t ndone;
 	struct attempt *attempts;
-	uint16_t *wanted;
-	size_t nwanted;
+	uint16_t *requested_shards;
+	size_t nrequested;
 	bool may_delegate;
 	bool retries_granted;
 	double retry_share;
@@ -213,7 +214,7 @@
  * @baselines: hash of the route name -> struct baseline
  * @wait_queues: service -> struct wait_queue
  * @ended_calls: ended calls, freed by calls_reap()
- * @shards_kind: kind of the calls that other nodes delegate to this one
+ * @delegated_call_kind: kind of the calls that other nodes delegate to this one
  */
 struct calls {
 	apr_pool_t *pool;
@@ -236,7 +237,7 @@
 	struct poison *poison;
 	struct poison_sync *poison_sync;
 	struct batch_table *batches;
-	const struct call_kind *shards_kind;
+	const struct call_kind *delegated_call_kind;
 };
 
 /** calls_mechanism_enabled() - whether a mechanism is enabled. */
--- a/explain.c
+++ b/explain.c
@@ -196,7 +196,7 @@
 /* The line about the answer to the caller, not those about other nodes. */
 static json_t *final_event(const struct explain *explain)
 {
-	json_t *gone = NULL;
+	json_t *fallback = NULL;
 
 	for (size_t i = explain->request_lines.count; i-- > 0;) {
 		json_t *event = explain->request_lines.lines[i].event;
@@ -204,11 +204,11 @@
 		if (json_object_get(event, "status") &&
 		    !json_object_get(event, "target"))
 			return event;
-		if (!gone && !json_object_get(event, "target") &&
+		if (!fallback && !json_object_get(event, "target") &&
 		    !json_object_get(event, "node"))
-			gone = event;
+			fallback = event;
 	}
-	return gone;
+	return fallback;
 }
 
 static void print_cause(const struct explain *explain, struct buf *out)
--- a/front.c
+++ b/front.c
@@ -147,7 +147,8 @@
 		.sent_at = node->now,
 		.open = true,
 		.hedge = hedge,
-		.round = poison_round(&node->front->poison, &q->fingerprint),
+		.round = poison_next_round(&node->front->poison,
+					   &q->fingerprint),
 	};
 	leaf->nattempts++;
 	leaf->retry_at = 0;
--- a/front.h
+++ b/front.h
@@ -23,7 +23,7 @@
  * @sent_at: microseconds
  * @open: no reply yet
  * @hedge: sent while another attempt of the leaf was open
- * @round: round of evidence against the question, see poison_round()
+ * @round: round of evidence against the question, see poison_next_round()
  */
 struct attempt {
 	struct fleet_target *target;
--- a/front_admit.c
+++ b/front_admit.c
@@ -200,7 +200,7 @@
 
 	struct question *q = question_create(node, caller, pool, &query, plan);
 
-	poison_touch(&node->front->poison, &q->fingerprint, node->now);
+	poison_on_request(&node->front->poison, &q->fingerprint, node->now);
 	if (front_question_blocked(node, q)) {
 		refuse_caller(node, caller, ERR_BLOCKED,
 			      "it crashes the targets that run it", 0);
--- a/merge.c
+++ b/merge.c
@@ -104,16 +104,16 @@
 static int64_t hedge_delay(const struct call *call,
 			   const struct attempt *attempt)
 {
-	int64_t late =
+	int64_t delay =
 		(int64_t)(target_health_expected_us(attempt->target,
 						    attempt->baseline_us) *
 			  HEDGE_FACTOR);
 	int64_t max =
 		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 
-	if (late < HEDGE_MIN_US)
-		late = HEDGE_MIN_US;
-	return late < max ? late : max;
+	if (delay < HEDGE_MIN_US)
+		delay = HEDGE_MIN_US;
+	return delay < max ? delay : max;
 }
 
 static void send_answer(struct calls *calls, struct call *call, const char *why)
@@ -524,12 +524,15 @@
 			: call->deadline;
 	call->retry_share = placement_retry_share(
 		calls->batches->placement, call->catalog, route, calls->now);
-	call->nparts = call->wanted ? call->nwanted : route->nshards;
+	call->nparts =
+		call->requested_shards ? call->nrequested : route->nshards;
 	call->parts = apr_pcalloc(call->pool,
 				  (call->nparts + 1) * sizeof(*call->parts));
 	for (size_t i = 0; i < call->nparts; i++)
 		call->parts[i].service =
-			route->shards[call->wanted ? call->wanted[i] : i];
+			route->shards[call->requested_shards
+					      ? call->requested_shards[i]
+					      : i];
 	for (size_t i = 0; i < call->nparts; i++)
 		count_tried_elsewhere(&call->parts[i], call->ntried);
 }
@@ -584,7 +587,8 @@
 	call->parts[index].delegated = false;
 	call->ndone++;
 	state->unreported[state->nunreported++] =
-		call->wanted ? call->wanted[index] : (uint16_t)index;
+		call->requested_shards ? call->requested_shards[index]
+				       : (uint16_t)index;
 }
 
 static void replied(struct calls *calls, struct call *call,
@@ -672,7 +676,7 @@
 	batches->replied = batch_replied;
 	batches->failed = batch_failed;
 	calls->batches = batches;
-	calls->shards_kind = &merge_kind;
+	calls->delegated_call_kind = &merge_kind;
 }
 
 const struct call_kind merge_kind = {
--- a/poison.c
+++ b/poison.c
@@ -159,8 +159,8 @@
 /* Return: the entry requested least recently, blocked contents last. */
 static struct poison_entry *eviction_candidate(const struct poison *poison)
 {
-	struct poison_entry *least = NULL;
-	bool least_blocked = true;
+	struct poison_entry *candidate = NULL;
+	bool candidate_blocked = true;
 	apr_hash_index_t *it;
 
 	for (it = apr_hash_first(NULL, poison->entries); it;
@@ -169,16 +169,16 @@
 		bool blocked = sum_evidence(first).blocked;
 
 		for (struct poison_entry *at = first; at; at = at->next) {
-			if (least &&
-			    (blocked > least_blocked ||
-			     (blocked == least_blocked &&
-			      at->requested_at >= least->requested_at)))
+			if (candidate &&
+			    (blocked > candidate_blocked ||
+			     (blocked == candidate_blocked &&
+			      at->requested_at >= candidate->requested_at)))
 				continue;
-			least = at;
-			least_blocked = blocked;
+			candidate = at;
+			candidate_blocked = blocked;
 		}
 	}
-	return least;
+	return candidate;
 }
 
 static struct poison_entry *
@@ -227,8 +227,8 @@
 	return evidence.callers ? POISON_SUSPECT : POISON_NONE;
 }
 
-void poison_touch(struct poison *poison, const struct fingerprint *fingerprint,
-		  int64_t now)
+void poison_on_request(struct poison *poison,
+		       const struct fingerprint *fingerprint, int64_t now)
 {
 	struct poison_entry *entry = find_first_entry(poison, fingerprint);
 
@@ -236,8 +236,8 @@
 		entry->requested_at = now;
 }
 
-int poison_round(const struct poison *poison,
-		 const struct fingerprint *fingerprint)
+int poison_next_round(const struct poison *poison,
+		      const struct fingerprint *fingerprint)
 {
 	return sum_evidence(find_first_entry(poison, fingerprint)).rounds + 1;
 }
@@ -450,7 +450,7 @@
 static void check_crashes(struct poison *poison, struct poison_entry *entry,
 			  int64_t now)
 {
-	size_t had = entry->ncrashes;
+	size_t ncrashes_before = entry->ncrashes;
 	size_t kept = 0;
 
 	for (size_t i = 0; i < entry->ncrashes; i++) {
@@ -463,7 +463,7 @@
 		entry->crashes[kept++] = crash;
 	}
 	entry->ncrashes = kept;
-	if (kept < had && entry->rounds > (int)kept)
+	if (kept < ncrashes_before && entry->rounds > (int)kept)
 		entry->rounds = (int)kept;
 }
 
--- a/poison.h
+++ b/poison.h
@@ -107,12 +107,12 @@
 void poison_destroy(struct poison *poison);
 enum poison_verdict poison_verdict(const struct poison *poison,
 				   const struct fingerprint *fingerprint);
-/** poison_touch() - record an arrival, which postpones expiry. */
-void poison_touch(struct poison *poison, const struct fingerprint *fingerprint,
-		  int64_t now);
-/** poison_round() - number of the round of an attempt sent now, from 1. */
-int poison_round(const struct poison *poison,
-		 const struct fingerprint *fingerprint);
+/** poison_on_request() - record an arrival, which postpones expiry. */
+void poison_on_request(struct poison *poison,
+		       const struct fingerprint *fingerprint, int64_t now);
+/** poison_next_round() - number of the round of an attempt sent now, from 1. */
+int poison_next_round(const struct poison *poison,
+		      const struct fingerprint *fingerprint);
 /**
  * poison_on_crash() - record a broken connection to a target under a request.
  * @round: round of that attempt
--- a/relay.c
+++ b/relay.c
@@ -184,7 +184,7 @@
 /** struct tree_node - a node of the relay tree */
 struct tree_node {
 	uint32_t ip;
-	bool reads;
+	bool store_reachable;
 	struct member_info *member; /* NULL: this node */
 };
 
@@ -222,7 +222,7 @@
 			};
 	}
 	qsort(tree, count, sizeof(*tree), compare_ip);
-	while (reader + 1 < count && !tree[reader].reads)
+	while (reader + 1 < count && !tree[reader].store_reachable)
 		reader++;
 	first = tree[reader];
 	memmove(tree + 1, tree, reader * sizeof(*tree));
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -675,13 +675,13 @@
 	target = find(balancer, "a");
 	target_health_on_send(target, USUAL_US, now);
 	balancer_unpublish(balancer, STR("a"), now);
-	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
+	balancer_sweep(balancer, now + 40 * (int64_t)SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 1);
 	balancer_on_reply(balancer, target, REPLY_GOOD, USUAL_US, now,
 			  now + 1000);
-	balancer_remove_expired(balancer, now + SECOND_US);
+	balancer_sweep(balancer, now + SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 1);
-	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
+	balancer_sweep(balancer, now + 40 * (int64_t)SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 0);
 	balancer_destroy(balancer);
 }
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -294,7 +294,8 @@
 		break;
 	case STEP_BROKE:
 		broke(scene, &fingerprint,
-		      poison_round(&scene->poison, &fingerprint), step->target);
+		      poison_next_round(&scene->poison, &fingerprint),
+		      step->target);
 		break;
 	case STEP_BESIDE:
 		broke(scene, &fingerprint, 1, step->target);
--- a/tier.c
+++ b/tier.c
@@ -277,7 +277,7 @@
 			   route);
 	call->fingerprint = flow_fingerprint(request);
 	call->kind = route->nshards ? &merge_kind : &forward_kind;
-	poison_touch(&tier->poison, &call->fingerprint, event->now);
+	poison_on_request(&tier->poison, &call->fingerprint, event->now);
 	if (refuse_blocked(tier, call))
 		return;
 	call->kind->begin(&tier->calls, call);
@@ -449,7 +449,7 @@
 	if (tier->calls.now < tier->sweep_at)
 		return;
 	tier->sweep_at = tier->calls.now + SWEEP_US;
-	balancer_remove_expired(tier->balancer, tier->calls.now);
+	balancer_sweep(tier->balancer, tier->calls.now);
 	directory_sweep(&tier->dir, tier->calls.now);
 	poison_sweep(&tier->poison, store_is_fresh(tier, tier->calls.now),
 		     tier->calls.now);
