--- a/balancer.c
+++ b/balancer.c
@@ -47,7 +47,7 @@
 
 /**
  * struct balancer - all targets
- * @without: disabled mechanisms
+ * @without: bit set of disabled mechanisms
  * @domain: failure domain of this node
  * @targets: key -> struct live_target
  * @services: service -> struct service_targets
--- a/balancer.h
+++ b/balancer.h
@@ -44,7 +44,7 @@
 /**
  * balancer_create() - create an empty table of targets.
  * @domain: failure domain of this node
- * @without: set of disabled mechanisms
+ * @without: bit set of disabled mechanisms
  */
 struct balancer *balancer_create(apr_pool_t *parent, struct str domain,
 				 uint32_t without);
--- a/batch.c
+++ b/batch.c
@@ -17,7 +17,7 @@
 	CONN_DEAD_US = 150000,
 };
 
-/* Set in ids of calls of other nodes; ids of callers' requests are smaller. */
+/* Set in ids of delegated calls; ids of callers' requests are smaller. */
 static const uint64_t delegated_call_bit = 1ULL << 62;
 
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
--- a/budget.c
+++ b/budget.c
@@ -11,7 +11,7 @@
 
 /*
  * Each node stays below the limit to allow for restarted processes, which have
- * lost their counts, and for nodes that it does not know.
+ * lost their counts, and for nodes that it has not discovered.
  */
 static const double SAFETY_FACTOR = 0.8;
 
--- a/call.h
+++ b/call.h
@@ -1,14 +1,14 @@
 #pragma once
 
+#include "balancer.h"
+#include "baseline.h"
 #include "budget.h"
 #include "flow.h"
 #include "latency.h"
-#include "wait_queue.h"
 #include "poison.h"
 #include "rng.h"
-#include "balancer.h"
 #include "timer.h"
-#include "baseline.h"
+#include "wait_queue.h"
 
 /**
  * DOC: calls and attempts
@@ -151,16 +151,16 @@
  * @deadline: timeout of the caller or of the route, whichever is earlier
  * @soft_deadline: a partial answer is sent from then on if coverage suffices
  * @next_review_at: time of the next review, 0 if none is scheduled
- * @requested_shards: shards that @origin wants, NULL for all shards of the
- * route
+ * @requested_shards: indexes of the shards that @origin delegated, NULL for all
+ *                    shards of the route
  * @nrequested: number of shards in @requested_shards
- * @may_delegate: @origin delegated a whole question: this node may delegate the
- *                far shards in turn
+ * @may_delegate: @origin delegated a whole question: this node may delegate
+ *                shards of other failure domains in turn
  * @retries_granted: @origin has sent the retry grant: this node may send each
  *                   shard to further targets
  * @retry_share: this node's share of the extra retries, 0 for an equal share
  * @ntried: number of targets per shard that other nodes may already have used
- * @batches: shards delegated to other nodes
+ * @batches: open batches of shards that were delegated to other nodes
  * @delegations: how often the whole question was delegated
  * @trial: trial of a suspect request
  * @served: some target has answered it
@@ -206,7 +206,7 @@
 
 /**
  * struct calls - all calls of a node and the modules they use
- * @without: disabled mechanisms
+ * @without: bit set of disabled mechanisms
  * @now: time of the current event
  * @fx: effects of the current event
  * @open: id -> struct call
--- a/directory.h
+++ b/directory.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "flow.h"
-#include "decision_log.h"
 #include "balancer.h"
+#include "decision_log.h"
+#include "flow.h"
 
 /**
  * DOC: local replica of the store's keys
--- a/mechanism.h
+++ b/mechanism.h
@@ -49,7 +49,7 @@
 
 const struct mechanism_info *mechanism_info(enum mechanism mechanism);
 /**
- * mechanism_disable() - add the mechanism @name to the set @without.
+ * mechanism_disable() - add the mechanism @name to the bit set @without.
  *
  * Return: 0, or ERR_USAGE if there is no such mechanism.
  */
--- a/placement.h
+++ b/placement.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "balancer.h"
 #include "catalog.h"
 #include "gossip.h"
-#include "balancer.h"
 
 /**
  * DOC: placement of merges on nodes
--- a/tier.c
+++ b/tier.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 
 #include "batch.h"
+#include "decision_log.h"
 #include "forward.h"
 #include "merge.h"
-#include "decision_log.h"
 #include "placement.h"
 #include "poison_sync.h"
 #include "reader.h"
--- a/trial.c
+++ b/trial.c
@@ -1,7 +1,7 @@
 #include "trial.h"
 
-#include "gossip.h"
 #include "decision_log.h"
+#include "gossip.h"
 
 enum {
 	/* A reply takes two hops; by then the owner is down or unreachable. */
