--- a/budget.c
+++ b/budget.c
@@ -15,7 +15,7 @@
  */
 static const double SAFETY_FACTOR = 0.8;
 
-struct send_counts {
+struct attempt_counts {
 	uint64_t service;
 	int64_t slice;
 	int first[SLICES + 1];
@@ -49,9 +49,9 @@
 
 	for (it = apr_hash_first(NULL, budget->counts); it;
 	     it = apr_hash_next(it)) {
-		void *send_counts = hash_value(it);
+		void *counts = hash_value(it);
 
-		free(send_counts);
+		free(counts);
 	}
 	apr_pool_destroy(budget->pool);
 }
@@ -66,52 +66,55 @@
 	budget->nodes = nodes > 0 ? nodes : 1;
 }
 
-static void advance_to_slice(struct send_counts *send_counts, int64_t slice)
+static void advance_to_slice(struct attempt_counts *counts, int64_t slice)
 {
-	for (int i = 0; send_counts->slice < slice && i <= SLICES; i++) {
-		send_counts->slice++;
-		send_counts->first[send_counts->slice % (SLICES + 1)] = 0;
-		send_counts->retries[send_counts->slice % (SLICES + 1)] = 0;
+	for (int i = 0; counts->slice < slice && i <= SLICES; i++) {
+		counts->slice++;
+		counts->first[counts->slice % (SLICES + 1)] = 0;
+		counts->retries[counts->slice % (SLICES + 1)] = 0;
 	}
-	send_counts->slice = slice;
+	counts->slice = slice;
 }
 
-static struct send_counts *send_counts_get(struct budget *budget,
-					   uint64_t service, int64_t now)
+static struct attempt_counts *attempt_counts_get(struct budget *budget,
+						 uint64_t service, int64_t now)
 {
-	struct send_counts *send_counts =
+	struct attempt_counts *counts =
 		apr_hash_get(budget->counts, &service, sizeof(service));
 	int64_t slice = now * SLICES / budget->rules.window_us;
 
-	if (!send_counts) {
-		send_counts = xcalloc(1, sizeof(*send_counts));
-		send_counts->service = service;
-		send_counts->slice = slice;
-		apr_hash_set(budget->counts, &send_counts->service,
-			     sizeof(send_counts->service), send_counts);
+	if (!counts) {
+		counts = xcalloc(1, sizeof(*counts));
+		counts->service = service;
+		counts->slice = slice;
+		apr_hash_set(budget->counts, &counts->service,
+			     sizeof(counts->service), counts);
 	}
-	advance_to_slice(send_counts, slice);
-	return send_counts;
+	advance_to_slice(counts, slice);
+	return counts;
 }
 
-void budget_count_first(struct budget *budget, uint64_t service, int64_t now)
+void budget_count_first_attempt(struct budget *budget, uint64_t service,
+				int64_t now)
 {
-	struct send_counts *send_counts = send_counts_get(budget, service, now);
+	struct attempt_counts *counts =
+		attempt_counts_get(budget, service, now);
 
-	send_counts->first[send_counts->slice % (SLICES + 1)]++;
+	counts->first[counts->slice % (SLICES + 1)]++;
 }
 
 int budget_retries_left(struct budget *budget, uint64_t service, double share,
 			int64_t now)
 {
-	struct send_counts *send_counts = send_counts_get(budget, service, now);
+	struct attempt_counts *counts =
+		attempt_counts_get(budget, service, now);
 	int first = 0;
 	int retries = 0;
 	double allowed;
 
 	for (int i = 0; i <= SLICES; i++) {
-		first += send_counts->first[i];
-		retries += send_counts->retries[i];
+		first += counts->first[i];
+		retries += counts->retries[i];
 	}
 	if (share <= 0)
 		share = 1.0 / budget->nodes;
@@ -122,10 +125,11 @@
 bool budget_take_retry(struct budget *budget, uint64_t service, double share,
 		       int64_t now)
 {
-	struct send_counts *send_counts = send_counts_get(budget, service, now);
+	struct attempt_counts *counts =
+		attempt_counts_get(budget, service, now);
 
 	if (budget_retries_left(budget, service, share, now) < 1)
 		return false;
-	send_counts->retries[send_counts->slice % (SLICES + 1)]++;
+	counts->retries[counts->slice % (SLICES + 1)]++;
 	return true;
 }
--- a/budget.h
+++ b/budget.h
@@ -34,8 +34,9 @@
 void budget_set_rules(struct budget *budget, struct budget_rules rules);
 /** budget_set_nodes() - set how many nodes share the limit, at least 1. */
 void budget_set_nodes(struct budget *budget, int nodes);
-/** budget_count_first() - count a first send to @service. */
-void budget_count_first(struct budget *budget, uint64_t service, int64_t now);
+/** budget_count_first_attempt() - count a first send to @service. */
+void budget_count_first_attempt(struct budget *budget, uint64_t service,
+				int64_t now);
 /**
  * budget_take_retry() - take one hedge or retry from the budget of @service.
  * @share: this node's share of the extra retries, 0 for an equal share
--- a/call.c
+++ b/call.c
@@ -222,13 +222,13 @@
 	attempt->extra = part->ntried > 0;
 	attempt->fingerprint = call->fingerprint;
 	attempt->round = poison_next_round(calls->poison, &call->fingerprint);
-	call->trial.sends += call->trial.lease == LEASE_GRANTED;
+	call->trial.nattempts += call->trial.lease == LEASE_GRANTED;
 	attempt->next = call->attempts;
 	call->attempts = attempt;
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id),
 		     attempt);
 	record_tried(part, target->key);
-	part->nsent++;
+	part->nattempts++;
 	part->queued = false;
 	part->open++;
 	target_health_on_send(target, attempt->baseline_us, calls->now);
@@ -248,7 +248,7 @@
 
 bool call_may_send(const struct call *call, const struct part *part)
 {
-	if (part->nsent >= CALL_SENDS_MAX)
+	if (part->nattempts >= CALL_ATTEMPTS_MAX)
 		return false;
 	return may_try_new_target(call, part) || part->rejected;
 }
@@ -317,7 +317,8 @@
 	if (!target)
 		return SEND_NO_TARGET;
 	if (!part->ntried && !part->sent_elsewhere) {
-		budget_count_first(calls->budget, part->service, calls->now);
+		budget_count_first_attempt(calls->budget, part->service,
+					   calls->now);
 		metric_add(&calls->dlog->metrics, METRIC_SENT);
 	} else if (budget_take_retry(calls->budget, part->service,
 				     call->retry_share, calls->now)) {
--- a/call.h
+++ b/call.h
@@ -90,13 +90,13 @@
 /**
  * struct trial - trial of a suspect request
  * @lease_reply_deadline: when a pending lease request expires
- * @sends: attempts sent with the lease
+ * @nattempts: attempts sent with the lease
  * @held: at least one attempt was held back
  */
 struct trial {
 	enum lease_state lease;
 	int64_t lease_reply_deadline;
-	int sends;
+	int nattempts;
 	bool held;
 };
 
@@ -104,7 +104,7 @@
 	/* Targets recorded as tried, per shard. */
 	CALL_TARGETS_MAX = 4,
 	/* Attempts per shard: few targets reject this often in a row. */
-	CALL_SENDS_MAX = 5,
+	CALL_ATTEMPTS_MAX = 5,
 };
 
 /**
@@ -114,7 +114,7 @@
  * @tried: keys of targets that were sent the request
  * @rejected: bitmask over @tried: targets that rejected the request without
  *            running it and may be sent it again
- * @nsent: number of attempts sent
+ * @nattempts: number of attempts sent
  * @open: number of attempts in flight
  * @done: a good reply has arrived
  * @ran: a target may have run the request
@@ -128,7 +128,7 @@
 	uint64_t tried[CALL_TARGETS_MAX];
 	size_t ntried;
 	unsigned int rejected;
-	size_t nsent;
+	size_t nattempts;
 	int open;
 	bool done;
 	bool ran;
--- a/call_queue.c
+++ b/call_queue.c
@@ -14,7 +14,7 @@
 	struct call *call = call_find(calls, waiter->call);
 	struct part *part = call ? &call->parts[waiter->part] : NULL;
 
-	if (part && part->nsent == waiter->sends) {
+	if (part && part->nattempts == waiter->nattempts) {
 		if (!part->done && !part->delegated)
 			return true;
 		part->queued = false;
@@ -40,7 +40,7 @@
 			i += is_waiting(calls, wait_queue, i);
 	part->queued = true;
 	wait_queue_add(calls->wait_queues, part->service,
-		       (struct waiter){ call->id, index, part->nsent });
+		       (struct waiter){ call->id, index, part->nattempts });
 }
 
 static struct wait_priority priority_of(const struct calls *calls,
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -123,7 +123,7 @@
 
 	budget_set_nodes(budget, c->nodes);
 	for (int i = 0; i < c->first; i++)
-		budget_count_first(budget, 7, SECOND_US);
+		budget_count_first_attempt(budget, 7, SECOND_US);
 	while (taken < 1000 &&
 	       budget_take_retry(budget, 7, c->share, SECOND_US + c->later_us))
 		taken++;
@@ -549,7 +549,7 @@
 	balancer_publish(calls.balancer, &b, calls.now);
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_DONE);
 	call_on_reply(&calls, call->attempts->id, &failed);
-	ck_assert_uint_eq(part.nsent, 1);
+	ck_assert_uint_eq(part.nattempts, 1);
 	ck_assert_int_eq(part.open, 0);
 	call_finish(&calls, call);
 	calls_destroy(&calls);
--- a/trial.c
+++ b/trial.c
@@ -7,7 +7,7 @@
 	/* A reply takes two hops; by then the owner is down or unreachable. */
 	LEASE_REPLY_TIMEOUT_US = 50000,
 	/* Sends of one call; after these it is cleared or blocked. */
-	TRIAL_SENDS_MAX = 2,
+	TRIAL_ATTEMPTS_MAX = 2,
 	/* A trial takes about as long as an ordinary request. */
 	TRIAL_RETRY_US = 300000,
 	/* Retries are refused too, so a shorter time would only add load. */
@@ -85,7 +85,7 @@
 static bool has_lease(const struct call *call)
 {
 	return call->trial.lease == LEASE_GRANTED &&
-	       call->trial.sends < TRIAL_SENDS_MAX;
+	       call->trial.nattempts < TRIAL_ATTEMPTS_MAX;
 }
 
 bool trial_exhausted(const struct calls *calls, const struct call *call)
--- a/wait_queue.h
+++ b/wait_queue.h
@@ -18,12 +18,12 @@
  * struct waiter - a queued part of a call
  * @call: id of the call, not a pointer, as calls end at any time
  * @part: index of the part
- * @sends: number of attempts for the part when it was queued
+ * @nattempts: number of attempts for the part when it was queued
  */
 struct waiter {
 	uint64_t call;
 	size_t part;
-	size_t sends;
+	size_t nattempts;
 };
 
 /** struct wait_queue - waiters for the targets of one service */
