--- a/batch.h
+++ b/batch.h
@@ -4,7 +4,7 @@
 #include "placement.h"
 
 /**
- * DOC: batches of shards that another node requests
+ * DOC: batches of shards that are delegated to other nodes
  *
  * Shards of a question whose targets are in another failure domain are sent to
  * a node there, all in one message. It queries the targets and returns the
--- a/budget.h
+++ b/budget.h
@@ -9,17 +9,16 @@
  * DOC: retry budget
  *
  * Hedges and retries are limited for each service over all nodes together. Each
- * node keeps to its own part: a ratio of the first sends it made to the service
- * itself, plus its share of the extra retries, by default one over the number
- * of nodes. The parts add up to less than the limit, so it holds without
- * coordination.
+ * node keeps to its own part: a ratio of its own first attempts at the service,
+ * plus its share of the extra retries, by default one over the number of nodes.
+ * The parts add up to less than the limit, so it holds without coordination.
  */
 
 struct budget;
 
 /**
  * struct budget_rules - limit of hedges and retries over all nodes
- * @ratio: hedges and retries allowed per first send
+ * @ratio: hedges and retries allowed per first attempt
  * @extra: hedges and retries allowed in addition, in each window
  * @window_us: length of the sliding window that the limit applies to
  */
@@ -34,7 +33,7 @@
 void budget_set_rules(struct budget *budget, struct budget_rules rules);
 /** budget_set_nodes() - set how many nodes share the limit, at least 1. */
 void budget_set_nodes(struct budget *budget, int nodes);
-/** budget_count_first_attempt() - count a first send to @service. */
+/** budget_count_first_attempt() - count a first attempt at @service. */
 void budget_count_first_attempt(struct budget *budget, uint64_t service,
 				int64_t now);
 /**
--- a/call.c
+++ b/call.c
@@ -255,7 +255,7 @@
 
 /*
  * A target that rejected the request has not run it, and max_attempts of the
- * route limits targets, not sends. So when no other target is left, one that
+ * route limits targets, not attempts. So when no other target is left, one that
  * rejected the request may get it again. Otherwise the shard would be missing
  * whenever one of its targets is full or paused.
  */
--- a/trial.c
+++ b/trial.c
@@ -6,7 +6,7 @@
 enum {
 	/* A reply takes two hops; by then the owner is down or unreachable. */
 	LEASE_REPLY_TIMEOUT_US = 50000,
-	/* Sends of one call; after these it is cleared or blocked. */
+	/* Attempts of one call; after these it is cleared or blocked. */
 	TRIAL_ATTEMPTS_MAX = 2,
 	/* A trial takes about as long as an ordinary request. */
 	TRIAL_RETRY_US = 300000,
