--- a/batch.c
+++ b/batch.c
@@ -97,7 +97,7 @@
 	call->batches = batch;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id),
 		     batch);
-	metric_add(&calls->dlog->metrics, METRIC_BATCHES);
+	metric_add(&calls->decision_log->metrics, METRIC_BATCHES);
 	member->in_flight++;
 	if (!member->unanswered_since)
 		member->unanswered_since = calls->now;
@@ -160,8 +160,8 @@
 	if (!member->unanswered_since ||
 	    calls->now - member->unanswered_since < CONN_DEAD_US)
 		return;
-	decision_log_state(calls->dlog, calls->now, "node is late", addr,
-			   "no reply to its batches", 0);
+	decision_log_state(calls->decision_log, calls->now, "node is late",
+			   addr, "no reply to its batches", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
 	queue_msg(calls, addr, 0, MSG_RELINK);
@@ -176,8 +176,8 @@
 {
 	struct call *call = batch->call;
 
-	decision_log_batch_failed(calls->dlog, calls->now, call, batch->addr,
-				  batch->nparts, why);
+	decision_log_batch_failed(calls->decision_log, calls->now, call,
+				  batch->addr, batch->nparts, why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
 			       batch->ntried +
@@ -294,7 +294,7 @@
 		parts[i] = find_part(call, parts[i]);
 	if (!is_awaited(batch, parts, nparts)) {
 		decision_log_state(
-			calls->dlog, calls->now, "unusable", from,
+			calls->decision_log, calls->now, "unusable", from,
 			"its reply is for shards that were not requested",
 			msg->version);
 		batch_fail(calls, batch, "its reply is unusable");
--- a/call.c
+++ b/call.c
@@ -178,7 +178,7 @@
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_CANCEL);
 
 	fx->id = attempt->id;
-	metric_add(&calls->dlog->metrics, METRIC_CUT);
+	metric_add(&calls->decision_log->metrics, METRIC_CUT);
 	balancer_on_reply(calls->balancer, attempt->target, REPLY_CANCELLED,
 			  attempt->baseline_us, attempt->sent_at, calls->now);
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id), NULL);
@@ -319,12 +319,12 @@
 	if (!part->ntried && !part->sent_elsewhere) {
 		budget_count_first_attempt(calls->budget, part->service,
 					   calls->now);
-		metric_add(&calls->dlog->metrics, METRIC_SENT);
+		metric_add(&calls->decision_log->metrics, METRIC_SENT);
 	} else if (budget_take_retry(calls->budget, part->service,
 				     call->retry_share, calls->now)) {
-		metric_add(&calls->dlog->metrics, METRIC_SENT_AGAIN);
+		metric_add(&calls->decision_log->metrics, METRIC_SENT_AGAIN);
 	} else {
-		metric_add(&calls->dlog->metrics, METRIC_NO_BUDGET);
+		metric_add(&calls->decision_log->metrics, METRIC_NO_BUDGET);
 		return SEND_NO_BUDGET;
 	}
 	attempt_start(calls, call, index, target);
@@ -374,7 +374,7 @@
 {
 	call->served = true;
 	if (poison_on_answer(calls->poison, &call->fingerprint, calls->now))
-		decision_log_cleared(calls->dlog, calls->now,
+		decision_log_cleared(calls->decision_log, calls->now,
 				     &call->fingerprint);
 	poison_sync_send(calls->poison_sync, calls->now);
 }
@@ -402,8 +402,8 @@
 				attempt->round, &crash);
 	if (!entry)
 		return;
-	decision_log_suspect(calls->dlog, calls->now, calls->poison, entry,
-			     attempt->target->id);
+	decision_log_suspect(calls->decision_log, calls->now, calls->poison,
+			     entry, attempt->target->id);
 	poison_sync_send(calls->poison_sync, calls->now);
 }
 
@@ -424,10 +424,10 @@
 	apr_hash_set(calls->attempts, &copy.id, sizeof(copy.id), NULL);
 	free(attempt);
 	if (call && classify_reply(reply) != REPLY_GOOD)
-		decision_log_attempt(calls->dlog, calls->now, call, &copy,
-				     reply);
+		decision_log_attempt(calls->decision_log, calls->now, call,
+				     &copy, reply);
 	if (classify_reply(reply) == REPLY_GOOD) {
-		metric_latency(&calls->dlog->metrics, LATENCY_TARGET,
+		metric_latency(&calls->decision_log->metrics, LATENCY_TARGET,
 			       calls->now - copy.sent_at);
 		baseline_add(copy.baseline, calls->now - copy.sent_at);
 	}
@@ -532,7 +532,7 @@
 {
 	struct flow_effect *fx;
 
-	decision_log_final(calls->dlog, calls->now, call, final);
+	decision_log_final(calls->decision_log, calls->now, call, final);
 	report_unserved(calls, call);
 	fx = flow_add(calls->fx, FLOW_ANSWER);
 	fx->id = call->id;
@@ -590,7 +590,7 @@
 
 void call_abandon(struct calls *calls, struct call *call)
 {
-	decision_log_caller_gone(calls->dlog, calls->now, call);
+	decision_log_caller_gone(calls->decision_log, calls->now, call);
 	call->abandoned = true;
 	call_end(calls, call);
 }
--- a/call.h
+++ b/call.h
@@ -232,7 +232,7 @@
 	uint64_t next_id;
 	struct call *ended_calls;
 	size_t nopen;
-	struct decision_log *dlog;
+	struct decision_log *decision_log;
 	struct gossip *gossip;
 	struct poison *poison;
 	struct poison_sync *poison_sync;
--- a/decision_log.c
+++ b/decision_log.c
@@ -21,56 +21,58 @@
 	uint64_t at; /* version or revision */
 };
 
-static void write_line(struct decision_log *dlog, struct buf *line, bool severe)
+static void write_line(struct decision_log *decision_log, struct buf *line,
+		       bool severe)
 {
-	struct flow_effect *fx = flow_add(dlog->fx, FLOW_LOG);
+	struct flow_effect *fx = flow_add(decision_log->fx, FLOW_LOG);
 
 	fx->severe = severe;
-	fx->text = str_dup(dlog->fx->pool, buf_str(line));
+	fx->text = str_dup(decision_log->fx->pool, buf_str(line));
 	buf_free(line);
 }
 
-static void write_omitted_counts(struct decision_log *dlog)
+static void write_omitted_counts(struct decision_log *decision_log)
 {
 	for (int kind = 0; kind < DECISION_KINDS; kind++) {
 		struct buf line = { 0 };
 
-		dlog->lines[kind] = 0;
-		if (!dlog->omitted[kind])
+		decision_log->lines[kind] = 0;
+		if (!decision_log->omitted[kind])
 			continue;
 		buf_printf(&line,
 			   "{\"note\":\"left_out\",\"of\":\"%s\","
 			   "\"lines\":%d}",
-			   kind_names[kind], dlog->omitted[kind]);
-		dlog->omitted[kind] = 0;
-		write_line(dlog, &line, false);
+			   kind_names[kind], decision_log->omitted[kind]);
+		decision_log->omitted[kind] = 0;
+		write_line(decision_log, &line, false);
 	}
 }
 
-static bool admit_line(struct decision_log *dlog, int64_t now,
+static bool admit_line(struct decision_log *decision_log, int64_t now,
 		       enum decision_kind kind)
 {
-	if (now - dlog->second >= SECOND_US) {
-		dlog->second = now;
-		write_omitted_counts(dlog);
+	if (now - decision_log->second >= SECOND_US) {
+		decision_log->second = now;
+		write_omitted_counts(decision_log);
 	}
-	if (dlog->lines[kind] < LINES_PER_SECOND_MAX) {
-		dlog->lines[kind]++;
+	if (decision_log->lines[kind] < LINES_PER_SECOND_MAX) {
+		decision_log->lines[kind]++;
 		return true;
 	}
-	dlog->omitted[kind]++;
+	decision_log->omitted[kind]++;
 	return false;
 }
 
-static void begin_line(struct decision_log *dlog, struct buf *line, int64_t now,
-		       enum decision_kind kind)
+static void begin_line(struct decision_log *decision_log, struct buf *line,
+		       int64_t now, enum decision_kind kind)
 {
 	buf_printf(line, "{\"note\":\"%s\",\"version\":%llu,\"revision\":%llu",
-		   kind_names[kind], (unsigned long long)dlog->version,
-		   (unsigned long long)dlog->revision);
+		   kind_names[kind], (unsigned long long)decision_log->version,
+		   (unsigned long long)decision_log->revision);
 	buf_printf(line, ",\"store_age_ms\":%lld",
-		   dlog->read_at ? (long long)(now - dlog->read_at) / 1000
-				 : -1LL);
+		   decision_log->read_at
+			   ? (long long)(now - decision_log->read_at) / 1000
+			   : -1LL);
 }
 
 static void add_fingerprint(struct buf *line,
@@ -152,10 +154,10 @@
 	buf_str_add(line, STR("}"));
 }
 
-static void count_answer(struct decision_log *dlog, int64_t us,
+static void count_answer(struct decision_log *decision_log, int64_t us,
 			 const struct call *call, const struct final *final)
 {
-	struct metrics *metrics = &dlog->metrics;
+	struct metrics *metrics = &decision_log->metrics;
 
 	metric_latency(metrics,
 		       final->merged ? LATENCY_MERGED : LATENCY_FORWARDED, us);
@@ -172,59 +174,59 @@
 	}
 }
 
-void decision_log_final(struct decision_log *dlog, int64_t now,
+void decision_log_final(struct decision_log *decision_log, int64_t now,
 			const struct call *call, const struct final *final)
 {
 	struct buf line = { 0 };
 	bool late = now - call->start > call->route->goal_us;
 
-	count_answer(dlog, now - call->start, call, final);
+	count_answer(decision_log, now - call->start, call, final);
 	if (final->status / 100 == 2 && !late && !final->missing)
 		return;
-	if (!admit_line(dlog, now, DECISION_FINAL))
+	if (!admit_line(decision_log, now, DECISION_FINAL))
 		return;
-	begin_line(dlog, &line, now, DECISION_FINAL);
+	begin_line(decision_log, &line, now, DECISION_FINAL);
 	add_call(&line, now, call);
 	add_missing_shards(&line, call);
 	add_pending_attempts(&line, now, call);
 	buf_printf(&line, ",\"status\":%d,\"why\":\"%s\"}", final->status,
 		   final->why);
-	write_line(dlog, &line, false);
+	write_line(decision_log, &line, false);
 }
 
-void decision_log_caller_gone(struct decision_log *dlog, int64_t now,
+void decision_log_caller_gone(struct decision_log *decision_log, int64_t now,
 			      const struct call *call)
 {
 	struct buf line = { 0 };
 
 	/* If another node cancelled its shards, no caller has gone. */
 	if (!call->origin.len)
-		metric_add(&dlog->metrics, METRIC_CALLERS_GONE);
-	if (!admit_line(dlog, now, DECISION_FINAL))
+		metric_add(&decision_log->metrics, METRIC_CALLERS_GONE);
+	if (!admit_line(decision_log, now, DECISION_FINAL))
 		return;
-	begin_line(dlog, &line, now, DECISION_FINAL);
+	begin_line(decision_log, &line, now, DECISION_FINAL);
 	add_call(&line, now, call);
 	add_missing_shards(&line, call);
 	buf_printf(&line, ",\"why\":\"%s\"}",
 		   call->origin.len ? "the asking node has its answer"
 				    : "the caller closed");
-	write_line(dlog, &line, false);
+	write_line(decision_log, &line, false);
 }
 
-void decision_log_attempt(struct decision_log *dlog, int64_t now,
+void decision_log_attempt(struct decision_log *decision_log, int64_t now,
 			  const struct call *call,
 			  const struct attempt *attempt,
 			  const struct flow_reply *reply)
 {
 	struct buf line = { 0 };
 
-	metric_add(&dlog->metrics,
+	metric_add(&decision_log->metrics,
 		   reply->not_run ? METRIC_NOT_RUN : METRIC_FAILED);
 	if (reply->result == FETCH_BROKEN)
-		metric_add(&dlog->metrics, METRIC_BROKEN);
-	if (!admit_line(dlog, now, DECISION_ATTEMPT))
+		metric_add(&decision_log->metrics, METRIC_BROKEN);
+	if (!admit_line(decision_log, now, DECISION_ATTEMPT))
 		return;
-	begin_line(dlog, &line, now, DECISION_ATTEMPT);
+	begin_line(decision_log, &line, now, DECISION_ATTEMPT);
 	add_call(&line, now, call);
 	buf_printf(&line, ",\"target\":");
 	buf_json_add(&line, attempt->target->id);
@@ -238,7 +240,7 @@
 				   reply->result == FETCH_REFUSED
 			   ? "false"
 			   : "true");
-	write_line(dlog, &line, false);
+	write_line(decision_log, &line, false);
 }
 
 static const char *verdict_name(enum poison_verdict verdict)
@@ -254,7 +256,7 @@
 	return "blocked";
 }
 
-void decision_log_suspect(struct decision_log *dlog, int64_t now,
+void decision_log_suspect(struct decision_log *decision_log, int64_t now,
 			  const struct poison *poison,
 			  const struct poison_entry *entry, struct str target)
 {
@@ -262,9 +264,9 @@
 		poison_verdict(poison, &entry->fingerprint);
 	struct buf line = { 0 };
 
-	if (!admit_line(dlog, now, DECISION_STATE))
+	if (!admit_line(decision_log, now, DECISION_STATE))
 		return;
-	begin_line(dlog, &line, now, DECISION_STATE);
+	begin_line(decision_log, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes targets\"");
 	add_fingerprint(&line, &entry->fingerprint);
 	buf_printf(&line,
@@ -273,70 +275,70 @@
 		   verdict_name(verdict), entry->rounds, entry->ncrashes);
 	buf_json_add(&line, target);
 	buf_str_add(&line, STR("}"));
-	write_line(dlog, &line, verdict == POISON_BLOCKED);
+	write_line(decision_log, &line, verdict == POISON_BLOCKED);
 }
 
-void decision_log_cleared(struct decision_log *dlog, int64_t now,
+void decision_log_cleared(struct decision_log *decision_log, int64_t now,
 			  const struct fingerprint *fingerprint)
 {
 	struct buf line = { 0 };
 
-	if (!admit_line(dlog, now, DECISION_STATE))
+	if (!admit_line(decision_log, now, DECISION_STATE))
 		return;
-	begin_line(dlog, &line, now, DECISION_STATE);
+	begin_line(decision_log, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"request crashes no target\"");
 	add_fingerprint(&line, fingerprint);
 	buf_printf(&line, ",\"why\":\"a target answered it\"}");
-	write_line(dlog, &line, false);
+	write_line(decision_log, &line, false);
 }
 
-void decision_log_batch_failed(struct decision_log *dlog, int64_t now,
+void decision_log_batch_failed(struct decision_log *decision_log, int64_t now,
 			       const struct call *call, struct str addr,
 			       size_t shards, const char *why)
 {
 	struct buf line = { 0 };
 
-	metric_add(&dlog->metrics, METRIC_BATCHES_BACK);
-	if (!admit_line(dlog, now, DECISION_ATTEMPT))
+	metric_add(&decision_log->metrics, METRIC_BATCHES_BACK);
+	if (!admit_line(decision_log, now, DECISION_ATTEMPT))
 		return;
-	begin_line(dlog, &line, now, DECISION_ATTEMPT);
+	begin_line(decision_log, &line, now, DECISION_ATTEMPT);
 	add_call(&line, now, call);
 	buf_printf(&line, ",\"node\":");
 	buf_json_add(&line, addr);
 	buf_printf(&line, ",\"shards_back\":%zu,\"why\":\"%s\"}", shards, why);
-	write_line(dlog, &line, false);
+	write_line(decision_log, &line, false);
 }
 
-static void write_state_change(struct decision_log *dlog, int64_t now,
+static void write_state_change(struct decision_log *decision_log, int64_t now,
 			       const struct state_change *change, bool severe)
 {
 	struct buf line = { 0 };
 
-	if (!admit_line(dlog, now, DECISION_STATE))
+	if (!admit_line(decision_log, now, DECISION_STATE))
 		return;
-	begin_line(dlog, &line, now, DECISION_STATE);
+	begin_line(decision_log, &line, now, DECISION_STATE);
 	buf_printf(&line, ",\"what\":\"%s\",\"who\":", change->what);
 	buf_json_add(&line, change->who);
 	buf_printf(&line, ",\"why\":");
 	buf_json_add(&line, str_of(change->why));
 	buf_printf(&line, ",\"at\":%llu}", (unsigned long long)change->at);
-	write_line(dlog, &line, severe);
+	write_line(decision_log, &line, severe);
 }
 
-void decision_log_state(struct decision_log *dlog, int64_t now,
+void decision_log_state(struct decision_log *decision_log, int64_t now,
 			const char *what, struct str who, const char *why,
 			uint64_t version)
 {
-	write_state_change(dlog, now,
+	write_state_change(decision_log, now,
 			   &(struct state_change){ what, who, why, version },
 			   false);
 }
 
-void decision_log_error(struct decision_log *dlog, int64_t now,
+void decision_log_error(struct decision_log *decision_log, int64_t now,
 			const char *what, struct str who, const char *why,
 			uint64_t version)
 {
-	write_state_change(dlog, now,
+	write_state_change(decision_log, now,
 			   &(struct state_change){ what, who, why, version },
 			   true);
 }
--- a/decision_log.h
+++ b/decision_log.h
@@ -42,38 +42,38 @@
  *
  * Complete answers within the route's goal are counted only.
  */
-void decision_log_final(struct decision_log *dlog, int64_t now,
+void decision_log_final(struct decision_log *decision_log, int64_t now,
 			const struct call *call, const struct final *final);
 /**
  * decision_log_caller_gone() - log a request that its caller closed, or that
  * the node which had delegated it cancelled.
  */
-void decision_log_caller_gone(struct decision_log *dlog, int64_t now,
+void decision_log_caller_gone(struct decision_log *decision_log, int64_t now,
 			      const struct call *call);
 /** decision_log_attempt() - log and count a failed or rejected attempt. */
-void decision_log_attempt(struct decision_log *dlog, int64_t now,
+void decision_log_attempt(struct decision_log *decision_log, int64_t now,
 			  const struct call *call,
 			  const struct attempt *attempt,
 			  const struct flow_reply *reply);
 /** decision_log_suspect() - log new evidence against a request. */
-void decision_log_suspect(struct decision_log *dlog, int64_t now,
+void decision_log_suspect(struct decision_log *decision_log, int64_t now,
 			  const struct poison *poison,
 			  const struct poison_entry *entry, struct str target);
 /** decision_log_cleared() - log that a target answered a suspect request. */
-void decision_log_cleared(struct decision_log *dlog, int64_t now,
+void decision_log_cleared(struct decision_log *decision_log, int64_t now,
 			  const struct fingerprint *fingerprint);
 /**
  * decision_log_batch_failed() - log that this node takes back shards which it
  * had delegated to the node at @addr.
  */
-void decision_log_batch_failed(struct decision_log *dlog, int64_t now,
+void decision_log_batch_failed(struct decision_log *decision_log, int64_t now,
 			       const struct call *call, struct str addr,
 			       size_t shards, const char *why);
 /** decision_log_state() - log that @what changed for @who, because of @why. */
-void decision_log_state(struct decision_log *dlog, int64_t now,
+void decision_log_state(struct decision_log *decision_log, int64_t now,
 			const char *what, struct str who, const char *why,
 			uint64_t version);
 /** decision_log_error() - log a change that needs an operator, as an error. */
-void decision_log_error(struct decision_log *dlog, int64_t now,
+void decision_log_error(struct decision_log *decision_log, int64_t now,
 			const char *what, struct str who, const char *why,
 			uint64_t version);
--- a/directory.c
+++ b/directory.c
@@ -31,12 +31,12 @@
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct balancer *balancer,
-		    struct decision_log *dlog)
+		    struct decision_log *decision_log)
 {
 	*dir = (struct directory){ .pool = pool,
 				   .dialect = dialect,
 				   .balancer = balancer,
-				   .dlog = dlog,
+				   .decision_log = decision_log,
 				   .nodes = 1 };
 	dir->keys = hash_make(pool);
 }
@@ -146,7 +146,8 @@
 			  uint64_t revision, int64_t now)
 {
 	if (dir->catalog && dir->catalog->version >= catalog->version) {
-		decision_log_state(dir->dlog, now, "configuration passed over",
+		decision_log_state(dir->decision_log, now,
+				   "configuration passed over",
 				   STR("all routes"),
 				   "its version is not above the one in force",
 				   catalog->version);
@@ -156,10 +157,11 @@
 	catalog_unref(dir->catalog);
 	dir->catalog = catalog;
 	dir->catalog_revision = revision;
-	dir->dlog->version = catalog->version;
+	dir->decision_log->version = catalog->version;
 	directory_set_nodes(dir, dir->nodes, dir->near_nodes);
-	decision_log_state(dir->dlog, now, "configuration", STR("all routes"),
-			   "a newer version was published", catalog->version);
+	decision_log_state(dir->decision_log, now, "configuration",
+			   STR("all routes"), "a newer version was published",
+			   catalog->version);
 }
 
 /*
@@ -170,9 +172,9 @@
 			   const struct cached_key *cached, const char *why,
 			   int64_t now)
 {
-	metric_add(&dir->dlog->metrics, METRIC_CONFIGURATIONS_REFUSED);
-	decision_log_error(dir->dlog, now, "configuration refused", cached->key,
-			   why, cached->revision);
+	metric_add(&dir->decision_log->metrics, METRIC_CONFIGURATIONS_REFUSED);
+	decision_log_error(dir->decision_log, now, "configuration refused",
+			   cached->key, why, cached->revision);
 }
 
 static void apply_record(struct directory *dir, const struct cached_key *cached,
@@ -193,8 +195,8 @@
 	if (code && record.kind == STORE_RECORD_CATALOG) {
 		reject_catalog(dir, cached, err.text, now);
 	} else if (code) {
-		decision_log_state(dir->dlog, now, "unusable", cached->key,
-				   err.text, cached->revision);
+		decision_log_state(dir->decision_log, now, "unusable",
+				   cached->key, err.text, cached->revision);
 		/* A target with an invalid entry must not be used. */
 		if (record.kind == STORE_RECORD_TARGET && record.target.id.len)
 			balancer_unpublish(dir->balancer, record.target.id,
@@ -205,7 +207,7 @@
 		balancer_publish(dir->balancer, &record.target, now);
 	} else if (record.kind == STORE_RECORD_DOMAIN_OUT) {
 		balancer_set_domain(dir->balancer, record.domain, true);
-		decision_log_state(dir->dlog, now, "failure domain out",
+		decision_log_state(dir->decision_log, now, "failure domain out",
 				   record.domain, "operators took it out",
 				   cached->revision);
 	}
@@ -224,12 +226,12 @@
 	dir->dialect->decode(cached->key, cached->value, &record, pool, &err);
 	if (record.kind == STORE_RECORD_TARGET && record.target.id.len) {
 		balancer_unpublish(dir->balancer, record.target.id, now);
-		decision_log_state(dir->dlog, now, "target gone",
+		decision_log_state(dir->decision_log, now, "target gone",
 				   record.target.id, "its entry is gone",
 				   cached->revision);
 	} else if (record.kind == STORE_RECORD_DOMAIN_OUT) {
 		balancer_set_domain(dir->balancer, record.domain, false);
-		decision_log_state(dir->dlog, now, "failure domain in",
+		decision_log_state(dir->decision_log, now, "failure domain in",
 				   record.domain, "operators took it back",
 				   cached->revision);
 	}
--- a/directory.h
+++ b/directory.h
@@ -33,7 +33,7 @@
 	apr_pool_t *pool;
 	const struct dialect *dialect;
 	struct balancer *balancer;
-	struct decision_log *dlog;
+	struct decision_log *decision_log;
 	apr_hash_t *keys;
 	struct catalog *catalog;
 	uint64_t catalog_revision;
@@ -61,7 +61,7 @@
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct balancer *balancer,
-		    struct decision_log *dlog);
+		    struct decision_log *decision_log);
 void directory_destroy(struct directory *dir);
 /** directory_apply() - apply the items that are newer than the replica's. */
 void directory_apply(struct directory *dir, const struct store_item *items,
--- a/reader.c
+++ b/reader.c
@@ -49,7 +49,7 @@
 {
 	struct flow_effect *fx = flow_add(reader->fx, FLOW_STORE_CALL);
 
-	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_CALLS);
+	metric_add(&reader->dir->decision_log->metrics, METRIC_STORE_CALLS);
 	fx->call = call;
 	fx->stall_us = REPLY_STALL_US;
 	fx->transfer_us = REPLY_TIMEOUT_US;
@@ -98,7 +98,7 @@
 		reader->need_scan = reader->need_scan && !reader->dir->synced;
 	if (active != reader->active)
 		decision_log_state(
-			reader->dir->dlog, now,
+			reader->dir->decision_log, now,
 			active ? "reads the store" : "follows a reader",
 			STR("store"),
 			active ? "it reads for its domain, or got no updates"
@@ -122,9 +122,9 @@
 {
 	int64_t backoff = BACKOFF_US;
 
-	metric_add(&reader->dir->dlog->metrics, METRIC_STORE_FAILED);
+	metric_add(&reader->dir->decision_log->metrics, METRIC_STORE_FAILED);
 	if (!reader->failures++)
-		decision_log_state(reader->dir->dlog, now, "store lost",
+		decision_log_state(reader->dir->decision_log, now, "store lost",
 				   STR("store"), why, reader->dir->revision);
 	for (int i = 1; i < reader->failures && backoff < BACKOFF_MAX_US; i++)
 		backoff *= 2;
@@ -136,12 +136,12 @@
 static void on_success(struct reader *reader, int64_t now)
 {
 	if (reader->failures)
-		decision_log_state(reader->dir->dlog, now, "store back",
+		decision_log_state(reader->dir->decision_log, now, "store back",
 				   STR("store"), "it answers again",
 				   reader->dir->revision);
 	reader->failures = 0;
 	reader->dir->read_at = now;
-	reader->dir->dlog->read_at = now;
+	reader->dir->decision_log->read_at = now;
 }
 
 static void apply_page(struct reader *reader, const struct store_reply *page,
@@ -184,8 +184,9 @@
 		restart_scan(reader);
 		reader->state = READER_IDLE;
 		reader->next_at = now;
-		decision_log_state(reader->dir->dlog, now, "store history lost",
-				   STR("store"), "all keys are read again",
+		decision_log_state(reader->dir->decision_log, now,
+				   "store history lost", STR("store"),
+				   "all keys are read again",
 				   reader->dir->revision);
 		return;
 	}
@@ -216,7 +217,7 @@
 			now);
 	if (reply->reply->revision > reader->dir->revision)
 		reader->dir->revision = reply->reply->revision;
-	reader->dir->dlog->revision = reader->dir->revision;
+	reader->dir->decision_log->revision = reader->dir->revision;
 	reader->state = READER_IDLE;
 	reader->next_at = now + (reply->reply->count ? WATCH_COALESCE_US : 0);
 }
--- a/relay.c
+++ b/relay.c
@@ -274,7 +274,7 @@
 
 	apr_pool_create(&pool, dir->pool);
 	if (payload_decode_items(msg->body, pool, &items, &count)) {
-		decision_log_state(dir->dlog, now, "unusable", from,
+		decision_log_state(dir->decision_log, now, "unusable", from,
 				   "its message cannot be decoded",
 				   msg->version);
 		apr_pool_destroy(pool);
@@ -298,8 +298,8 @@
 	dir->synced = true;
 	if (now - msg->fresh_us > dir->read_at)
 		dir->read_at = now - msg->fresh_us;
-	dir->dlog->revision = dir->revision;
-	dir->dlog->read_at = dir->read_at;
+	dir->decision_log->revision = dir->revision;
+	dir->decision_log->read_at = dir->read_at;
 	/* A reply to this node's own request is not relayed. */
 	if (newer && msg->state)
 		relay_items(relay, msg->key,
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -43,7 +43,7 @@
 /** struct reading - a node's copy of what is published */
 struct reading {
 	struct flow_effects fx;
-	struct decision_log dlog;
+	struct decision_log decision_log;
 	struct directory dir;
 };
 
@@ -52,9 +52,10 @@
 	struct reading *reading = apr_pcalloc(pool, sizeof(*reading));
 
 	flow_effects_init(&reading->fx, pool);
-	reading->dlog.fx = &reading->fx;
+	reading->decision_log.fx = &reading->fx;
 	directory_init(&reading->dir, pool, &platform_dialect,
-		       balancer_create(pool, STR("z"), 0), &reading->dlog);
+		       balancer_create(pool, STR("z"), 0),
+		       &reading->decision_log);
 	return reading;
 }
 
@@ -297,9 +298,9 @@
 	ck_assert_uint_eq(reading->dir.catalog->version, 1);
 	ck_assert_uint_eq(reading->dir.catalog_revision, 1);
 	ck_assert_uint_eq(reading->dir.seen_revision, 2);
-	ck_assert_uint_eq(
-		reading->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
-		1);
+	ck_assert_uint_eq(reading->decision_log.metrics
+				  .counters[METRIC_CONFIGURATIONS_REFUSED],
+			  1);
 	reading_destroy(reading);
 }
 END_TEST
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -520,7 +520,7 @@
 	struct target_entry a = entry("a", "here");
 	struct target_entry b = entry("b", "there");
 	struct flow_effects fx;
-	struct decision_log dlog = { .fx = &fx };
+	struct decision_log decision_log = { .fx = &fx };
 	struct poison poison;
 	struct poison_sync poison_sync = { .poison = &poison,
 					   .transport = { tell_nobody, NULL,
@@ -534,7 +534,7 @@
 	calls.poison = &poison;
 	calls.poison_sync = &poison_sync;
 	calls.fx = &fx;
-	calls.dlog = &dlog;
+	calls.decision_log = &decision_log;
 	calls.now = 100 * (int64_t)SECOND_US;
 	calls.balancer = balancer_create(pool, STR("here"), 0);
 	poison_init(&poison, pool, (struct poison_targets){ 0 });
@@ -591,11 +591,11 @@
 	};
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct flow_effects fx;
-	struct decision_log dlog = { .fx = &fx };
+	struct decision_log decision_log = { .fx = &fx };
 	struct directory dir;
 
 	flow_effects_init(&fx, pool);
-	directory_init(&dir, pool, &platform_dialect, balancer, &dlog);
+	directory_init(&dir, pool, &platform_dialect, balancer, &decision_log);
 	dir.revision = 50;
 	directory_merge(&dir, &item, 1, SECOND_US);
 	ck_assert_msg(balancer_count(balancer) == c->taken, "%s", c->name);
--- a/tier.c
+++ b/tier.c
@@ -55,7 +55,7 @@
 	uint64_t incarnation;
 	struct flow_effects *fx;
 	struct balancer *balancer;
-	struct decision_log dlog;
+	struct decision_log decision_log;
 	struct directory dir;
 	struct reader reader;
 	struct calls calls;
@@ -128,42 +128,42 @@
 	return balancer_is_published(ctx, crash->key, crash->born_ms);
 }
 
-struct tier *tier_create(const struct tier_options *opt, int64_t now,
+struct tier *tier_create(const struct tier_options *options, int64_t now,
 			 struct flow_effects *fx)
 {
 	struct tier *tier = xcalloc(1, sizeof(*tier));
 
 	apr_pool_create(&tier->pool, NULL);
-	tier->settings = *opt->settings;
-	tier->settings.ip = str_dup(tier->pool, opt->settings->ip);
-	tier->settings.domain = str_dup(tier->pool, opt->settings->domain);
-	tier->dialect = opt->dialect;
-	tier->incarnation = opt->incarnation;
+	tier->settings = *options->settings;
+	tier->settings.ip = str_dup(tier->pool, options->settings->ip);
+	tier->settings.domain = str_dup(tier->pool, options->settings->domain);
+	tier->dialect = options->dialect;
+	tier->incarnation = options->incarnation;
 	tier->fx = fx;
-	tier->dlog.fx = fx;
+	tier->decision_log.fx = fx;
 	tier->balancer = balancer_create(tier->pool, tier->settings.domain,
-					 opt->without);
-	directory_init(&tier->dir, tier->pool, opt->dialect, tier->balancer,
-		       &tier->dlog);
+					 options->without);
+	directory_init(&tier->dir, tier->pool, options->dialect, tier->balancer,
+		       &tier->decision_log);
 	tier->dir.cold_factor = tier->settings.cold_factor;
 	tier->dir.cold_extra = tier->settings.cold_extra;
 	reader_init(&tier->reader, &tier->dir, fx, now);
-	calls_init(&tier->calls, tier->pool, opt->seed);
+	calls_init(&tier->calls, tier->pool, options->seed);
 	tier->calls.balancer = tier->balancer;
 	tier->calls.budget =
 		budget_create(tier->pool, budget_rules_of(&tier->settings));
-	tier->calls.without = opt->without;
+	tier->calls.without = options->without;
 	tier->calls.fx = fx;
-	tier->calls.dlog = &tier->dlog;
+	tier->calls.decision_log = &tier->decision_log;
 	gossip_init(&tier->gossip, tier->pool, fx, &tier->calls.rng,
-		    &tier->settings, opt->incarnation, now);
-	relay_init(
-		&tier->relay, &tier->gossip, &tier->reader, fx,
-		tier->settings.first_start ||
-			!mechanism_enabled(opt->without, MECHANISM_QUICK_START),
-		now);
+		    &tier->settings, options->incarnation, now);
+	relay_init(&tier->relay, &tier->gossip, &tier->reader, fx,
+		   tier->settings.first_start ||
+			   !mechanism_enabled(options->without,
+					      MECHANISM_QUICK_START),
+		   now);
 	placement_init(&tier->placement, &tier->gossip, tier->balancer,
-		       &tier->calls.rng, opt->without);
+		       &tier->calls.rng, options->without);
 	batch_table_init(&tier->batches, tier->pool, &tier->gossip,
 			 &tier->placement);
 	merge_init(&tier->calls, &tier->batches);
@@ -208,7 +208,7 @@
 	fx->body = str_dup(tier->fx->pool, buf_str(&body));
 	fx->retry_after_us = retry_after_us;
 	if (status == 503)
-		metric_add(&tier->dlog.metrics, METRIC_REFUSED);
+		metric_add(&tier->decision_log.metrics, METRIC_REFUSED);
 	buf_free(&body);
 }
 
@@ -241,7 +241,7 @@
 
 	if (poison_verdict(&tier->poison, &call->fingerprint) != POISON_BLOCKED)
 		return false;
-	metric_add(&tier->dlog.metrics, METRIC_BLOCKED);
+	metric_add(&tier->decision_log.metrics, METRIC_BLOCKED);
 	trial_refusal_reason(&tier->calls, call, &why, &retry_us);
 	call_refuse(&tier->calls, call, 503, why, retry_us);
 	return true;
@@ -309,11 +309,11 @@
 	/* Other nodes must not send shards to a node that is about to exit. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
-	decision_log_state(&tier->dlog, tier->calls.now, "ready",
+	decision_log_state(&tier->decision_log, tier->calls.now, "ready",
 			   ready ? STR("yes") : STR("no"),
 			   ready ? "a configuration is in force"
 				 : "planned stop",
-			   tier->dlog.version);
+			   tier->decision_log.version);
 }
 
 static void emit_limits(struct tier *tier)
@@ -435,8 +435,8 @@
 
 	if (nodes == tier->dir.nodes && near_nodes == tier->dir.near_nodes)
 		return;
-	decision_log_state(&tier->dlog, tier->calls.now, "nodes", STR("all"),
-			   "membership changed", (uint64_t)nodes);
+	decision_log_state(&tier->decision_log, tier->calls.now, "nodes",
+			   STR("all"), "membership changed", (uint64_t)nodes);
 	directory_set_nodes(&tier->dir, nodes, near_nodes);
 	tier->placement.discovery_done = discovery_done;
 	placement_invalidate(&tier->placement);
@@ -548,7 +548,7 @@
 	struct poison_counts counts = poison_count(&tier->poison);
 	const struct directory *dir = &tier->dir;
 
-	metrics_text(&tier->dlog.metrics, out);
+	metrics_text(&tier->decision_log.metrics, out);
 	metric_gauge(out, "open_calls", "requests without an answer",
 		     tier->calls.nopen);
 	metric_gauge(out, "waiting",
--- a/tier.h
+++ b/tier.h
@@ -29,7 +29,7 @@
 	uint32_t without;
 };
 
-struct tier *tier_create(const struct tier_options *opt, int64_t now,
+struct tier *tier_create(const struct tier_options *options, int64_t now,
 			 struct flow_effects *fx);
 void tier_destroy(struct tier *tier);
 /** tier_reduce() - process one event and append its effects to @fx. */
--- a/trial.c
+++ b/trial.c
@@ -23,7 +23,7 @@
 {
 	call->trial.lease = granted ? LEASE_GRANTED : LEASE_DENIED;
 	if (granted)
-		metric_add(&calls->dlog->metrics, METRIC_TRIALS);
+		metric_add(&calls->decision_log->metrics, METRIC_TRIALS);
 }
 
 static void request_lease(struct calls *calls, struct call *call)
