--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -478,7 +478,7 @@
 }
 
 /* A planned stop under load: whatever is sent until the end is answered. */
-static void exit_when_drained(struct fuzz *f)
+static void check_stop(struct fuzz *f)
 {
 	size_t from = f->mesh->nanswers;
 	size_t to;
@@ -553,7 +553,7 @@
 	check_out(f);
 	check_wake(f);
 	check_cold(f);
-	exit_when_drained(f);
+	check_stop(f);
 	check_answers(f);
 	check_entries(f);
 	if (f->mesh->fault)
