--- a/balancer.c
+++ b/balancer.c
@@ -47,7 +47,7 @@
 
 /**
  * struct balancer - all targets
- * @without: disabled mechanisms
+ * @without: bit set of disabled mechanisms
  * @domain: failure domain of this node
  * @targets: key -> struct live_target
  * @services: service -> struct service_targets
@@ -91,8 +91,8 @@
 	str_free(target->domain);
 }
 
-static bool is_mechanism_on(const struct balancer *balancer,
-			    enum mechanism mechanism)
+static bool is_mechanism_enabled(const struct balancer *balancer,
+				 enum mechanism mechanism)
 {
 	return mechanism_enabled(balancer->without, mechanism);
 }
@@ -186,8 +186,8 @@
 	       str_eq(target->addr, entry->addr);
 }
 
-void balancer_put(struct balancer *balancer, const struct target_entry *entry,
-		  int64_t now)
+void balancer_publish(struct balancer *balancer,
+		      const struct target_entry *entry, int64_t now)
 {
 	uint64_t key = str_hash(entry->id);
 	struct live_target *target =
@@ -289,7 +289,7 @@
 		return false;
 	if (target->slots && limit > target->slots)
 		limit = target->slots;
-	if (is_mechanism_on(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
+	if (is_mechanism_enabled(balancer, MECHANISM_SLOW_BOUND) && goal_us &&
 	    us * 2 > (double)goal_us)
 		limit = (int)(limit * (double)goal_us / (us * 2));
 	return target->open >= (limit > 1 ? limit : 1);
@@ -335,9 +335,9 @@
 	     target->leaving_at - balancer->store_lost_at > ENTRY_LAPSE_US))
 		return AVAIL_LEAVING;
 	if (now < target->down_until &&
-	    is_mechanism_on(balancer, MECHANISM_TARGET_REST))
+	    is_mechanism_enabled(balancer, MECHANISM_TARGET_REST))
 		return AVAIL_DOWN;
-	if (is_mechanism_on(balancer, MECHANISM_COLD_BOUND) &&
+	if (is_mechanism_enabled(balancer, MECHANISM_COLD_BOUND) &&
 	    cold_limit_reached(service_targets, target, now))
 		return AVAIL_COLD;
 	if (is_busy(balancer, service_targets, target, baseline_us, goal_us))
@@ -356,25 +356,26 @@
 			     const struct live_target *target,
 			     double baseline_us, int64_t now)
 {
-	double us = baseline_us * (is_mechanism_on(balancer, MECHANISM_SLOWNESS)
-					   ? target_health_slowness(target, now)
-					   : 1);
+	double us = baseline_us *
+		    (is_mechanism_enabled(balancer, MECHANISM_SLOWNESS)
+			     ? target_health_slowness(target, now)
+			     : 1);
 	int slots = target->slots > 0 ? target->slots : 1;
 	double queued = (double)target->open / slots;
 	int64_t expected_us = (int64_t)(us * (1 + queued));
 
-	if (is_mechanism_on(balancer, MECHANISM_OVERDUE_COST) &&
+	if (is_mechanism_enabled(balancer, MECHANISM_OVERDUE_COST) &&
 	    target_health_is_overdue(target, now))
 		expected_us += OVERDUE_COST_US;
 	if (now < target->cold_until)
 		expected_us += (int64_t)us;
-	if (is_mechanism_on(balancer, MECHANISM_FAULT_COST))
+	if (is_mechanism_enabled(balancer, MECHANISM_FAULT_COST))
 		expected_us += (int64_t)(FAILURE_COST_US *
 					 target_health_error_rate(target, now));
-	if (is_mechanism_on(balancer, MECHANISM_TARGET_REST) &&
+	if (is_mechanism_enabled(balancer, MECHANISM_TARGET_REST) &&
 	    now < target->backoff_until)
 		expected_us += target->backoff_until - now;
-	if (is_mechanism_on(balancer, MECHANISM_FAR_COST) && !target->near)
+	if (is_mechanism_enabled(balancer, MECHANISM_FAR_COST) && !target->near)
 		expected_us += FAR_COST_US;
 	return expected_us;
 }
@@ -387,8 +388,8 @@
 	return false;
 }
 
-struct live_target *balancer_first(const struct balancer *balancer,
-				   uint64_t service)
+struct live_target *balancer_first_target(const struct balancer *balancer,
+					  uint64_t service)
 {
 	const struct service_targets *service_targets =
 		service_targets_find(balancer, service);
@@ -411,15 +412,16 @@
 						  target_query->baseline_us);
 }
 
-struct live_target *balancer_choose(struct balancer *balancer,
-				    const struct target_query *target_query)
+struct live_target *
+balancer_choose_target(struct balancer *balancer,
+		       const struct target_query *target_query)
 {
 	struct live_target *best = NULL;
 	int64_t best_us = 0;
 	int64_t best_busy_us = INT64_MAX;
 
 	for (struct live_target *target =
-		     balancer_first(balancer, target_query->service);
+		     balancer_first_target(balancer, target_query->service);
 	     target; target = target->next) {
 		enum target_availability availability = availability_for(
 			balancer, target, target_query->baseline_us,
@@ -429,7 +431,7 @@
 		if (is_excluded(target_query, target->key))
 			continue;
 		if (availability == AVAIL_BUSY &&
-		    is_mechanism_on(balancer, MECHANISM_BUSY_WAIT) &&
+		    is_mechanism_enabled(balancer, MECHANISM_BUSY_WAIT) &&
 		    expected_when_busy(balancer, target, target_query) <
 			    best_busy_us)
 			best_busy_us = expected_when_busy(balancer, target,
@@ -450,7 +452,8 @@
 bool balancer_has_usable(const struct balancer *balancer, uint64_t service,
 			 int64_t now)
 {
-	for (struct live_target *target = balancer_first(balancer, service);
+	for (struct live_target *target =
+		     balancer_first_target(balancer, service);
 	     target; target = target->next) {
 		enum target_availability availability =
 			balancer_availability(balancer, target, now);
@@ -467,7 +470,7 @@
 			   const struct target_query *target_query)
 {
 	const struct live_target *target =
-		balancer_choose(balancer, target_query);
+		balancer_choose_target(balancer, target_query);
 
 	return target && target->near;
 }
@@ -475,7 +478,8 @@
 bool balancer_has_target_in(const struct balancer *balancer, uint64_t service,
 			    uint64_t domain, int64_t now)
 {
-	for (struct live_target *target = balancer_first(balancer, service);
+	for (struct live_target *target =
+		     balancer_first_target(balancer, service);
 	     target; target = target->next)
 		if (target->domain_key == domain &&
 		    balancer_availability(balancer, target, now) == AVAIL_OK)
@@ -492,7 +496,7 @@
 	return target && target->published && target->born_ms == born_ms;
 }
 
-/* Return: a target that can be removed, or NULL */
+/* Return: a target that can be removed, or NULL. */
 static struct live_target *find_expired(struct balancer *balancer, int64_t now)
 {
 	apr_hash_index_t *it;
@@ -508,12 +512,12 @@
 	return NULL;
 }
 
-void balancer_remove_expired(struct balancer *balancer, int64_t now)
+void balancer_sweep(struct balancer *balancer, int64_t now)
 {
-	struct live_target *gone;
+	struct live_target *expired;
 
-	while ((gone = find_expired(balancer, now)))
-		remove_target(balancer, gone);
+	while ((expired = find_expired(balancer, now)))
+		remove_target(balancer, expired);
 }
 
 size_t balancer_count(const struct balancer *balancer)
--- a/batch.c
+++ b/batch.c
@@ -11,15 +11,14 @@
 	HOP_RTT_US = 3000,
 	/* A node that did not answer gets no batches for this long. */
 	BACKOFF_US = 500000,
-	/* Minimum time for a first reply, as of a node queried as the second.
-	 */
+	/* Minimum time for a first reply, also of the second node queried. */
 	SILENT_MIN_US = 25000,
 	/* A connection without any message this long after a batch is dead. */
 	CONN_DEAD_US = 150000,
 };
 
-/* Set in ids of calls of other nodes; ids of callers' requests are smaller. */
-static const uint64_t peer_call_bit = 1ULL << 62;
+/* Set in ids of delegated calls; ids of callers' requests are smaller. */
+static const uint64_t delegated_call_bit = 1ULL << 62;
 
 void batch_table_init(struct batch_table *table, apr_pool_t *pool,
 		      struct gossip *gossip, struct placement *placement)
@@ -51,17 +50,19 @@
 		apr_palloc(call->pool, (nparts + 1) * sizeof(*shards));
 
 	for (size_t i = 0; i < nparts; i++)
-		shards[i] = call->wanted ? call->wanted[parts[i]] : parts[i];
+		shards[i] = call->requested_shards
+				    ? call->requested_shards[parts[i]]
+				    : parts[i];
 	return shards;
 }
 
 /* Return: index of the part in the call, UINT16_MAX if it lacks the shard. */
 static uint16_t find_part(const struct call *call, uint16_t shard)
 {
-	if (!call->wanted)
+	if (!call->requested_shards)
 		return shard;
-	for (size_t i = 0; i < call->nwanted; i++)
-		if (call->wanted[i] == shard)
+	for (size_t i = 0; i < call->nrequested; i++)
+		if (call->requested_shards[i] == shard)
 			return (uint16_t)i;
 	return UINT16_MAX;
 }
@@ -74,11 +75,11 @@
 		(struct str){ (const char *)parts, nparts * sizeof(*parts) });
 }
 
-/* Requesting node. */
+/* Node that delegates shards. */
 
 void batch_send(struct calls *calls, struct call *call,
 		struct member_info *member, const uint16_t *parts,
-		size_t nparts, bool may_delegate, size_t tried)
+		size_t nparts, bool may_delegate, size_t ntried)
 {
 	struct flow_effect *fx = queue_msg(calls, member->addr, 0, MSG_ASK);
 	struct batch *batch = apr_pcalloc(call->pool, sizeof(*batch));
@@ -91,12 +92,12 @@
 	batch->parts = apr_palloc(call->pool, nparts * sizeof(*parts));
 	memcpy(batch->parts, parts, nparts * sizeof(*parts));
 	batch->nparts = nparts;
-	batch->tried = tried;
+	batch->ntried = ntried;
 	batch->next = call->batches;
 	call->batches = batch;
 	apr_hash_set(calls->batches->open, &batch->id, sizeof(batch->id),
 		     batch);
-	metric_add(&calls->dlog->metrics, METRIC_BATCHES);
+	metric_add(&calls->decision_log->metrics, METRIC_BATCHES);
 	member->in_flight++;
 	if (!member->unanswered_since)
 		member->unanswered_since = calls->now;
@@ -104,12 +105,12 @@
 	fx->msg.id = batch->id;
 	fx->msg.version = call->catalog->version;
 	fx->msg.state = may_delegate;
-	fx->msg.attempt = (uint32_t)tried;
+	fx->msg.attempt = (uint32_t)ntried;
 	fx->msg.remaining_us = call->deadline - calls->now;
 	fx->msg.wait_us = calls->now - call->start + HOP_RTT_US;
-	fx->msg.hash = call->print.content[0];
-	fx->msg.hash2 = call->print.content[1];
-	fx->msg.key = call->print.caller;
+	fx->msg.hash = call->fingerprint.content[0];
+	fx->msg.hash2 = call->fingerprint.content[1];
+	fx->msg.key = call->fingerprint.caller;
 	fx->msg.body = str_dup(calls->fx->pool, buf_str(&body));
 	fx->msg.name =
 		pack_parts(calls, shard_indexes(call, parts, nparts), nparts);
@@ -159,8 +160,8 @@
 	if (!member->unanswered_since ||
 	    calls->now - member->unanswered_since < CONN_DEAD_US)
 		return;
-	decision_log_state(calls->dlog, calls->now, "node is late", addr,
-			   "no reply to its batches", 0);
+	decision_log_state(calls->decision_log, calls->now, "node is late",
+			   addr, "no reply to its batches", 0);
 	fx = flow_add(calls->fx, FLOW_RESET_PEER);
 	fx->addr = str_dup(calls->fx->pool, addr);
 	queue_msg(calls, addr, 0, MSG_RELINK);
@@ -168,18 +169,19 @@
 
 /*
  * A failed node may have sent each unanswered shard to one target, and to a
- * second one only if it was granted that.
+ * second one only if it received the retry grant.
  */
 static void batch_fail(struct calls *calls, struct batch *batch,
 		       const char *why)
 {
 	struct call *call = batch->call;
 
-	decision_log_batch_returned(calls->dlog, calls->now, call, batch->addr,
-				    batch->nparts, why);
+	decision_log_batch_failed(calls->decision_log, calls->now, call,
+				  batch->addr, batch->nparts, why);
 	batch_cancel(calls, batch);
 	calls->batches->failed(calls, call, batch->parts, batch->nparts,
-			       batch->tried + (batch->granted ? 2 : 1));
+			       batch->ntried +
+				       (batch->retries_granted ? 2 : 1));
 }
 
 /*
@@ -236,17 +238,17 @@
 /*
  * If two nodes both queried more targets of a shard, they could exceed the
  * number that its route allows. So a node first sends an interim reply and
- * waits for the grant; from then on this node queries no more targets itself if
- * the other one is lost.
+ * waits for the retry grant; once that is sent, this node queries no further
+ * targets if the other one is lost.
  */
-static void grant(struct calls *calls, struct batch *batch)
+static void grant_retries(struct calls *calls, struct batch *batch)
 {
-	if (batch->granted)
+	if (batch->retries_granted)
 		return;
-	batch->wants_grant = true;
-	if (batch->call->origin.len && !batch->call->go)
+	batch->wants_retry_grant = true;
+	if (batch->call->origin.len && !batch->call->retries_granted)
 		return;
-	batch->granted = true;
+	batch->retries_granted = true;
 	queue_msg(calls, batch->addr, 0, MSG_ASK_GO)->msg.id = batch->id;
 }
 
@@ -266,11 +268,12 @@
 }
 
 /* Return: targets that may have received each of the unanswered shards. */
-static size_t tries_used(const struct batch *batch, const struct msg *msg)
+static size_t count_tried_targets(const struct batch *batch,
+				  const struct msg *msg)
 {
 	if (!msg->ran)
-		return batch->tried;
-	return msg->attempt ? batch->tried + msg->attempt : CALL_TARGETS_MAX;
+		return batch->ntried;
+	return msg->attempt ? batch->ntried + msg->attempt : CALL_TARGETS_MAX;
 }
 
 void batch_on_reply(struct calls *calls, struct str from, const struct msg *msg)
@@ -291,7 +294,7 @@
 		parts[i] = find_part(call, parts[i]);
 	if (!is_awaited(batch, parts, nparts)) {
 		decision_log_state(
-			calls->dlog, calls->now, "unusable", from,
+			calls->decision_log, calls->now, "unusable", from,
 			"its reply is for shards that were not requested",
 			msg->version);
 		batch_fail(calls, batch, "its reply is unusable");
@@ -299,7 +302,7 @@
 	}
 	batch->replied = true;
 	if (!msg->state)
-		grant(calls, batch);
+		grant_retries(calls, batch);
 	drop_parts(batch, parts, nparts);
 	if (msg->state) {
 		/* This is the last reply: remaining shards have failed. */
@@ -310,7 +313,7 @@
 		if (batch->nparts && !call->finished)
 			calls->batches->failed(calls, call, batch->parts,
 					       batch->nparts,
-					       tries_used(batch, msg));
+					       count_tried_targets(batch, msg));
 		return;
 	}
 	calls->batches->replied(calls, call, parts, nparts, msg);
@@ -342,7 +345,7 @@
 		batch_fail(calls, batch, "its connection broke");
 }
 
-/* Serving node. */
+/* Node that the shards are delegated to. */
 
 static void send_refusal(struct calls *calls, struct str from,
 			 uint64_t incarnation, uint64_t id)
@@ -383,7 +386,8 @@
 		      struct str from, uint64_t incarnation,
 		      const struct msg *msg, int64_t delay_us)
 {
-	struct fingerprint print = { { msg->hash, msg->hash2 }, msg->key };
+	struct fingerprint fingerprint = { { msg->hash, msg->hash2 },
+					   msg->key };
 	int64_t remaining_us = msg->remaining_us - delay_us;
 	struct flow_request request;
 	const struct route *route;
@@ -395,38 +399,38 @@
 	/*
 	 * After a connection was interrupted or a node was paused, requests
 	 * arrive that are seconds old. Nobody waits for them, so targets must
-	 * not run them. A request that is suspect here, but not yet at the
-	 * sender, is refused too: the sender runs its trial.
+	 * not run them. A request that is suspect here, but not yet at its
+	 * origin, is refused too: the origin runs its trial.
 	 */
 	if (!route || remaining_us <= 0 ||
-	    poison_verdict(calls->poison, &print) != POISON_NONE) {
+	    poison_verdict(calls->poison, &fingerprint) != POISON_NONE) {
 		send_refusal(calls, from, incarnation, msg->id);
 		apr_pool_destroy(pool);
 		return;
 	}
 	request.time_left_us = remaining_us;
-	call = call_create(calls, peer_call_bit | ++calls->next_id, &request,
-			   catalog, route);
-	call->print = print;
+	call = call_create(calls, delegated_call_bit | ++calls->next_id,
+			   &request, catalog, route);
+	call->fingerprint = fingerprint;
 	call->start -= msg->wait_us + delay_us;
 	call->deadline = calls->now + remaining_us;
 	call->origin = str_dup(call->pool, from);
 	call->origin_incarnation = incarnation;
 	call->origin_id = msg->id;
-	call->nwanted = msg->name.len / sizeof(uint16_t);
-	call->wanted = apr_palloc(call->pool, msg->name.len + 1);
-	memcpy(call->wanted, msg->name.ptr, msg->name.len);
+	call->nrequested = msg->name.len / sizeof(uint16_t);
+	call->requested_shards = apr_palloc(call->pool, msg->name.len + 1);
+	memcpy(call->requested_shards, msg->name.ptr, msg->name.len);
 	call->may_delegate = msg->state;
-	call->tried = msg->attempt < CALL_TARGETS_MAX ? msg->attempt
-						      : CALL_TARGETS_MAX;
-	call->kind = calls->shards_kind;
+	call->ntried = msg->attempt < CALL_TARGETS_MAX ? msg->attempt
+						       : CALL_TARGETS_MAX;
+	call->kind = calls->delegated_call_kind;
 	call->kind->begin(calls, call);
 	apr_pool_destroy(pool);
 }
 
 /* Return: the call to which the node at @from gave @id, or NULL. */
-static struct call *find_peer_call(struct calls *calls, struct str from,
-				   uint64_t id)
+static struct call *find_delegated_call(struct calls *calls, struct str from,
+					uint64_t id)
 {
 	apr_hash_index_t *it;
 
@@ -443,40 +447,41 @@
 void batch_on_cancel(struct calls *calls, struct str from,
 		     const struct msg *msg)
 {
-	struct call *call = find_peer_call(calls, from, msg->id);
+	struct call *call = find_delegated_call(calls, from, msg->id);
 
 	if (call)
 		call_abandon(calls, call);
 }
 
-void batch_on_grant(struct calls *calls, struct str from, const struct msg *msg)
+void batch_on_retry_grant(struct calls *calls, struct str from,
+			  const struct msg *msg)
 {
-	struct call *call = find_peer_call(calls, from, msg->id);
+	struct call *call = find_delegated_call(calls, from, msg->id);
 
-	if (!call || call->go)
+	if (!call || call->retries_granted)
 		return;
-	call->go = true;
+	call->retries_granted = true;
 	for (struct batch *batch = call->batches; batch; batch = batch->next)
-		if (batch->wants_grant)
-			grant(calls, batch);
+		if (batch->wants_retry_grant)
+			grant_retries(calls, batch);
 	call->kind->review(calls, call);
 }
 
 /*
- * A suspect request is returned to the node of its caller before all tries are
- * used, so that this node can continue with it if a trial shows it harmless.
+ * A suspect request is returned to its origin before all attempts are used, so
+ * that the origin can continue with it if a trial shows it harmless.
  */
-static uint32_t tries_to_report(const struct calls *calls,
-				const struct call *call)
+static uint32_t tried_targets_to_report(const struct calls *calls,
+					const struct call *call)
 {
-	size_t max_tried = call->tried + 1;
+	size_t max_tried = call->ntried + 1;
 
-	if (poison_verdict(calls->poison, &call->print) == POISON_NONE)
+	if (poison_verdict(calls->poison, &call->fingerprint) == POISON_NONE)
 		return 0;
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ntried > max_tried)
 			max_tried = call->parts[i].ntried;
-	return (uint32_t)(max_tried - call->tried);
+	return (uint32_t)(max_tried - call->ntried);
 }
 
 void batch_send_reply(struct calls *calls, const struct call *call,
@@ -489,7 +494,7 @@
 	fx->msg.id = call->origin_id;
 	fx->msg.state = last;
 	fx->msg.ran = true;
-	fx->msg.attempt = last ? tries_to_report(calls, call) : 0;
+	fx->msg.attempt = last ? tried_targets_to_report(calls, call) : 0;
 	fx->msg.name = pack_parts(calls, parts, nparts);
 	fx->msg.body = str_dup(calls->fx->pool, records);
 	fx->msg.text = str_dup(calls->fx->pool, signatures);
--- a/call.c
+++ b/call.c
@@ -12,19 +12,20 @@
 	/*
 	 * An orphaned attempt may complete within this time after it was sent,
 	 * which keeps its connection reusable. Later it is cancelled, so that
-	 * targets do not work for clients that have gone. The limit that
-	 * clients check is half a second.
+	 * targets do not work for callers that have gone. The limit that
+	 * callers check is half a second.
 	 */
 	ORPHAN_TIMEOUT_US = 250000,
-	/* Client retries are spread over the last quarter of their delay. */
+	/* Callers' retries are spread over the last quarter of their delay. */
 	JITTER_DIVISOR = 4,
-	/* Lets a target's own time-out reply arrive after its deadline. */
+	/* Lets a target's own timeout reply arrive after its deadline. */
 	REPLY_SLACK_US = 30000,
 	/* Initial baseline latency of a route, as a fraction of its goal. */
 	INITIAL_BASELINE_DIVISOR = 8,
 };
 
-bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism)
+bool calls_mechanism_enabled(const struct calls *calls,
+			     enum mechanism mechanism)
 {
 	return mechanism_enabled(calls->without, mechanism);
 }
@@ -34,7 +35,7 @@
 	*calls = (struct calls){ .pool = pool, .rng.seed = seed };
 	calls->open = hash_make(pool);
 	calls->attempts = hash_make(pool);
-	calls->baseline = hash_make(pool);
+	calls->baselines = hash_make(pool);
 	calls->wait_queues = hash_make(pool);
 }
 
@@ -57,22 +58,22 @@
 	     it = apr_hash_next(it)) {
 		struct call *call = hash_value(it);
 
-		call->next_dead = calls->dead;
-		calls->dead = call;
+		call->next_ended = calls->ended_calls;
+		calls->ended_calls = call;
 	}
 	calls_reap(calls);
 	free_all(calls->attempts);
-	free_all(calls->baseline);
+	free_all(calls->baselines);
 	wait_queues_free(calls->wait_queues);
 	timers_free(&calls->timers);
 }
 
 void calls_reap(struct calls *calls)
 {
-	while (calls->dead) {
-		struct call *call = calls->dead;
+	while (calls->ended_calls) {
+		struct call *call = calls->ended_calls;
 
-		calls->dead = call->next_dead;
+		calls->ended_calls = call->next_ended;
 		catalog_unref(call->catalog);
 		apr_pool_destroy(call->pool);
 	}
@@ -98,7 +99,7 @@
 {
 	apr_pool_t *pool;
 	struct call *call;
-	int64_t wait = route->timeout_us;
+	int64_t timeout = route->timeout_us;
 
 	apr_pool_create(&pool, calls->pool);
 	call = apr_pcalloc(pool, sizeof(*call));
@@ -108,12 +109,12 @@
 	call->catalog = catalog_ref(catalog);
 	call->route = route;
 	call->baseline =
-		baseline_get(calls->baseline, str_hash(route->name),
+		baseline_get(calls->baselines, str_hash(route->name),
 			     route->goal_us / INITIAL_BASELINE_DIVISOR);
 	call->start = calls->now;
-	if (request->time_left_us >= 0 && request->time_left_us < wait)
-		wait = request->time_left_us;
-	call->deadline = calls->now + wait;
+	if (request->time_left_us >= 0 && request->time_left_us < timeout)
+		timeout = request->time_left_us;
+	call->deadline = calls->now + timeout;
 	apr_hash_set(calls->open, &call->id, sizeof(call->id), call);
 	calls->nopen++;
 	return call;
@@ -177,14 +178,14 @@
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_CANCEL);
 
 	fx->id = attempt->id;
-	metric_add(&calls->dlog->metrics, METRIC_CUT);
+	metric_add(&calls->decision_log->metrics, METRIC_CUT);
 	balancer_on_reply(calls->balancer, attempt->target, REPLY_CANCELLED,
 			  attempt->baseline_us, attempt->sent_at, calls->now);
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id), NULL);
 	free(attempt);
 }
 
-/* Return: index of @key in @part->tried, or @part->ntried if it is not there */
+/* Return: index of @key in @part->tried, @part->ntried if it is not there. */
 static size_t tried_index(const struct part *part, uint64_t key)
 {
 	size_t at = 0;
@@ -204,32 +205,32 @@
 	part->rejected &= ~(1U << at);
 }
 
-static void attempt_start(struct calls *calls, struct call *call, size_t part,
+static void attempt_start(struct calls *calls, struct call *call, size_t index,
 			  struct live_target *target)
 {
 	struct attempt *attempt = xcalloc(1, sizeof(*attempt));
 	struct flow_effect *fx = flow_add(calls->fx, FLOW_SEND);
-	struct part *p = &call->parts[part];
+	struct part *part = &call->parts[index];
 
 	attempt->id = ++calls->next_id;
 	attempt->call = call;
-	attempt->part = part;
+	attempt->part = index;
 	attempt->target = target;
 	attempt->sent_at = calls->now;
 	attempt->baseline = call->baseline;
 	attempt->baseline_us = call->baseline->us;
-	attempt->extra = p->ntried > 0;
-	attempt->print = call->print;
-	attempt->round = poison_round(calls->poison, &call->print);
-	call->trial.sends += call->trial.state == TRIAL_GRANTED;
+	attempt->extra = part->ntried > 0;
+	attempt->fingerprint = call->fingerprint;
+	attempt->round = poison_next_round(calls->poison, &call->fingerprint);
+	call->trial.nattempts += call->trial.lease == LEASE_GRANTED;
 	attempt->next = call->attempts;
 	call->attempts = attempt;
 	apr_hash_set(calls->attempts, &attempt->id, sizeof(attempt->id),
 		     attempt);
-	record_tried(p, target->key);
-	p->nsent++;
-	p->queued = false;
-	p->open++;
+	record_tried(part, target->key);
+	part->nattempts++;
+	part->queued = false;
+	part->open++;
 	target_health_on_send(target, attempt->baseline_us, calls->now);
 	fx->id = attempt->id;
 	fx->addr = str_dup(calls->fx->pool, target->addr);
@@ -239,8 +240,7 @@
 	fx->timeout_us = fx->time_left_us + REPLY_SLACK_US;
 }
 
-static bool has_untried_targets(const struct call *call,
-				const struct part *part)
+static bool may_try_new_target(const struct call *call, const struct part *part)
 {
 	return (int)part->ntried < call->route->max_attempts &&
 	       part->ntried < CALL_TARGETS_MAX;
@@ -248,20 +248,20 @@
 
 bool call_may_send(const struct call *call, const struct part *part)
 {
-	if (part->nsent >= CALL_SENDS_MAX)
+	if (part->nattempts >= CALL_ATTEMPTS_MAX)
 		return false;
-	return has_untried_targets(call, part) || part->rejected;
+	return may_try_new_target(call, part) || part->rejected;
 }
 
 /*
  * A target that rejected the request has not run it, and max_attempts of the
- * route limits targets, not sends. So when no other target is left, one that
+ * route limits targets, not attempts. So when no other target is left, one that
  * rejected the request may get it again. Otherwise the shard would be missing
  * whenever one of its targets is full or paused.
  */
-static struct live_target *choose_rejected(struct calls *calls,
-					   const struct call *call,
-					   const struct part *part)
+static struct live_target *choose_rejected_target(struct calls *calls,
+						  const struct call *call,
+						  const struct part *part)
 {
 	uint64_t excluded[CALL_TARGETS_MAX];
 	struct target_query target_query = { .service = part->service,
@@ -274,15 +274,16 @@
 	for (size_t i = 0; i < part->ntried; i++)
 		if (!(part->rejected & 1U << i))
 			excluded[target_query.nexcluded++] = part->tried[i];
-	target = balancer_choose(calls->balancer, &target_query);
+	target = balancer_choose_target(calls->balancer, &target_query);
 	if (!target || calls->now < target->backoff_until ||
 	    tried_index(part, target->key) == part->ntried)
 		return NULL;
 	return target;
 }
 
-static struct live_target *choose(struct calls *calls, const struct call *call,
-				  const struct part *part)
+static struct live_target *choose_target(struct calls *calls,
+					 const struct call *call,
+					 const struct part *part)
 {
 	struct target_query target_query = { .service = part->service,
 					     .excluded = part->tried,
@@ -292,52 +293,53 @@
 					     .now = calls->now };
 	struct live_target *target = NULL;
 
-	if (has_untried_targets(call, part))
-		target = balancer_choose(calls->balancer, &target_query);
+	if (may_try_new_target(call, part))
+		target = balancer_choose_target(calls->balancer, &target_query);
 	if (!target && part->rejected &&
-	    call_mechanism_on(calls, MECHANISM_RETRY_REJECTED))
-		target = choose_rejected(calls, call, part);
+	    calls_mechanism_enabled(calls, MECHANISM_RETRY_REJECTED))
+		target = choose_rejected_target(calls, call, part);
 	return target;
 }
 
 static enum send_result try_send(struct calls *calls, struct call *call,
-				 size_t part)
+				 size_t index)
 {
-	struct part *p = &call->parts[part];
+	struct part *part = &call->parts[index];
 	struct live_target *target;
-	enum send_result permission;
-
-	if (!call_may_send(call, p))
-		return SEND_NO_TRIES;
-	permission = trial_may_send(calls, call, p);
-	if (permission != SEND_DONE)
-		return permission;
-	target = choose(calls, call, p);
+	enum send_result trial_result;
+
+	if (!call_may_send(call, part))
+		return SEND_NO_ATTEMPTS;
+	trial_result = trial_check_send(calls, call, part);
+	if (trial_result != SEND_DONE)
+		return trial_result;
+	target = choose_target(calls, call, part);
 	if (!target)
 		return SEND_NO_TARGET;
-	if (!p->ntried && !p->sent_elsewhere) {
-		budget_count_first(calls->budget, p->service, calls->now);
-		metric_add(&calls->dlog->metrics, METRIC_SENT);
-	} else if (budget_take(calls->budget, p->service, call->retry_share,
-			       calls->now)) {
-		metric_add(&calls->dlog->metrics, METRIC_SENT_AGAIN);
+	if (!part->ntried && !part->sent_elsewhere) {
+		budget_count_first_attempt(calls->budget, part->service,
+					   calls->now);
+		metric_add(&calls->decision_log->metrics, METRIC_SENT);
+	} else if (budget_take_retry(calls->budget, part->service,
+				     call->retry_share, calls->now)) {
+		metric_add(&calls->decision_log->metrics, METRIC_SENT_AGAIN);
 	} else {
-		metric_add(&calls->dlog->metrics, METRIC_NO_BUDGET);
+		metric_add(&calls->decision_log->metrics, METRIC_NO_BUDGET);
 		return SEND_NO_BUDGET;
 	}
-	attempt_start(calls, call, part, target);
+	attempt_start(calls, call, index, target);
 	return SEND_DONE;
 }
 
-enum send_result call_send(struct calls *calls, struct call *call, size_t part)
+enum send_result call_send(struct calls *calls, struct call *call, size_t index)
 {
-	enum send_result result = try_send(calls, call, part);
-	struct part *p = &call->parts[part];
+	enum send_result result = try_send(calls, call, index);
+	struct part *part = &call->parts[index];
 
-	p->last_send_result = result;
-	if (result == SEND_NO_TARGET && call->kind->may_queue && !p->open &&
-	    !p->queued && call_mechanism_on(calls, MECHANISM_LINE))
-		call_queue_join(calls, call, part);
+	part->last_send_result = result;
+	if (result == SEND_NO_TARGET && call->kind->may_queue && !part->open &&
+	    !part->queued && calls_mechanism_enabled(calls, MECHANISM_LINE))
+		call_queue_join(calls, call, index);
 	return result;
 }
 
@@ -371,9 +373,10 @@
 void call_mark_served(struct calls *calls, struct call *call)
 {
 	call->served = true;
-	if (poison_answered(calls->poison, &call->print, calls->now))
-		decision_log_cleared(calls->dlog, calls->now, &call->print);
-	poison_sync_send(calls->news, calls->now);
+	if (poison_on_answer(calls->poison, &call->fingerprint, calls->now))
+		decision_log_cleared(calls->decision_log, calls->now,
+				     &call->fingerprint);
+	poison_sync_send(calls->poison_sync, calls->now);
 }
 
 /*
@@ -391,17 +394,17 @@
 
 	if (call && classify_reply(reply) == REPLY_GOOD)
 		call_mark_served(calls, call);
-	if (!call_mechanism_on(calls, MECHANISM_POISON) ||
+	if (!calls_mechanism_enabled(calls, MECHANISM_POISON) ||
 	    reply->result != FETCH_BROKEN ||
 	    (call ? call->served : attempt->served))
 		return;
-	entry = poison_crashed(calls->poison, &attempt->print, attempt->round,
-			       &crash);
+	entry = poison_on_crash(calls->poison, &attempt->fingerprint,
+				attempt->round, &crash);
 	if (!entry)
 		return;
-	decision_log_suspect(calls->dlog, calls->now, calls->poison, entry,
-			     attempt->target->id);
-	poison_sync_send(calls->news, calls->now);
+	decision_log_suspect(calls->decision_log, calls->now, calls->poison,
+			     entry, attempt->target->id);
+	poison_sync_send(calls->poison_sync, calls->now);
 }
 
 static void handle_reply(struct calls *calls, uint64_t id,
@@ -421,10 +424,10 @@
 	apr_hash_set(calls->attempts, &copy.id, sizeof(copy.id), NULL);
 	free(attempt);
 	if (call && classify_reply(reply) != REPLY_GOOD)
-		decision_log_attempt(calls->dlog, calls->now, call, &copy,
-				     reply);
+		decision_log_attempt(calls->decision_log, calls->now, call,
+				     &copy, reply);
 	if (classify_reply(reply) == REPLY_GOOD) {
-		metric_latency(&calls->dlog->metrics, LATENCY_TARGET,
+		metric_latency(&calls->decision_log->metrics, LATENCY_TARGET,
 			       calls->now - copy.sent_at);
 		baseline_add(copy.baseline, calls->now - copy.sent_at);
 	}
@@ -486,7 +489,7 @@
 /* Ending calls. */
 
 /*
- * Other nodes get the evidence before the client gets its answer, as the client
+ * Other nodes get the evidence before the caller gets its answer, as the caller
  * may retry at any of them. A batch that its origin cancelled is left out: it
  * was mostly answered elsewhere.
  */
@@ -494,8 +497,8 @@
 {
 	if (call->served || (call->origin.len && call->abandoned))
 		return;
-	poison_unanswered(calls->poison, &call->print);
-	poison_sync_send(calls->news, calls->now);
+	poison_on_unanswered(calls->poison, &call->fingerprint);
+	poison_sync_send(calls->poison_sync, calls->now);
 }
 
 static void call_end(struct calls *calls, struct call *call)
@@ -520,8 +523,8 @@
 	call->finished = true;
 	apr_hash_set(calls->open, &call->id, sizeof(call->id), NULL);
 	calls->nopen--;
-	call->next_dead = calls->dead;
-	calls->dead = call;
+	call->next_ended = calls->ended_calls;
+	calls->ended_calls = call;
 }
 
 void call_answer(struct calls *calls, struct call *call,
@@ -529,7 +532,7 @@
 {
 	struct flow_effect *fx;
 
-	decision_log_final(calls->dlog, calls->now, call, final);
+	decision_log_final(calls->decision_log, calls->now, call, final);
 	report_unserved(calls, call);
 	fx = flow_add(calls->fx, FLOW_ANSWER);
 	fx->id = call->id;
@@ -547,7 +550,7 @@
 {
 	uint64_t range = (uint64_t)us / JITTER_DIVISOR + 1;
 
-	if (!call_mechanism_on(calls, MECHANISM_RETURN_SPREAD))
+	if (!calls_mechanism_enabled(calls, MECHANISM_RETURN_SPREAD))
 		return us;
 	return us - (int64_t)rng_below(&calls->rng, range);
 }
@@ -555,7 +558,7 @@
 static int error_code(const struct calls *calls, const struct call *call,
 		      int status)
 {
-	if (poison_verdict(calls->poison, &call->print) == POISON_BLOCKED)
+	if (poison_verdict(calls->poison, &call->fingerprint) == POISON_BLOCKED)
 		return ERR_BLOCKED;
 	if (status == 503)
 		return ERR_OVERLOADED;
@@ -587,7 +590,7 @@
 
 void call_abandon(struct calls *calls, struct call *call)
 {
-	decision_log_caller_gone(calls->dlog, calls->now, call);
+	decision_log_caller_gone(calls->decision_log, calls->now, call);
 	call->abandoned = true;
 	call_end(calls, call);
 }
--- a/call.h
+++ b/call.h
@@ -1,22 +1,22 @@
 #pragma once
 
+#include "balancer.h"
+#include "baseline.h"
 #include "budget.h"
 #include "flow.h"
 #include "latency.h"
-#include "wait_queue.h"
 #include "poison.h"
 #include "rng.h"
-#include "balancer.h"
 #include "timer.h"
-#include "baseline.h"
+#include "wait_queue.h"
 
 /**
  * DOC: calls and attempts
  *
- * A call is one client request from its arrival to its final answer. An attempt
- * is one request sent to a target for a call, or for one shard of a call. How a
- * call handles replies and timers depends on its kind: merged over shards
- * (merge.c) or forwarded to one target (forward.c).
+ * A call is one request of a caller from its arrival to its final answer. An
+ * attempt is one request sent to a target for a call, or for one shard of a
+ * call. How a call handles replies and timers depends on its kind: merged over
+ * shards (merge.c) or forwarded to one target (forward.c).
  */
 
 struct calls;
@@ -31,7 +31,7 @@
  * @baseline: baseline latency of this kind of request
  * @baseline_us: value of @baseline when the attempt was sent
  * @extra: not the first attempt for its shard
- * @print: fingerprint of the request, for crash evidence
+ * @fingerprint: fingerprint of the request, for crash evidence
  * @round: evidence round of the request when the attempt was sent
  * @served: the call had been served when the attempt was orphaned
  */
@@ -44,7 +44,7 @@
 	struct baseline *baseline;
 	double baseline_us;
 	bool extra;
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	int round;
 	bool served;
 	struct attempt *next; /* next attempt of the same call */
@@ -74,29 +74,29 @@
 	SEND_DONE,
 	SEND_NO_TARGET, /* no target is available now */
 	SEND_NO_BUDGET, /* the retry budget is used up */
-	SEND_NO_TRIES, /* attempts of the shard are exhausted */
+	SEND_NO_ATTEMPTS, /* attempts of the shard are exhausted */
 	SEND_HELD, /* suspected of crashing targets, waits for a trial */
 	SEND_BLOCKED, /* blocked: must not be sent */
 };
 
-/** enum trial_state - permission to send a suspect request */
-enum trial_state {
-	TRIAL_NONE,
-	TRIAL_REQUESTED,
-	TRIAL_GRANTED,
-	TRIAL_DENIED,
+/** enum lease_state - state of the lease for a trial */
+enum lease_state {
+	LEASE_NONE,
+	LEASE_REQUESTED,
+	LEASE_GRANTED,
+	LEASE_DENIED,
 };
 
 /**
  * struct trial - trial of a suspect request
- * @grant_deadline: when a pending permission request expires
- * @sends: attempts sent with permission
+ * @lease_reply_deadline: when a pending lease request expires
+ * @nattempts: attempts sent with the lease
  * @held: at least one attempt was held back
  */
 struct trial {
-	enum trial_state state;
-	int64_t grant_deadline;
-	int sends;
+	enum lease_state lease;
+	int64_t lease_reply_deadline;
+	int nattempts;
 	bool held;
 };
 
@@ -104,7 +104,7 @@
 	/* Targets recorded as tried, per shard. */
 	CALL_TARGETS_MAX = 4,
 	/* Attempts per shard: few targets reject this often in a row. */
-	CALL_SENDS_MAX = 5,
+	CALL_ATTEMPTS_MAX = 5,
 };
 
 /**
@@ -114,11 +114,11 @@
  * @tried: keys of targets that were sent the request
  * @rejected: bitmask over @tried: targets that rejected the request without
  *            running it and may be sent it again
- * @nsent: number of attempts sent
+ * @nattempts: number of attempts sent
  * @open: number of attempts in flight
  * @done: a good reply has arrived
  * @ran: a target may have run the request
- * @batched: delegated to another node that has not answered for it
+ * @delegated: delegated to another node that has not answered for it
  * @sent_elsewhere: another node may already have sent it to a target
  * @queued: waits in the queue of its service for a target with capacity
  * @last_send_result: result of the last call_send()
@@ -128,40 +128,43 @@
 	uint64_t tried[CALL_TARGETS_MAX];
 	size_t ntried;
 	unsigned int rejected;
-	size_t nsent;
+	size_t nattempts;
 	int open;
 	bool done;
 	bool ran;
-	bool batched;
+	bool delegated;
 	bool sent_elsewhere;
 	bool queued;
 	enum send_result last_send_result;
 };
 
 /**
- * struct call - one client request
- * @id: id of the client request, or generated here for another node's batch
- * @print: fingerprint that identifies repeats of the request
+ * struct call - one request of a caller
+ * @id: id of the caller's request, or generated here for another node's batch
+ * @fingerprint: fingerprint that identifies repeats of the request
  * @kind: operations of its kind
  * @baseline: baseline latency of its route
- * @origin: address of the node that delegated it; empty for a client request
+ * @origin: address of the node that delegated it; empty for a request
+ *          of a caller of this node
  * @origin_incarnation: incarnation of that node
  * @origin_id: id of the batch at that node
- * @deadline: time-out of the client or of the route, whichever is earlier
+ * @deadline: timeout of the caller or of the route, whichever is earlier
  * @soft_deadline: a partial answer is sent from then on if coverage suffices
  * @next_review_at: time of the next review, 0 if none is scheduled
- * @wanted: shards that @origin wants, NULL for all shards of the route
- * @nwanted: number of shards in @wanted
- * @may_delegate: @origin delegated a whole question: this node may delegate the
- *                far shards in turn
- * @go: @origin has confirmed that this node may send to further targets
- * @retry_share: this node's share of the free retries, 0 for an equal share
- * @tried: number of targets per shard that other nodes may already have used
- * @batches: shards delegated to other nodes
- * @handovers: how often the whole question was delegated
+ * @requested_shards: indexes of the shards that @origin delegated, NULL for all
+ *                    shards of the route
+ * @nrequested: number of shards in @requested_shards
+ * @may_delegate: @origin delegated a whole question: this node may delegate
+ *                shards of other failure domains in turn
+ * @retries_granted: @origin has sent the retry grant: this node may send each
+ *                   shard to further targets
+ * @retry_share: this node's share of the extra retries, 0 for an equal share
+ * @ntried: number of targets per shard that other nodes may already have used
+ * @batches: open batches of shards that were delegated to other nodes
+ * @delegations: how often the whole question was delegated
  * @trial: trial of a suspect request
  * @served: some target has answered it
- * @abandoned: the client or @origin no longer waits for it
+ * @abandoned: the caller or @origin no longer waits for it
  * @finished: it has ended and is freed by calls_reap()
  * @state: private state of its kind
  */
@@ -169,7 +172,7 @@
 	uint64_t id;
 	apr_pool_t *pool;
 	struct flow_request request;
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	struct catalog *catalog;
 	const struct route *route;
 	const struct call_kind *kind;
@@ -185,33 +188,33 @@
 	size_t nparts;
 	size_t ndone;
 	struct attempt *attempts;
-	uint16_t *wanted;
-	size_t nwanted;
+	uint16_t *requested_shards;
+	size_t nrequested;
 	bool may_delegate;
-	bool go;
+	bool retries_granted;
 	double retry_share;
-	size_t tried;
+	size_t ntried;
 	struct batch *batches;
-	int handovers;
+	int delegations;
 	struct trial trial;
 	bool served;
 	bool abandoned;
 	bool finished;
 	void *state;
-	struct call *next_dead;
+	struct call *next_ended;
 };
 
 /**
  * struct calls - all calls of a node and the modules they use
- * @without: disabled mechanisms
+ * @without: bit set of disabled mechanisms
  * @now: time of the current event
  * @fx: effects of the current event
  * @open: id -> struct call
  * @attempts: id -> struct attempt
- * @baseline: hash of the route name -> struct baseline
+ * @baselines: hash of the route name -> struct baseline
  * @wait_queues: service -> struct wait_queue
- * @dead: ended calls, freed by calls_reap()
- * @shards_kind: kind of the calls that other nodes delegate to this one
+ * @ended_calls: ended calls, freed by calls_reap()
+ * @delegated_call_kind: kind of the calls that other nodes delegate to this one
  */
 struct calls {
 	apr_pool_t *pool;
@@ -224,47 +227,49 @@
 	struct rng rng;
 	apr_hash_t *open;
 	apr_hash_t *attempts;
-	apr_hash_t *baseline;
+	apr_hash_t *baselines;
 	apr_hash_t *wait_queues;
 	uint64_t next_id;
-	struct call *dead;
+	struct call *ended_calls;
 	size_t nopen;
-	struct decision_log *dlog;
+	struct decision_log *decision_log;
 	struct gossip *gossip;
 	struct poison *poison;
-	struct poison_sync *news;
+	struct poison_sync *poison_sync;
 	struct batch_table *batches;
-	const struct call_kind *shards_kind;
+	const struct call_kind *delegated_call_kind;
 };
 
-/** call_mechanism_on() - whether a mechanism is enabled */
-bool call_mechanism_on(const struct calls *calls, enum mechanism mechanism);
+/** calls_mechanism_enabled() - whether a mechanism is enabled. */
+bool calls_mechanism_enabled(const struct calls *calls,
+			     enum mechanism mechanism);
 void calls_init(struct calls *calls, apr_pool_t *pool, uint64_t seed);
 void calls_destroy(struct calls *calls);
-/** calls_reap() - free ended calls; no effect may point to them any more */
+/** calls_reap() - free ended calls; no effect may point to them any more. */
 void calls_reap(struct calls *calls);
 
-/** call_create() - create a call, not yet started, with a copy of @request */
+/** call_create() - create a call, not yet started, with a copy of @request. */
 struct call *call_create(struct calls *calls, uint64_t id,
 			 const struct flow_request *request,
 			 struct catalog *catalog, const struct route *route);
 struct call *call_find(struct calls *calls, uint64_t id);
-/** call_may_send() - whether the limits on attempts allow another for @part */
+/** call_may_send() - whether the limits on attempts allow another for @part. */
 bool call_may_send(const struct call *call, const struct part *part);
-/** call_send() - send one more attempt for @part to the best target left */
-enum send_result call_send(struct calls *calls, struct call *call, size_t part);
-/** call_schedule_review() - review at @when, unless an earlier one is due */
+/** call_send() - send an attempt for shard @index to the best target left. */
+enum send_result call_send(struct calls *calls, struct call *call,
+			   size_t index);
+/** call_schedule_review() - review at @when, unless an earlier one is due. */
 void call_schedule_review(struct calls *calls, struct call *call, int64_t when);
 /**
- * call_mark_served() - record that a target has answered
+ * call_mark_served() - record that a target has answered.
  *
  * Clears the request of the suspicion that it crashes targets.
  */
 void call_mark_served(struct calls *calls, struct call *call);
-/** call_on_reply() - handle the reply to the attempt @id */
+/** call_on_reply() - handle the reply to the attempt @id. */
 void call_on_reply(struct calls *calls, uint64_t id,
 		   const struct flow_reply *reply);
-/** call_on_timer() - handle an expired timer of a call or an attempt */
+/** call_on_timer() - handle an expired timer of a call or an attempt. */
 void call_on_timer(struct calls *calls, const struct timer *due);
 
 /**
@@ -285,15 +290,17 @@
 	const char *why;
 };
 
-/** call_answer() - send the final answer and end the call */
+/** call_answer() - send the final answer and end the call. */
 void call_answer(struct calls *calls, struct call *call,
 		 const struct final *final);
-/** call_jitter() - shorten @us by up to a quarter to spread client retries */
+/**
+ * call_jitter() - shorten @us by up to a quarter to spread callers' retries.
+ */
 int64_t call_jitter(struct calls *calls, int64_t us);
-/** call_refuse() - end the call with an error generated by this node */
+/** call_refuse() - end the call with an error generated by this node. */
 void call_refuse(struct calls *calls, struct call *call, int status,
 		 const char *why, int64_t retry_after_us);
-/** call_finish() - end the call without an answer to a client */
+/** call_finish() - end the call without an answer to a caller. */
 void call_finish(struct calls *calls, struct call *call);
-/** call_abandon() - end the call without an answer: nobody waits for it */
+/** call_abandon() - end the call without an answer: nobody waits for it. */
 void call_abandon(struct calls *calls, struct call *call);
--- a/call_queue.c
+++ b/call_queue.c
@@ -3,7 +3,7 @@
 /*
  * Removes the waiter from the queue unless its part is still waiting. A part
  * that was sent in the meantime is not: only its call can decide whether it may
- * be sent again, as that may need another node's permission.
+ * be sent again, as that may need a retry grant of another node.
  *
  * Return: true if the part is still waiting.
  */
@@ -14,8 +14,8 @@
 	struct call *call = call_find(calls, waiter->call);
 	struct part *part = call ? &call->parts[waiter->part] : NULL;
 
-	if (part && part->nsent == waiter->sends) {
-		if (!part->done && !part->batched)
+	if (part && part->nattempts == waiter->nattempts) {
+		if (!part->done && !part->delegated)
 			return true;
 		part->queued = false;
 	}
@@ -40,7 +40,7 @@
 			i += is_waiting(calls, wait_queue, i);
 	part->queued = true;
 	wait_queue_add(calls->wait_queues, part->service,
-		       (struct waiter){ call->id, index, part->nsent });
+		       (struct waiter){ call->id, index, part->nattempts });
 }
 
 static struct wait_priority priority_of(const struct calls *calls,
@@ -54,7 +54,7 @@
 	};
 }
 
-/* Return: index of the waiter with the highest priority, or SIZE_MAX */
+/* Return: index of the waiter with the highest priority, or SIZE_MAX. */
 static size_t first_waiter(struct calls *calls, struct wait_queue *wait_queue)
 {
 	struct wait_priority best_priority;
--- a/directory.c
+++ b/directory.c
@@ -31,12 +31,12 @@
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct balancer *balancer,
-		    struct decision_log *dlog)
+		    struct decision_log *decision_log)
 {
 	*dir = (struct directory){ .pool = pool,
 				   .dialect = dialect,
 				   .balancer = balancer,
-				   .dlog = dlog,
+				   .decision_log = decision_log,
 				   .nodes = 1 };
 	dir->keys = hash_make(pool);
 }
@@ -78,29 +78,30 @@
 	return share > 0 ? share : 1;
 }
 
-struct conn_limit directory_conn_limits(int max_conns, int near, int far)
+struct conn_limit directory_conn_limits(int max_conns, int near_nodes,
+					int far_nodes)
 {
 	int total = (int)(max_conns * CONNS_FRACTION);
-	struct conn_limit bound = { .near = NEAR_CONNS_MIN,
+	struct conn_limit limit = { .near = NEAR_CONNS_MIN,
 				    .far = FAR_CONNS_MIN };
 	int per_node;
 
-	if (near <= 0)
-		return bound;
-	if (far > 0) {
-		per_node = (int)(total * FAR_CONNS_FRACTION) / far;
-		bound.far = per_node > bound.far ? per_node : bound.far;
-		total -= bound.far * far;
+	if (near_nodes <= 0)
+		return limit;
+	if (far_nodes > 0) {
+		per_node = (int)(total * FAR_CONNS_FRACTION) / far_nodes;
+		limit.far = per_node > limit.far ? per_node : limit.far;
+		total -= limit.far * far_nodes;
 	}
-	per_node = total / near;
-	bound.near = per_node > bound.near ? per_node : bound.near;
-	return bound;
+	per_node = total / near_nodes;
+	limit.near = per_node > limit.near ? per_node : limit.near;
+	return limit;
 }
 
-void directory_set_nodes(struct directory *dir, int nodes, int near)
+void directory_set_nodes(struct directory *dir, int nodes, int near_nodes)
 {
 	dir->nodes = nodes > 0 ? nodes : 1;
-	dir->near = near;
+	dir->near_nodes = near_nodes;
 	for (size_t i = 0; dir->catalog && i < dir->catalog->nservices; i++) {
 		const struct service *service = &dir->catalog->services[i];
 
@@ -111,8 +112,9 @@
 				: 0);
 		balancer_set_conn_limit(
 			dir->balancer, service->key,
-			directory_conn_limits(service->max_conns, dir->near,
-					      dir->nodes - dir->near));
+			directory_conn_limits(service->max_conns,
+					      dir->near_nodes,
+					      dir->nodes - dir->near_nodes));
 	}
 }
 
@@ -144,7 +146,8 @@
 			  uint64_t revision, int64_t now)
 {
 	if (dir->catalog && dir->catalog->version >= catalog->version) {
-		decision_log_state(dir->dlog, now, "configuration passed over",
+		decision_log_state(dir->decision_log, now,
+				   "configuration passed over",
 				   STR("all routes"),
 				   "its version is not above the one in force",
 				   catalog->version);
@@ -154,10 +157,11 @@
 	catalog_unref(dir->catalog);
 	dir->catalog = catalog;
 	dir->catalog_revision = revision;
-	dir->dlog->version = catalog->version;
-	directory_set_nodes(dir, dir->nodes, dir->near);
-	decision_log_state(dir->dlog, now, "configuration", STR("all routes"),
-			   "a newer version was published", catalog->version);
+	dir->decision_log->version = catalog->version;
+	directory_set_nodes(dir, dir->nodes, dir->near_nodes);
+	decision_log_state(dir->decision_log, now, "configuration",
+			   STR("all routes"), "a newer version was published",
+			   catalog->version);
 }
 
 /*
@@ -168,9 +172,9 @@
 			   const struct cached_key *cached, const char *why,
 			   int64_t now)
 {
-	metric_add(&dir->dlog->metrics, METRIC_CONFIGURATIONS_REFUSED);
-	decision_log_error(dir->dlog, now, "configuration refused", cached->key,
-			   why, cached->revision);
+	metric_add(&dir->decision_log->metrics, METRIC_CONFIGURATIONS_REFUSED);
+	decision_log_error(dir->decision_log, now, "configuration refused",
+			   cached->key, why, cached->revision);
 }
 
 static void apply_record(struct directory *dir, const struct cached_key *cached,
@@ -184,26 +188,26 @@
 	apr_pool_create(&pool, dir->pool);
 	code = dir->dialect->decode(cached->key, cached->value, &record, pool,
 				    &err);
-	if (record.kind == RECORD_CATALOG) {
+	if (record.kind == STORE_RECORD_CATALOG) {
 		dir->seen_revision = cached->revision;
 		dir->seen_bytes = cached->value.len;
 	}
-	if (code && record.kind == RECORD_CATALOG) {
+	if (code && record.kind == STORE_RECORD_CATALOG) {
 		reject_catalog(dir, cached, err.text, now);
 	} else if (code) {
-		decision_log_state(dir->dlog, now, "unusable", cached->key,
-				   err.text, cached->revision);
+		decision_log_state(dir->decision_log, now, "unusable",
+				   cached->key, err.text, cached->revision);
 		/* A target with an invalid entry must not be used. */
-		if (record.kind == RECORD_TARGET && record.target.id.len)
+		if (record.kind == STORE_RECORD_TARGET && record.target.id.len)
 			balancer_unpublish(dir->balancer, record.target.id,
 					   now);
-	} else if (record.kind == RECORD_CATALOG) {
+	} else if (record.kind == STORE_RECORD_CATALOG) {
 		apply_catalog(dir, record.catalog, cached->revision, now);
-	} else if (record.kind == RECORD_TARGET) {
-		balancer_put(dir->balancer, &record.target, now);
-	} else if (record.kind == RECORD_DOMAIN_OUT) {
+	} else if (record.kind == STORE_RECORD_TARGET) {
+		balancer_publish(dir->balancer, &record.target, now);
+	} else if (record.kind == STORE_RECORD_DOMAIN_OUT) {
 		balancer_set_domain(dir->balancer, record.domain, true);
-		decision_log_state(dir->dlog, now, "failure domain out",
+		decision_log_state(dir->decision_log, now, "failure domain out",
 				   record.domain, "operators took it out",
 				   cached->revision);
 	}
@@ -220,14 +224,14 @@
 	apr_pool_create(&pool, dir->pool);
 	/* Only the key matters; the value is the last one before deletion. */
 	dir->dialect->decode(cached->key, cached->value, &record, pool, &err);
-	if (record.kind == RECORD_TARGET && record.target.id.len) {
+	if (record.kind == STORE_RECORD_TARGET && record.target.id.len) {
 		balancer_unpublish(dir->balancer, record.target.id, now);
-		decision_log_state(dir->dlog, now, "target gone",
+		decision_log_state(dir->decision_log, now, "target gone",
 				   record.target.id, "its entry is gone",
 				   cached->revision);
-	} else if (record.kind == RECORD_DOMAIN_OUT) {
+	} else if (record.kind == STORE_RECORD_DOMAIN_OUT) {
 		balancer_set_domain(dir->balancer, record.domain, false);
-		decision_log_state(dir->dlog, now, "failure domain in",
+		decision_log_state(dir->decision_log, now, "failure domain in",
 				   record.domain, "operators took it back",
 				   cached->revision);
 	}
@@ -240,7 +244,7 @@
 {
 	struct cached_key *cached;
 
-	if (dir->dialect->kind(item->key) == RECORD_NONE)
+	if (dir->dialect->kind(item->key) == STORE_RECORD_NONE)
 		return;
 	cached = cached_key_get(dir, item->key);
 	cached->scan = dir->scan;
@@ -269,7 +273,7 @@
 
 /*
  * A node that has just scanned the store has no tombstones for earlier
- * deletions. A peer that was cut off from the store still sends such keys; if
+ * deletions. A node that was cut off from the store still sends such keys; if
  * they were applied, requests would go to their targets until the next scan.
  */
 static bool is_deleted(const struct directory *dir,
--- a/directory.h
+++ b/directory.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "flow.h"
-#include "decision_log.h"
 #include "balancer.h"
+#include "decision_log.h"
+#include "flow.h"
 
 /**
  * DOC: local replica of the store's keys
@@ -26,14 +26,14 @@
  * @scan: number of the current scan of all keys
  * @cold_factor, @cold_extra: see struct vm_settings
  * @nodes: nodes that share the targets' limits
- * @near: those of them in this failure domain; 0 while the membership may
- *        still be incomplete
+ * @near_nodes: those of them in this failure domain; 0 while the membership
+ *              may still be incomplete
  */
 struct directory {
 	apr_pool_t *pool;
 	const struct dialect *dialect;
 	struct balancer *balancer;
-	struct decision_log *dlog;
+	struct decision_log *decision_log;
 	apr_hash_t *keys;
 	struct catalog *catalog;
 	uint64_t catalog_revision;
@@ -46,7 +46,7 @@
 	double cold_factor;
 	int cold_extra;
 	int nodes;
-	int near;
+	int near_nodes;
 };
 
 /** struct cached_key - replica of one key; deleted keys stay as tombstones */
@@ -61,13 +61,13 @@
 
 void directory_init(struct directory *dir, apr_pool_t *pool,
 		    const struct dialect *dialect, struct balancer *balancer,
-		    struct decision_log *dlog);
+		    struct decision_log *decision_log);
 void directory_destroy(struct directory *dir);
 /** directory_apply() - apply the items that are newer than the replica's. */
 void directory_apply(struct directory *dir, const struct store_item *items,
 		     size_t count, int64_t now);
 /**
- * directory_merge() - apply items from another node's replica
+ * directory_merge() - apply items from another node's replica.
  *
  * The other node may lag behind. An item that this replica would hold at its
  * revision, but does not, was deleted in the meantime and is skipped.
@@ -79,15 +79,16 @@
 /** directory_end_scan() - delete the keys that the scan did not return. */
 void directory_end_scan(struct directory *dir, uint64_t revision, int64_t now);
 /** directory_set_nodes() - recompute this node's shares of targets' limits. */
-void directory_set_nodes(struct directory *dir, int nodes, int near);
+void directory_set_nodes(struct directory *dir, int nodes, int near_nodes);
 /**
- * directory_conn_limits() - this node's share of a target's connections
+ * directory_conn_limits() - this node's share of a target's connections.
  * @max_conns: connection limit of the target, over all nodes
- * @near: nodes in the target's failure domain that use it; 0 if not known
- *        yet, which gives the minimum
- * @far: nodes in other failure domains that use it
+ * @near_nodes: nodes in the target's failure domain that use it; 0 if not
+ *              known yet, which gives the minimum
+ * @far_nodes: nodes in other failure domains that use it
  */
-struct conn_limit directory_conn_limits(int max_conns, int near, int far);
+struct conn_limit directory_conn_limits(int max_conns, int near_nodes,
+					int far_nodes);
 /** directory_sweep() - remove expired tombstones. */
 void directory_sweep(struct directory *dir, int64_t now);
 /** directory_encode() - append all changes after revision @since. */
--- a/merge.c
+++ b/merge.c
@@ -16,10 +16,13 @@
 	REVIEW_INTERVAL_US = 10000,
 	/* On a refusal: targets in backoff return within about this time. */
 	RETRY_AFTER_US = 300000,
-	/* Return path to the client, and time for a busy core to answer. */
+	/* Return path to the caller, and time for a busy core to answer. */
 	RESPONSE_MARGIN_US = 12000,
-	/* Nodes of another version refuse; no more than these are tried. */
-	HANDOVERS_MAX = 2,
+	/*
+	 * Nodes with another version of the configuration refuse; at most this
+	 * many nodes are tried.
+	 */
+	DELEGATIONS_MAX = 2,
 	/* A message to a node costs as much as a request to a target. */
 	BATCH_SHARDS_MIN = 2,
 };
@@ -27,8 +30,8 @@
 /* Maximum hedge delay: the hedge's own reply must still be in time. */
 static const double HEDGE_GOAL_FRACTION = 0.3;
 /*
- * Goals are short where little is merged, so the return path takes a share of
- * the goal.
+ * Soft deadline. Goals are short where little is merged, so the time left for
+ * the return path is a fraction of the goal.
  */
 static const double SOFT_GOAL_FRACTION = 0.85;
 /*
@@ -37,7 +40,7 @@
  * enough for this node to send to targets itself.
  */
 static const double BATCH_GOAL_FRACTION = 0.5;
-/* Progress of a batch is reported by then, so as not to be considered stuck. */
+/* Progress of a batch is reported by then, before it is considered stuck. */
 static const double PROGRESS_GOAL_FRACTION = 0.35;
 
 /**
@@ -66,7 +69,7 @@
 
 static bool is_suspect(const struct calls *calls, const struct call *call)
 {
-	return poison_verdict(calls->poison, &call->print) != POISON_NONE;
+	return poison_verdict(calls->poison, &call->fingerprint) != POISON_NONE;
 }
 
 bool merge_has_coverage(const struct route *route, size_t done)
@@ -98,22 +101,22 @@
 	       (int64_t)((double)call->route->goal_us * BATCH_GOAL_FRACTION);
 }
 
-static int64_t hedge_after(const struct call *call,
+static int64_t hedge_delay(const struct call *call,
 			   const struct attempt *attempt)
 {
-	int64_t late =
+	int64_t delay =
 		(int64_t)(target_health_expected_us(attempt->target,
 						    attempt->baseline_us) *
 			  HEDGE_FACTOR);
-	int64_t most =
+	int64_t max =
 		(int64_t)((double)call->route->goal_us * HEDGE_GOAL_FRACTION);
 
-	if (late < HEDGE_MIN_US)
-		late = HEDGE_MIN_US;
-	return late < most ? late : most;
+	if (delay < HEDGE_MIN_US)
+		delay = HEDGE_MIN_US;
+	return delay < max ? delay : max;
 }
 
-static void answer(struct calls *calls, struct call *call, const char *why)
+static void send_answer(struct calls *calls, struct call *call, const char *why)
 {
 	struct merge_state *state = call->state;
 	struct final final = {
@@ -131,14 +134,14 @@
 
 static bool is_unassigned(const struct part *part)
 {
-	return !part->done && !part->open && !part->batched;
+	return !part->done && !part->open && !part->delegated;
 }
 
 static bool may_have_run(const struct call *call)
 {
 	for (size_t i = 0; i < call->nparts; i++)
 		if (call->parts[i].ran || call->parts[i].open ||
-		    call->parts[i].sent_elsewhere || call->parts[i].batched)
+		    call->parts[i].sent_elsewhere || call->parts[i].delegated)
 			return true;
 	return false;
 }
@@ -161,21 +164,22 @@
  * Counts shards that have been received or still may be, including those that
  * wait for a target with capacity or for the retry budget. Without sufficient
  * coverage a late answer is better than none: if calls gave up at the soft
- * deadline, clients would query all shards again and increase the load that
+ * deadline, callers would query all shards again and increase the load that
  * makes them wait. A shard without usable targets is not waited for, and the
- * client gets the error at once.
+ * caller gets the error at once.
  */
 static size_t count_possible(const struct calls *calls, const struct call *call)
 {
-	bool can_wait = (call_mechanism_on(calls, MECHANISM_LATE_ANSWERS) ||
-			 calls->now < call->soft_deadline) &&
-			!trial_exhausted(calls, call);
+	bool can_wait =
+		(calls_mechanism_enabled(calls, MECHANISM_LATE_ANSWERS) ||
+		 calls->now < call->soft_deadline) &&
+		!trial_exhausted(calls, call);
 	size_t possible = 0;
 
 	for (size_t i = 0; i < call->nparts; i++) {
 		const struct part *part = &call->parts[i];
 
-		if (part->done || part->open || part->batched ||
+		if (part->done || part->open || part->delegated ||
 		    (can_wait && call_may_send(call, part) &&
 		     balancer_has_usable(calls->balancer, part->service,
 					 calls->now)))
@@ -184,14 +188,14 @@
 	return possible;
 }
 
-/* For a client request. Return: true if the call has ended. */
+/* For a caller's request. Return: true if the call has ended. */
 static bool finish_answer(struct calls *calls, struct call *call)
 {
 	bool late = calls->now >= call->soft_deadline;
 	size_t possible = count_possible(calls, call);
 
 	if (call->ndone == call->nparts) {
-		answer(calls, call, "complete");
+		send_answer(calls, call, "complete");
 		return true;
 	}
 	if (!call->ndone && trial_exhausted(calls, call)) {
@@ -200,7 +204,8 @@
 	}
 	if (merge_has_coverage(call->route, call->ndone) &&
 	    (late || possible == call->ndone)) {
-		answer(calls, call, late ? "soft deadline" : "nothing more");
+		send_answer(calls, call,
+			    late ? "soft deadline" : "nothing more");
 		return true;
 	}
 	if (calls->now >= call->deadline) {
@@ -256,22 +261,25 @@
 				: finish_answer(calls, call);
 }
 
-/* Return: the earlier of @when and @other, or @when if @other has passed */
-static int64_t earlier(int64_t when, int64_t other, int64_t now)
+/* Return: the earlier of @when and @other, or @when if @other has passed. */
+static int64_t earlier_unless_passed(int64_t when, int64_t other, int64_t now)
 {
 	return other > now && other < when ? other : when;
 }
 
-static void plan_review(struct calls *calls, struct call *call)
+static void schedule_next_review(struct calls *calls, struct call *call)
 {
-	int64_t when = earlier(call->deadline, call->soft_deadline, calls->now);
+	int64_t when = earlier_unless_passed(call->deadline,
+					     call->soft_deadline, calls->now);
 
 	if (call->batches)
-		when = earlier(when, batch_due_at(call), calls->now);
+		when = earlier_unless_passed(when, batch_due_at(call),
+					     calls->now);
 	if (call->origin.len)
-		when = earlier(when, progress_due_at(call), calls->now);
+		when = earlier_unless_passed(when, progress_due_at(call),
+					     calls->now);
 	for (const struct attempt *at = call->attempts; at; at = at->next) {
-		int64_t due = at->sent_at + hedge_after(call, at);
+		int64_t due = at->sent_at + hedge_delay(call, at);
 
 		if (!call_may_send(call, &call->parts[at->part]))
 			continue;
@@ -292,7 +300,7 @@
 
 /*
  * For a batch of another node, retries and hedges are sent only after the
- * origin has confirmed them. Without that, an origin that receives nothing more
+ * origin has sent a retry grant. Otherwise an origin that receives nothing more
  * from this node would send to further targets itself, and both together would
  * exceed the route's limit on targets.
  */
@@ -300,7 +308,8 @@
 {
 	const struct merge_state *state = call->state;
 
-	if (!call->origin.len || call->go || !call->parts[part].ntried)
+	if (!call->origin.len || call->retries_granted ||
+	    !call->parts[part].ntried)
 		call_send(calls, call, part);
 	else if (!state->reported)
 		report_to_origin(calls, call, false);
@@ -314,12 +323,12 @@
 		if (is_unassigned(part))
 			send_retry(calls, call, i);
 	}
-	if (!call_mechanism_on(calls, MECHANISM_HEDGES))
+	if (!calls_mechanism_enabled(calls, MECHANISM_HEDGES))
 		return;
 	/* call_send() prepends new attempts, so this loop does not see them. */
 	for (struct attempt *at = call->attempts; at; at = at->next)
 		if (call->parts[at->part].open == 1 &&
-		    calls->now - at->sent_at >= hedge_after(call, at))
+		    calls->now - at->sent_at >= hedge_delay(call, at))
 			send_retry(calls, call, at->part);
 }
 
@@ -333,7 +342,7 @@
 		return;
 	trial_clear(calls, call);
 	send_retries(calls, call);
-	plan_review(calls, call);
+	schedule_next_review(calls, call);
 }
 
 static size_t count_reachable(struct calls *calls, const struct call *call)
@@ -347,19 +356,19 @@
 	return reachable;
 }
 
-static void delegate(struct calls *calls, struct call *call,
-		     struct member_info *member, const uint16_t *parts,
-		     size_t nparts, size_t tried)
+static void delegate_parts(struct calls *calls, struct call *call,
+			   struct member_info *member, const uint16_t *parts,
+			   size_t nparts, size_t ntried)
 {
-	bool whole =
+	bool whole_question =
 		!call->origin.len &&
 		!placement_is_local(calls->batches->placement, call->catalog,
 				    call->route, calls->now);
 
-	call->handovers += whole;
+	call->delegations += whole_question;
 	for (size_t i = 0; i < nparts; i++)
-		call->parts[parts[i]].batched = true;
-	batch_send(calls, call, member, parts, nparts, whole, tried);
+		call->parts[parts[i]].delegated = true;
+	batch_send(calls, call, member, parts, nparts, whole_question, ntried);
 }
 
 /* Collects unassigned shards that have an available target in @domain. */
@@ -382,23 +391,24 @@
 
 /*
  * Return: the other failure domain with targets of most unassigned shards, or 0
- * if none has enough for a batch
+ * if none has enough for a batch.
  */
 static uint64_t best_domain(struct calls *calls, const struct call *call,
 			    uint16_t *parts)
 {
 	const struct placement *placement = calls->batches->placement;
 	uint64_t domains[PLACEMENT_DOMAINS_MAX];
-	size_t count = placement_domains(placement, domains);
+	size_t count = placement_list_domains(placement, domains);
 	uint64_t best = 0;
-	size_t most = BATCH_SHARDS_MIN - 1;
+	size_t max_shards = BATCH_SHARDS_MIN - 1;
 
 	for (size_t i = 0; i < count; i++) {
-		size_t held = collect_in_domain(calls, call, domains[i], parts);
+		size_t shards =
+			collect_in_domain(calls, call, domains[i], parts);
 
-		if (held <= most)
+		if (shards <= max_shards)
 			continue;
-		most = held;
+		max_shards = shards;
 		best = domains[i];
 	}
 	return best;
@@ -408,14 +418,14 @@
  * Delegates shards without a good target in this failure domain to nodes in
  * other domains.
  */
-static void delegate_far(struct calls *calls, struct call *call)
+static void delegate_to_far_domains(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
 	uint16_t *parts =
 		apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 
 	for (int i = 0; i < PLACEMENT_DOMAINS_MAX &&
-			call_mechanism_on(calls, MECHANISM_BATCHES) &&
+			calls_mechanism_enabled(calls, MECHANISM_BATCHES) &&
 			!is_suspect(calls, call);
 	     i++) {
 		uint64_t domain = best_domain(calls, call, parts);
@@ -424,16 +434,17 @@
 
 		if (!domain)
 			return;
-		member = placement_choose(placement, call->catalog, call->route,
-					  domain, calls->now);
+		member = placement_choose_merger(placement, call->catalog,
+						 call->route, domain,
+						 calls->now);
 		if (!member)
 			return;
 		count = collect_in_domain(calls, call, domain, parts);
-		delegate(calls, call, member, parts, count, call->tried);
+		delegate_parts(calls, call, member, parts, count, call->ntried);
 	}
 }
 
-static void send_to_near(struct calls *calls, struct call *call)
+static void send_to_near_targets(struct calls *calls, struct call *call)
 {
 	struct target_query target_query = { .baseline_us = call->baseline->us,
 					     .goal_us = call->route->goal_us,
@@ -456,14 +467,14 @@
 
 static void send_all(struct calls *calls, struct call *call, bool may_delegate)
 {
-	send_to_near(calls, call);
+	send_to_near_targets(calls, call);
 	if (may_delegate)
-		delegate_far(calls, call);
+		delegate_to_far_domains(calls, call);
 	send_unassigned(calls, call);
 }
 
-/* Return: true if the whole question was delegated to another node */
-static bool delegate_whole(struct calls *calls, struct call *call)
+/* Return: true if the whole question was delegated to another node. */
+static bool delegate_whole_question(struct calls *calls, struct call *call)
 {
 	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
@@ -472,14 +483,14 @@
 	if (placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
 		return false;
-	member = placement_choose(placement, call->catalog, call->route, 0,
-				  calls->now);
+	member = placement_choose_merger(placement, call->catalog, call->route,
+					 0, calls->now);
 	if (!member)
 		return false;
 	parts = apr_palloc(call->pool, (call->nparts + 1) * sizeof(*parts));
 	for (size_t i = 0; i < call->nparts; i++)
 		parts[i] = (uint16_t)i;
-	delegate(calls, call, member, parts, call->nparts, 0);
+	delegate_parts(calls, call, member, parts, call->nparts, 0);
 	return true;
 }
 
@@ -487,14 +498,14 @@
  * Counts targets that other nodes may have sent the part to. Their keys are not
  * known, so 0 stands for each.
  */
-static void count_tried(struct part *part, size_t tried)
+static void count_tried_elsewhere(struct part *part, size_t ntried)
 {
-	part->sent_elsewhere = tried > 0;
-	while (part->ntried < tried && part->ntried < CALL_TARGETS_MAX)
+	part->sent_elsewhere = ntried > 0;
+	while (part->ntried < ntried && part->ntried < CALL_TARGETS_MAX)
 		part->tried[part->ntried++] = 0;
 }
 
-static void prepare(struct calls *calls, struct call *call)
+static void prepare_call(struct calls *calls, struct call *call)
 {
 	const struct route *route = call->route;
 	struct merge_state *state =
@@ -507,28 +518,32 @@
 	records_init(&state->records, route->top_k, call->pool);
 	state->unreported = apr_palloc(
 		call->pool, (route->nshards + 1) * sizeof(*state->unreported));
-	call->soft_deadline = call_mechanism_on(calls, MECHANISM_SOFT_DEADLINE)
-				      ? merge_soft_deadline(call)
-				      : call->deadline;
+	call->soft_deadline =
+		calls_mechanism_enabled(calls, MECHANISM_SOFT_DEADLINE)
+			? merge_soft_deadline(call)
+			: call->deadline;
 	call->retry_share = placement_retry_share(
 		calls->batches->placement, call->catalog, route, calls->now);
-	call->nparts = call->wanted ? call->nwanted : route->nshards;
+	call->nparts =
+		call->requested_shards ? call->nrequested : route->nshards;
 	call->parts = apr_pcalloc(call->pool,
 				  (call->nparts + 1) * sizeof(*call->parts));
 	for (size_t i = 0; i < call->nparts; i++)
 		call->parts[i].service =
-			route->shards[call->wanted ? call->wanted[i] : i];
+			route->shards[call->requested_shards
+					      ? call->requested_shards[i]
+					      : i];
 	for (size_t i = 0; i < call->nparts; i++)
-		count_tried(&call->parts[i], call->tried);
+		count_tried_elsewhere(&call->parts[i], call->ntried);
 }
 
 static void begin(struct calls *calls, struct call *call)
 {
-	prepare(calls, call);
+	prepare_call(calls, call);
 	if (call->origin.len) {
 		send_all(calls, call, call->may_delegate);
 		if (!finish_if_settled(calls, call))
-			plan_review(calls, call);
+			schedule_next_review(calls, call);
 		return;
 	}
 	if (!merge_has_coverage(call->route, count_reachable(calls, call))) {
@@ -541,10 +556,10 @@
 		send_unassigned(calls, call);
 		if (finish_if_settled(calls, call))
 			return;
-	} else if (!delegate_whole(calls, call)) {
+	} else if (!delegate_whole_question(calls, call)) {
 		send_all(calls, call, true);
 	}
-	plan_review(calls, call);
+	schedule_next_review(calls, call);
 }
 
 static bool is_valid_part(const struct flow_reply *reply)
@@ -569,10 +584,11 @@
 	struct merge_state *state = call->state;
 
 	call->parts[index].done = true;
-	call->parts[index].batched = false;
+	call->parts[index].delegated = false;
 	call->ndone++;
 	state->unreported[state->nunreported++] =
-		call->wanted ? call->wanted[index] : (uint16_t)index;
+		call->requested_shards ? call->requested_shards[index]
+				       : (uint16_t)index;
 }
 
 static void replied(struct calls *calls, struct call *call,
@@ -588,7 +604,7 @@
 	if (trial_clear(calls, call))
 		send_all(calls, call, call->may_delegate || !call->origin.len);
 	if (!finish_if_settled(calls, call) && !is_valid_part(reply))
-		plan_review(calls, call);
+		schedule_next_review(calls, call);
 }
 
 static void batch_replied(struct calls *calls, struct call *call,
@@ -603,7 +619,7 @@
 		add_records(call, msg->body, msg->text);
 		call_mark_served(calls, call);
 	}
-	/* The node may be about to retry, which the origin must know first. */
+	/* The node may be about to retry, which needs the origin's grant. */
 	if (!msg->state && call->origin.len && !state->reported)
 		report_to_origin(calls, call, false);
 	finish_if_settled(calls, call);
@@ -616,38 +632,38 @@
  * Return: false if that is not possible.
  */
 static bool delegate_again(struct calls *calls, struct call *call,
-			   const uint16_t *parts, size_t nparts, size_t tried)
+			   const uint16_t *parts, size_t nparts, size_t ntried)
 {
 	struct placement *placement = calls->batches->placement;
 	struct member_info *member;
 
 	if (call->origin.len || nparts < BATCH_SHARDS_MIN ||
-	    call->handovers >= HANDOVERS_MAX ||
-	    (int)tried >= call->route->max_attempts ||
+	    call->delegations >= DELEGATIONS_MAX ||
+	    (int)ntried >= call->route->max_attempts ||
 	    is_suspect(calls, call) ||
 	    placement_is_local(placement, call->catalog, call->route,
 			       calls->now))
 		return false;
-	member = placement_choose(placement, call->catalog, call->route, 0,
-				  calls->now);
+	member = placement_choose_merger(placement, call->catalog, call->route,
+					 0, calls->now);
 	if (!member)
 		return false;
-	delegate(calls, call, member, parts, nparts, tried);
+	delegate_parts(calls, call, member, parts, nparts, ntried);
 	return true;
 }
 
 static void batch_failed(struct calls *calls, struct call *call,
-			 const uint16_t *parts, size_t nparts, size_t tried)
+			 const uint16_t *parts, size_t nparts, size_t ntried)
 {
 	for (size_t i = 0; i < nparts; i++) {
-		call->parts[parts[i]].batched = false;
-		count_tried(&call->parts[parts[i]], tried);
+		call->parts[parts[i]].delegated = false;
+		count_tried_elsewhere(&call->parts[parts[i]], ntried);
 	}
-	if (!delegate_again(calls, call, parts, nparts, tried))
+	if (!delegate_again(calls, call, parts, nparts, ntried))
 		for (size_t i = 0; i < nparts; i++)
 			send_retry(calls, call, parts[i]);
 	if (!finish_if_settled(calls, call))
-		plan_review(calls, call);
+		schedule_next_review(calls, call);
 }
 
 static void ended(struct calls *calls, struct call *call)
@@ -660,7 +676,7 @@
 	batches->replied = batch_replied;
 	batches->failed = batch_failed;
 	calls->batches = batches;
-	calls->shards_kind = &merge_kind;
+	calls->delegated_call_kind = &merge_kind;
 }
 
 const struct call_kind merge_kind = {
--- a/poison.h
+++ b/poison.h
@@ -58,8 +58,8 @@
 
 /**
  * struct poison_entry - evidence against a request of one caller
- * @rounds: successive rounds of broken sends; a send belongs to a new round if
- *          it was made after the previous round had broken
+ * @rounds: successive rounds of broken attempts; an attempt belongs to a new
+ *          round if it was sent after the previous round had broken
  * @requested_at: last arrival of the request
  * @leased_until: end of the lease of a node that runs a trial
  * @harmless: a target answered it; kept as others send the same content
@@ -68,7 +68,7 @@
  * @next: entry of the same content with another caller
  */
 struct poison_entry {
-	struct fingerprint print;
+	struct fingerprint fingerprint;
 	int rounds;
 	struct poison_crash crashes[POISON_TARGETS_MAX];
 	size_t ncrashes;
@@ -80,8 +80,8 @@
 	struct poison_entry *next;
 };
 
-/** struct poison_answered - hash of a request, and when it was answered */
-struct poison_answered {
+/** struct answered_request - hash of a request, and when it was answered */
+struct answered_request {
 	uint64_t key;
 	int64_t at;
 };
@@ -96,7 +96,7 @@
  */
 struct poison {
 	apr_hash_t *entries;
-	struct poison_answered *answered;
+	struct answered_request *answered;
 	struct poison_targets targets;
 	size_t count;
 	bool has_pending;
@@ -106,45 +106,46 @@
 		 struct poison_targets targets);
 void poison_destroy(struct poison *poison);
 enum poison_verdict poison_verdict(const struct poison *poison,
-				   const struct fingerprint *print);
-/** poison_touch() - record an arrival, which postpones expiry. */
-void poison_touch(struct poison *poison, const struct fingerprint *print,
-		  int64_t now);
-/** poison_round() - number of the round of a send made now, from 1. */
-int poison_round(const struct poison *poison, const struct fingerprint *print);
+				   const struct fingerprint *fingerprint);
+/** poison_on_request() - record an arrival, which postpones expiry. */
+void poison_on_request(struct poison *poison,
+		       const struct fingerprint *fingerprint, int64_t now);
+/** poison_next_round() - number of the round of an attempt sent now, from 1. */
+int poison_next_round(const struct poison *poison,
+		      const struct fingerprint *fingerprint);
 /**
- * poison_crashed() - record a broken connection to a target under a request
- * @round: round of that send
+ * poison_on_crash() - record a broken connection to a target under a request.
+ * @round: round of that attempt
  *
  * Return: the entry if it has new evidence and is not POISON_NONE, or NULL.
  */
-const struct poison_entry *poison_crashed(struct poison *poison,
-					  const struct fingerprint *print,
-					  int round,
-					  const struct poison_crash *crash);
+const struct poison_entry *
+poison_on_crash(struct poison *poison, const struct fingerprint *fingerprint,
+		int round, const struct poison_crash *crash);
 /**
- * poison_unanswered() - a request has ended without an answer of any target
+ * poison_on_unanswered() - a request has ended without an answer of any target.
  *
  * Evidence of its first round is sent to other nodes only now, because most
  * requests that lose some connections are answered shortly after.
  */
-void poison_unanswered(struct poison *poison, const struct fingerprint *print);
+void poison_on_unanswered(struct poison *poison,
+			  const struct fingerprint *fingerprint);
 /**
- * poison_answered() - a target answered the request, which clears it
+ * poison_on_answer() - a target answered the request, which clears it.
  *
  * Return: whether it was suspect or blocked.
  */
-bool poison_answered(struct poison *poison, const struct fingerprint *print,
-		     int64_t now);
+bool poison_on_answer(struct poison *poison,
+		      const struct fingerprint *fingerprint, int64_t now);
 /**
- * poison_lease() - take the lease for a trial
+ * poison_take_lease() - take the lease for a trial.
  *
  * Return: false while another trial of the same content runs.
  */
-bool poison_lease(struct poison *poison, const struct fingerprint *print,
-		  int64_t now);
+bool poison_take_lease(struct poison *poison,
+		       const struct fingerprint *fingerprint, int64_t now);
 /**
- * poison_merge() - merge evidence of another node
+ * poison_merge() - merge evidence of another node.
  * @from: the evidence, with times in this node's clock
  * @relay: send what is new to further nodes
  * @store_fresh: the table of targets is up to date
@@ -152,7 +153,8 @@
 void poison_merge(struct poison *poison, const struct poison_entry *from,
 		  bool relay, bool store_fresh, int64_t now);
 /**
- * poison_sweep() - remove evidence of targets that did not end, and old entries
+ * poison_sweep() - remove evidence of targets that did not end, and old
+ * entries.
  * @store_fresh: the table of targets is up to date
  */
 void poison_sweep(struct poison *poison, bool store_fresh, int64_t now);
@@ -160,7 +162,7 @@
 bool poison_is_shared(const struct poison_entry *entry, int64_t now);
 /**
  * poison_digest() - digest of the shared entries, equal on nodes with the same
- * evidence; 0 if there are none
+ * evidence; 0 if there are none.
  *
  * Newer entries are left out, as they are still in flight between nodes.
  */
--- a/reader.h
+++ b/reader.h
@@ -3,7 +3,7 @@
 #include "directory.h"
 
 /**
- * DOC: client of the platform's store
+ * DOC: reader of the platform's store
  *
  * Scans all keys once, one page per call, then long-polls for changes. The
  * wait of each call is bounded, so that a silent connection is detected early
@@ -48,15 +48,15 @@
 		 struct flow_effects *fx, int64_t now);
 void reader_destroy(struct reader *reader);
 /**
- * reader_set_active() - start or stop reading
+ * reader_set_active() - start or stop reading.
  *
  * A call that is in flight when reading stops is not cancelled.
  */
 void reader_set_active(struct reader *reader, bool active, int64_t now);
 /** reader_tick() - start the next call if it is due. */
 void reader_tick(struct reader *reader, int64_t now);
-/** reader_reply() - process the result of the call in flight. */
-void reader_reply(struct reader *reader, const struct flow_store_reply *reply,
-		  int64_t now);
+/** reader_on_reply() - process the result of the call in flight. */
+void reader_on_reply(struct reader *reader,
+		     const struct flow_store_reply *reply, int64_t now);
 /** reader_wake_at() - time at which reader_tick() is due. */
 int64_t reader_wake_at(const struct reader *reader);
--- a/relay.c
+++ b/relay.c
@@ -184,11 +184,11 @@
 /** struct tree_node - a node of the relay tree */
 struct tree_node {
 	uint32_t ip;
-	bool reads;
+	bool store_reachable;
 	struct member_info *member; /* NULL: this node */
 };
 
-static int by_ip(const void *a, const void *b)
+static int compare_ip(const void *a, const void *b)
 {
 	const struct tree_node *x = a;
 	const struct tree_node *y = b;
@@ -221,8 +221,8 @@
 				member
 			};
 	}
-	qsort(tree, count, sizeof(*tree), by_ip);
-	while (reader + 1 < count && !tree[reader].reads)
+	qsort(tree, count, sizeof(*tree), compare_ip);
+	while (reader + 1 < count && !tree[reader].store_reachable)
 		reader++;
 	first = tree[reader];
 	memmove(tree + 1, tree, reader * sizeof(*tree));
@@ -274,7 +274,7 @@
 
 	apr_pool_create(&pool, dir->pool);
 	if (payload_decode_items(msg->body, pool, &items, &count)) {
-		decision_log_state(dir->dlog, now, "unusable", from,
+		decision_log_state(dir->decision_log, now, "unusable", from,
 				   "its message cannot be decoded",
 				   msg->version);
 		apr_pool_destroy(pool);
@@ -298,8 +298,8 @@
 	dir->synced = true;
 	if (now - msg->fresh_us > dir->read_at)
 		dir->read_at = now - msg->fresh_us;
-	dir->dlog->revision = dir->revision;
-	dir->dlog->read_at = dir->read_at;
+	dir->decision_log->revision = dir->revision;
+	dir->decision_log->read_at = dir->read_at;
 	/* A reply to this node's own request is not relayed. */
 	if (newer && msg->state)
 		relay_items(relay, msg->key,
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -40,7 +40,7 @@
 /** struct node_copy - a node's copy of the published data */
 struct node_copy {
 	struct flow_effects fx;
-	struct decision_log dlog;
+	struct decision_log decision_log;
 	struct directory dir;
 };
 
@@ -49,9 +49,10 @@
 	struct node_copy *node_copy = apr_pcalloc(pool, sizeof(*node_copy));
 
 	flow_effects_init(&node_copy->fx, pool);
-	node_copy->dlog.fx = &node_copy->fx;
+	node_copy->decision_log.fx = &node_copy->fx;
 	directory_init(&node_copy->dir, pool, &platform_dialect,
-		       balancer_create(pool, STR("z"), 0), &node_copy->dlog);
+		       balancer_create(pool, STR("z"), 0),
+		       &node_copy->decision_log);
 	return node_copy;
 }
 
@@ -223,7 +224,7 @@
 					  .ok = true,
 					  .reply = &reply };
 
-	reader_reply(reader, &store, now);
+	reader_on_reply(reader, &store, now);
 }
 
 static void answer_range(struct reader *reader, int version, int64_t *now)
@@ -257,7 +258,7 @@
 	reader_set_active(&reader, true, now);
 	answer_range(&reader, 1, &now);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
-	reader_reply(&reader, &refused, now);
+	reader_on_reply(&reader, &refused, now);
 	answer_range(&reader, 2, &now);
 	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
 	ck_assert_int_eq(next_call(&reader, &now).call, STORE_WATCH);
@@ -296,9 +297,9 @@
 	ck_assert_uint_eq(node_copy->dir.catalog->version, 1);
 	ck_assert_uint_eq(node_copy->dir.catalog_revision, 1);
 	ck_assert_uint_eq(node_copy->dir.seen_revision, 2);
-	ck_assert_uint_eq(
-		node_copy->dlog.metrics.counters[METRIC_CONFIGURATIONS_REFUSED],
-		1);
+	ck_assert_uint_eq(node_copy->decision_log.metrics
+				  .counters[METRIC_CONFIGURATIONS_REFUSED],
+			  1);
 	node_copy_destroy(node_copy);
 }
 END_TEST
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -123,12 +123,12 @@
 
 	budget_set_nodes(budget, c->nodes);
 	for (int i = 0; i < c->first; i++)
-		budget_count_first(budget, 7, SECOND_US);
+		budget_count_first_attempt(budget, 7, SECOND_US);
 	while (taken < 1000 &&
-	       budget_take(budget, 7, c->share, SECOND_US + c->later_us))
+	       budget_take_retry(budget, 7, c->share, SECOND_US + c->later_us))
 		taken++;
 	ck_assert_int_eq(taken, c->max);
-	ck_assert_int_eq(budget_left(budget, 8, 0, SECOND_US),
+	ck_assert_int_eq(budget_retries_left(budget, 8, 0, SECOND_US),
 			 (int)(0.8 * 50 / c->nodes));
 	budget_destroy(budget);
 }
@@ -273,7 +273,7 @@
 
 static struct live_target *find(struct balancer *balancer, const char *id)
 {
-	struct live_target *target = balancer_first(balancer, 5);
+	struct live_target *target = balancer_first_target(balancer, 5);
 
 	while (target && !str_eq(target->id, str_of(id)))
 		target = target->next;
@@ -314,7 +314,7 @@
 	if (conditions & DOWN_A)
 		reply(balancer, REPLY_DOWN, 1000, now);
 	if (conditions & LEAVING_A)
-		balancer_put(balancer, &leaving, now);
+		balancer_publish(balancer, &leaving, now);
 	if (conditions & GONE_IN_STORE_OUTAGE_A)
 		balancer_on_store_lost(balancer, now - SECOND_US);
 	if (conditions & (GONE_A | GONE_IN_STORE_OUTAGE_A))
@@ -338,14 +338,14 @@
 					     .now = now };
 	struct live_target *got;
 
-	balancer_put(balancer, &a, now - 20 * SECOND_US);
-	balancer_put(balancer, &b, now - 20 * SECOND_US);
+	balancer_publish(balancer, &a, now - 20 * SECOND_US);
+	balancer_publish(balancer, &b, now - 20 * SECOND_US);
 	apply_conditions(balancer, c->conditions, now);
 	if (c->conditions & TRIED_A)
 		tried[target_query.nexcluded++] = str_hash(STR("a"));
 	if (c->conditions & TRIED_B)
 		tried[target_query.nexcluded++] = str_hash(STR("b"));
-	got = balancer_choose(balancer, &target_query);
+	got = balancer_choose_target(balancer, &target_query);
 	if (*c->want) {
 		ck_assert_ptr_nonnull(got);
 		ck_assert(str_eq(got->id, str_of(c->want)));
@@ -367,14 +367,14 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 
 	a.born_ms = 1;
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	reply(balancer, REPLY_DOWN, 1000, now);
 	balancer_unpublish(balancer, STR("a"), now);
 	ck_assert_int_ne(
 		balancer_availability(balancer, find(balancer, "a"), now),
 		AVAIL_OK);
 	a.born_ms = 2;
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	ck_assert_int_eq(
 		balancer_availability(balancer, find(balancer, "a"), now),
 		AVAIL_OK);
@@ -397,30 +397,33 @@
 					     .baseline_us = BASELINE_US };
 	struct live_target *target;
 
-	balancer_put(balancer, &a, now);
-	balancer_put(balancer, &b, now);
+	balancer_publish(balancer, &a, now);
+	balancer_publish(balancer, &b, now);
 	target = find(balancer, "a");
 	for (int i = 0; i < 3; i++) {
 		target_health_on_send(target, BASELINE_US, now);
 		now += 150000;
 		target_query.now = now;
-		ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
-				 find(balancer, "b"));
+		ck_assert_ptr_eq(
+			balancer_choose_target(balancer, &target_query),
+			find(balancer, "b"));
 		balancer_on_reply(balancer, target, REPLY_CANCELLED,
 				  BASELINE_US, now - 150000, now);
 	}
 	target_query.now = now + 500000;
-	ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
+	ck_assert_ptr_eq(balancer_choose_target(balancer, &target_query),
 			 find(balancer, "b"));
 	target_query.now = now + 10 * (int64_t)SECOND_US;
-	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
+	ck_assert_ptr_eq(balancer_choose_target(balancer, &target_query),
+			 target);
 	for (int i = 0; i < 10; i++) {
 		target_health_on_send(target, BASELINE_US, now);
 		balancer_on_reply(balancer, target, REPLY_GOOD, BASELINE_US,
 				  now, now + 9000);
 	}
 	target_query.now = now + 9000;
-	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
+	ck_assert_ptr_eq(balancer_choose_target(balancer, &target_query),
+			 target);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -437,7 +440,7 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	target = find(balancer, "a");
 	for (int i = 0; i < 30; i++) {
 		target_health_on_send(target, 3 * BASELINE_US, now);
@@ -521,20 +524,21 @@
 	struct target_entry a = entry("a", "here");
 	struct target_entry b = entry("b", "there");
 	struct flow_effects fx;
-	struct decision_log dlog = { .fx = &fx };
+	struct decision_log decision_log = { .fx = &fx };
 	struct poison poison;
-	struct poison_sync news = { .poison = &poison,
-				    .transport = { discard_msg, NULL, NULL },
-				    .pool = pool };
+	struct poison_sync poison_sync = { .poison = &poison,
+					   .transport = { discard_msg, NULL,
+							  NULL },
+					   .pool = pool };
 	struct calls calls;
 	struct call *call;
 
 	flow_effects_init(&fx, pool);
 	calls_init(&calls, pool, 1);
 	calls.poison = &poison;
-	calls.news = &news;
+	calls.poison_sync = &poison_sync;
 	calls.fx = &fx;
-	calls.dlog = &dlog;
+	calls.decision_log = &decision_log;
 	calls.now = 100 * (int64_t)SECOND_US;
 	calls.balancer = balancer_create(pool, STR("here"), 0);
 	poison_init(&poison, pool, (struct poison_targets){ 0 });
@@ -545,11 +549,11 @@
 	call->parts = &part;
 	call->nparts = 1;
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_NO_TARGET);
-	balancer_put(calls.balancer, &a, calls.now);
-	balancer_put(calls.balancer, &b, calls.now);
+	balancer_publish(calls.balancer, &a, calls.now);
+	balancer_publish(calls.balancer, &b, calls.now);
 	ck_assert_int_eq(call_send(&calls, call, 0), SEND_DONE);
 	call_on_reply(&calls, call->attempts->id, &failed);
-	ck_assert_uint_eq(part.nsent, 1);
+	ck_assert_uint_eq(part.nattempts, 1);
 	ck_assert_int_eq(part.open, 0);
 	call_finish(&calls, call);
 	calls_destroy(&calls);
@@ -591,11 +595,11 @@
 	};
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
 	struct flow_effects fx;
-	struct decision_log dlog = { .fx = &fx };
+	struct decision_log decision_log = { .fx = &fx };
 	struct directory dir;
 
 	flow_effects_init(&fx, pool);
-	directory_init(&dir, pool, &platform_dialect, balancer, &dlog);
+	directory_init(&dir, pool, &platform_dialect, balancer, &decision_log);
 	dir.revision = 50;
 	directory_merge(&dir, &item, 1, SECOND_US);
 	ck_assert_msg(balancer_count(balancer) == c->taken, "%s", c->name);
@@ -645,14 +649,14 @@
 	struct target_entry a = entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	reply(balancer, REPLY_WRONG_TARGET, 1000, now);
-	balancer_put(balancer, &a, now + SECOND_US);
+	balancer_publish(balancer, &a, now + SECOND_US);
 	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
 					       now + SECOND_US),
 			 AVAIL_LEAVING);
 	a.addr = STR("10.0.0.2:1");
-	balancer_put(balancer, &a, now + SECOND_US);
+	balancer_publish(balancer, &a, now + SECOND_US);
 	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
 					       now + SECOND_US),
 			 AVAIL_OK);
@@ -671,17 +675,17 @@
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	target = find(balancer, "a");
 	target_health_on_send(target, BASELINE_US, now);
 	balancer_unpublish(balancer, STR("a"), now);
-	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
+	balancer_sweep(balancer, now + 40 * (int64_t)SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 1);
 	balancer_on_reply(balancer, target, REPLY_GOOD, BASELINE_US, now,
 			  now + 1000);
-	balancer_remove_expired(balancer, now + SECOND_US);
+	balancer_sweep(balancer, now + SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 1);
-	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
+	balancer_sweep(balancer, now + 40 * (int64_t)SECOND_US);
 	ck_assert_uint_eq(balancer_count(balancer), 0);
 	balancer_destroy(balancer);
 }
@@ -699,7 +703,7 @@
 	struct live_target *target;
 
 	a.cold_us = 3 * SECOND_US;
-	balancer_put(balancer, &a, now);
+	balancer_publish(balancer, &a, now);
 	balancer_set_cold_limit(balancer, 5, 2);
 	target = find(balancer, "a");
 	for (int i = 0; i < 2; i++) {
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -258,7 +258,7 @@
 					      .addr = STR("10.0.0.1:80"),
 					      .domain = STR("here") };
 
-		balancer_put(fixture->balancer, &entry, fixture->now);
+		balancer_publish(fixture->balancer, &entry, fixture->now);
 	}
 }
 
@@ -283,7 +283,7 @@
 		.key = str_hash(target_id(fixture, target)), .at = fixture->now
 	};
 
-	poison_crashed(&fixture->poison, fp, round, &crash);
+	poison_on_crash(&fixture->poison, fp, round, &crash);
 }
 
 static void apply_step(struct fixture *fixture, const struct step *step)
@@ -295,14 +295,14 @@
 		break;
 	case STEP_BREAK:
 		break_connection(fixture, &fp,
-				 poison_round(&fixture->poison, &fp),
+				 poison_next_round(&fixture->poison, &fp),
 				 step->target);
 		break;
 	case STEP_BREAK_IN_FIRST_ROUND:
 		break_connection(fixture, &fp, 1, step->target);
 		break;
 	case STEP_ANSWER:
-		poison_answered(&fixture->poison, &fp, fixture->now);
+		poison_on_answer(&fixture->poison, &fp, fixture->now);
 		break;
 	case STEP_WAIT:
 		fixture->now += step->target * (int64_t)SECOND_US;
@@ -418,11 +418,11 @@
 	struct fixture fixture;
 
 	fixture_init(&fixture);
-	ck_assert(poison_lease(&fixture.poison, &fp, fixture.now));
-	ck_assert(!poison_lease(&fixture.poison, &fp, fixture.now));
-	ck_assert(!poison_lease(&fixture.poison, &other, fixture.now));
+	ck_assert(poison_take_lease(&fixture.poison, &fp, fixture.now));
+	ck_assert(!poison_take_lease(&fixture.poison, &fp, fixture.now));
+	ck_assert(!poison_take_lease(&fixture.poison, &other, fixture.now));
 	fixture.now += 2 * SECOND_US;
-	ck_assert(poison_lease(&fixture.poison, &other, fixture.now));
+	ck_assert(poison_take_lease(&fixture.poison, &other, fixture.now));
 	fixture_destroy(&fixture);
 }
 END_TEST
--- a/tier.c
+++ b/tier.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 
 #include "batch.h"
+#include "decision_log.h"
 #include "forward.h"
 #include "merge.h"
-#include "decision_log.h"
 #include "placement.h"
 #include "poison_sync.h"
 #include "reader.h"
@@ -55,7 +55,7 @@
 	uint64_t incarnation;
 	struct flow_effects *fx;
 	struct balancer *balancer;
-	struct decision_log dlog;
+	struct decision_log decision_log;
 	struct directory dir;
 	struct reader reader;
 	struct calls calls;
@@ -103,7 +103,7 @@
  * Traffic between failure domains is billed, so each other domain receives the
  * message once, at a node that relays it there.
  */
-static void broadcast_evidence(void *ctx, const struct msg *msg, bool near)
+static void broadcast_evidence(void *ctx, const struct msg *msg, bool near_only)
 {
 	struct tier *tier = ctx;
 	int64_t now = tier->calls.now;
@@ -116,7 +116,7 @@
 					    : EVIDENCE_DIRECT_MAX,
 				 now, members);
 	send_to_members(tier, *msg, use_relays, members, count);
-	if (near)
+	if (near_only)
 		return;
 	count = gossip_pick_far(&tier->gossip, EVIDENCE_DIRECT_MAX, now,
 				members);
@@ -128,42 +128,42 @@
 	return balancer_is_published(ctx, crash->key, crash->born_ms);
 }
 
-struct tier *tier_create(const struct tier_options *opt, int64_t now,
+struct tier *tier_create(const struct tier_options *options, int64_t now,
 			 struct flow_effects *fx)
 {
 	struct tier *tier = xcalloc(1, sizeof(*tier));
 
 	apr_pool_create(&tier->pool, NULL);
-	tier->settings = *opt->settings;
-	tier->settings.ip = str_dup(tier->pool, opt->settings->ip);
-	tier->settings.domain = str_dup(tier->pool, opt->settings->domain);
-	tier->dialect = opt->dialect;
-	tier->incarnation = opt->incarnation;
+	tier->settings = *options->settings;
+	tier->settings.ip = str_dup(tier->pool, options->settings->ip);
+	tier->settings.domain = str_dup(tier->pool, options->settings->domain);
+	tier->dialect = options->dialect;
+	tier->incarnation = options->incarnation;
 	tier->fx = fx;
-	tier->dlog.fx = fx;
+	tier->decision_log.fx = fx;
 	tier->balancer = balancer_create(tier->pool, tier->settings.domain,
-					 opt->without);
-	directory_init(&tier->dir, tier->pool, opt->dialect, tier->balancer,
-		       &tier->dlog);
+					 options->without);
+	directory_init(&tier->dir, tier->pool, options->dialect, tier->balancer,
+		       &tier->decision_log);
 	tier->dir.cold_factor = tier->settings.cold_factor;
 	tier->dir.cold_extra = tier->settings.cold_extra;
 	reader_init(&tier->reader, &tier->dir, fx, now);
-	calls_init(&tier->calls, tier->pool, opt->seed);
+	calls_init(&tier->calls, tier->pool, options->seed);
 	tier->calls.balancer = tier->balancer;
 	tier->calls.budget =
 		budget_create(tier->pool, budget_rules_of(&tier->settings));
-	tier->calls.without = opt->without;
+	tier->calls.without = options->without;
 	tier->calls.fx = fx;
-	tier->calls.dlog = &tier->dlog;
+	tier->calls.decision_log = &tier->decision_log;
 	gossip_init(&tier->gossip, tier->pool, fx, &tier->calls.rng,
-		    &tier->settings, opt->incarnation, now);
-	relay_init(
-		&tier->relay, &tier->gossip, &tier->reader, fx,
-		tier->settings.first_start ||
-			!mechanism_enabled(opt->without, MECHANISM_QUICK_START),
-		now);
+		    &tier->settings, options->incarnation, now);
+	relay_init(&tier->relay, &tier->gossip, &tier->reader, fx,
+		   tier->settings.first_start ||
+			   !mechanism_enabled(options->without,
+					      MECHANISM_QUICK_START),
+		   now);
 	placement_init(&tier->placement, &tier->gossip, tier->balancer,
-		       &tier->calls.rng, opt->without);
+		       &tier->calls.rng, options->without);
 	batch_table_init(&tier->batches, tier->pool, &tier->gossip,
 			 &tier->placement);
 	merge_init(&tier->calls, &tier->batches);
@@ -175,7 +175,7 @@
 		.pool = tier->pool,
 	};
 	tier->calls.poison = &tier->poison;
-	tier->calls.news = &tier->poison_sync;
+	tier->calls.poison_sync = &tier->poison_sync;
 	tier->calls.gossip = &tier->gossip;
 	return tier;
 }
@@ -208,7 +208,7 @@
 	fx->body = str_dup(tier->fx->pool, buf_str(&body));
 	fx->retry_after_us = retry_after_us;
 	if (status == 503)
-		metric_add(&tier->dlog.metrics, METRIC_REFUSED);
+		metric_add(&tier->decision_log.metrics, METRIC_REFUSED);
 	buf_free(&body);
 }
 
@@ -239,9 +239,9 @@
 	const char *why = "blocked";
 	int64_t retry_us = 0;
 
-	if (poison_verdict(&tier->poison, &call->print) != POISON_BLOCKED)
+	if (poison_verdict(&tier->poison, &call->fingerprint) != POISON_BLOCKED)
 		return false;
-	metric_add(&tier->dlog.metrics, METRIC_BLOCKED);
+	metric_add(&tier->decision_log.metrics, METRIC_BLOCKED);
 	trial_refusal_reason(&tier->calls, call, &why, &retry_us);
 	call_refuse(&tier->calls, call, 503, why, retry_us);
 	return true;
@@ -275,9 +275,9 @@
 	}
 	call = call_create(&tier->calls, event->id, request, tier->dir.catalog,
 			   route);
-	call->print = flow_fingerprint(request);
+	call->fingerprint = flow_fingerprint(request);
 	call->kind = route->nshards ? &merge_kind : &forward_kind;
-	poison_touch(&tier->poison, &call->print, event->now);
+	poison_on_request(&tier->poison, &call->fingerprint, event->now);
 	if (refuse_blocked(tier, call))
 		return;
 	call->kind->begin(&tier->calls, call);
@@ -309,11 +309,11 @@
 	/* Other nodes must not send shards to a node that is about to exit. */
 	if (!ready)
 		gossip_announce(&tier->gossip, tier->calls.now);
-	decision_log_state(&tier->dlog, tier->calls.now, "ready",
+	decision_log_state(&tier->decision_log, tier->calls.now, "ready",
 			   ready ? STR("yes") : STR("no"),
 			   ready ? "a configuration is in force"
 				 : "planned stop",
-			   tier->dlog.version);
+			   tier->decision_log.version);
 }
 
 static void emit_limits(struct tier *tier)
@@ -338,7 +338,7 @@
 	set_ready(tier, false);
 }
 
-static void check_stop(struct tier *tier)
+static void exit_when_drained(struct tier *tier)
 {
 	if (!tier->exit_at || tier->exit_sent ||
 	    tier->calls.now < tier->exit_at || tier->calls.nopen)
@@ -349,16 +349,16 @@
 
 static void on_settings(struct tier *tier, const struct vm_settings *settings)
 {
-	budget_rules(tier->calls.budget, budget_rules_of(settings));
+	budget_set_rules(tier->calls.budget, budget_rules_of(settings));
 	tier->dir.cold_factor = settings->cold_factor;
 	tier->dir.cold_extra = settings->cold_extra;
 	gossip_set_seeds(&tier->gossip, settings);
-	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near);
+	directory_set_nodes(&tier->dir, tier->dir.nodes, tier->dir.near_nodes);
 }
 
 /* Other nodes. */
 
-/* Return: a target that is missing from the table is known to be gone. */
+/* Return: true if a target that is missing from the table is gone. */
 static bool store_is_fresh(const struct tier *tier, int64_t now)
 {
 	return now - tier->dir.read_at < STORE_FRESH_US &&
@@ -379,8 +379,8 @@
 	gossip_mark_answered(&tier->gossip, event->from);
 	switch (msg->kind) {
 	case MSG_GOSSIP:
-		gossip_receive(&tier->gossip, event->from, msg->body,
-			       event->now);
+		gossip_on_msg(&tier->gossip, event->from, msg->body,
+			      event->now);
 		poison_sync_on_digest(&tier->poison_sync, event->from,
 				      msg->hash, event->now);
 		break;
@@ -415,13 +415,13 @@
 		batch_on_reply(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_GO:
-		batch_on_grant(&tier->calls, event->from, msg);
+		batch_on_retry_grant(&tier->calls, event->from, msg);
 		break;
 	case MSG_ASK_CANCEL:
 		batch_on_cancel(&tier->calls, event->from, msg);
 		break;
 	default:
-		/* Kinds that only nodes with an interface of their own use. */
+		/* The other kinds are used by node.c, not by the tier. */
 		break;
 	}
 }
@@ -431,13 +431,13 @@
 	int nodes = gossip_counted_nodes(&tier->gossip);
 	bool discovery_done =
 		tier->calls.now - tier->gossip.started_at > DISCOVERY_US;
-	int near = discovery_done ? tier->gossip.near_counted : 0;
+	int near_nodes = discovery_done ? tier->gossip.near_counted : 0;
 
-	if (nodes == tier->dir.nodes && near == tier->dir.near)
+	if (nodes == tier->dir.nodes && near_nodes == tier->dir.near_nodes)
 		return;
-	decision_log_state(&tier->dlog, tier->calls.now, "nodes", STR("all"),
-			   "membership changed", (uint64_t)nodes);
-	directory_set_nodes(&tier->dir, nodes, near);
+	decision_log_state(&tier->decision_log, tier->calls.now, "nodes",
+			   STR("all"), "membership changed", (uint64_t)nodes);
+	directory_set_nodes(&tier->dir, nodes, near_nodes);
 	tier->placement.discovery_done = discovery_done;
 	placement_invalidate(&tier->placement);
 	budget_set_nodes(tier->calls.budget, nodes);
@@ -449,7 +449,7 @@
 	if (tier->calls.now < tier->sweep_at)
 		return;
 	tier->sweep_at = tier->calls.now + SWEEP_US;
-	balancer_remove_expired(tier->balancer, tier->calls.now);
+	balancer_sweep(tier->balancer, tier->calls.now);
 	directory_sweep(&tier->dir, tier->calls.now);
 	poison_sweep(&tier->poison, store_is_fresh(tier, tier->calls.now),
 		     tier->calls.now);
@@ -488,7 +488,7 @@
 		call_on_reply(&tier->calls, event->id, event->reply);
 		break;
 	case FLOW_STORE_REPLY:
-		reader_reply(&tier->reader, event->store, event->now);
+		reader_on_reply(&tier->reader, event->store, event->now);
 		if (event->store->ok && tier->reader.state == READER_IDLE)
 			relay_on_read(&tier->relay, event->now);
 		emit_limits(tier);
@@ -516,7 +516,7 @@
 	reader_tick(&tier->reader, event->now);
 	if (!tier->exit_at && tier->dir.catalog)
 		set_ready(tier, true);
-	check_stop(tier);
+	exit_when_drained(tier);
 }
 
 void tier_reap(struct tier *tier)
@@ -548,7 +548,7 @@
 	struct poison_counts counts = poison_count(&tier->poison);
 	const struct directory *dir = &tier->dir;
 
-	metrics_text(&tier->dlog.metrics, out);
+	metrics_text(&tier->decision_log.metrics, out);
 	metric_gauge(out, "open_calls", "requests without an answer",
 		     tier->calls.nopen);
 	metric_gauge(out, "waiting",
@@ -563,10 +563,10 @@
 	metric_gauge(out, "configuration_revision",
 		     "of the store, at which it was published",
 		     dir->catalog_revision);
-	metric_gauge(out, "configuration_seen_revision",
-		     "of the newest one that was read; above the one in force: "
-		     "it was refused",
-		     dir->seen_revision);
+	metric_gauge(
+		out, "configuration_seen_revision",
+		"of the newest one that was read; above the one in force: it was refused",
+		dir->seen_revision);
 	metric_gauge(out, "configuration_seen_bytes", "size of that one",
 		     dir->seen_bytes);
 	metric_gauge(out, "store_revision", "that this node knows",
