--- a/tier.c
+++ b/tier.c
@@ -563,10 +563,10 @@
 	metric_gauge(out, "configuration_revision",
 		     "of the store, at which it was published",
 		     dir->catalog_revision);
-	metric_gauge(
-		out, "configuration_seen_revision",
-		"of the newest one that was read; above the one in force: it was refused",
-		dir->seen_revision);
+	metric_gauge(out, "configuration_seen_revision",
+		     "of the newest one that was read; above the one in force: "
+		     "it was refused",
+		     dir->seen_revision);
 	metric_gauge(out, "configuration_seen_bytes", "size of that one",
 		     dir->seen_bytes);
 	metric_gauge(out, "store_revision", "that this node knows",
