--- a/edge.c
+++ b/edge.c
@@ -20,42 +20,42 @@
 #include "log.h"
 
 enum {
-	SETTINGS_MAX = 256 * 1024,
+	SETTINGS_MAX_BYTES = 256 * 1024,
 	/* Until the configuration in force says what callers may send. */
-	BODY_MAX = 256 * 1024,
+	BODY_MAX_BYTES = 256 * 1024,
 	/* Of a page of the store beside its largest value. */
-	PAGE_MAX = 4 * 1024 * 1024,
+	STORE_PAGE_MAX_BYTES = 4 * 1024 * 1024,
 	/* A value takes up to this many times its size on the wire. */
-	VALUE_COST = 2,
+	VALUE_ENCODING_FACTOR = 2,
 	/*
 	 * A target that is up accepts within a few ms; one without power never.
 	 * Nothing has been sent by then, so another one may have the request.
 	 */
-	CONNECT_US = 150000,
+	CONNECT_TIMEOUT_US = 150000,
 	/* Settings may change without a signal: their file is looked at. */
-	SETTINGS_LOOK_US = 1000000,
+	SETTINGS_POLL_INTERVAL_US = 1000000,
 	/* What is answered last may still be on its way to the sockets. */
-	FLUSH_US = 1500000,
+	FLUSH_TIMEOUT_US = 1500000,
 	/* Much may have come in during a round of this length. */
 	LONG_ROUND_US = 2000,
 	/* Callers notice a round of this length; told of once a second. */
 	SLOW_ROUND_US = 15000,
-	SLOW_TOLD_US = 1000000,
+	SLOW_ROUND_LOG_INTERVAL_US = 1000000,
 };
 
 /* Ids of calls to the store have this bit, those of attempts never do. */
-static const uint64_t store_bit = 1ULL << 63;
+static const uint64_t store_id_bit = 1ULL << 63;
 
 struct edge {
 	const struct dialect *dialect;
 	apr_pool_t *pool;
 	struct loop *loop;
 	struct vm_settings settings;
-	struct timespec settings_time;
-	int64_t settings_looked_at;
+	struct timespec settings_mtime;
+	int64_t settings_checked_at;
 	struct tier *tier;
 	struct flow_effects fx;
-	bool carrying;
+	bool applying_effects;
 	struct upstream *upstream;
 	struct peers *peers;
 	struct http_server *callers;
@@ -65,23 +65,23 @@
 	enum store_call store_call;
 	uint64_t store_id;
 	bool ready;
-	bool tick_put_off;
+	bool tick_deferred;
 	int events[FLOW_EVENTS];
-	int64_t slow_told_at;
+	int64_t slow_round_logged_at;
 	int signal_fd;
 	struct watch *signals;
 };
 
-static void carry_out(struct edge *edge);
+static void apply_effects(struct edge *edge);
 
-static void feed(struct edge *edge, struct flow_event event)
+static void dispatch(struct edge *edge, struct flow_event event)
 {
 	event.now = loop_now();
 	edge->events[event.type]++;
 	tier_reduce(edge->tier, &event, &edge->fx);
 	/* Carrying out may itself feed; the outer round takes that along. */
-	if (!edge->carrying)
-		carry_out(edge);
+	if (!edge->applying_effects)
+		apply_effects(edge);
 }
 
 /* Targets and the store. */
@@ -121,28 +121,30 @@
 			 (reply->status == 200 && store.why);
 	store.lost_history = reply->result == FETCH_OK && reply->status == 410;
 	store.ok = !store.why;
-	feed(edge, (struct flow_event){ .type = FLOW_STORE, .store = &store });
+	dispatch(edge,
+		 (struct flow_event){ .type = FLOW_STORE, .store = &store });
 	apr_pool_destroy(pool);
 }
 
-static void on_upstream(void *ctx, uint64_t id,
-			const struct upstream_reply *reply)
+static void on_upstream_reply(void *ctx, uint64_t id,
+			      const struct upstream_reply *reply)
 {
 	struct edge *edge = ctx;
 	struct flow_reply decoded;
 	struct buf lines = { 0 };
 
-	if (id & store_bit) {
+	if (id & store_id_bit) {
 		on_store_reply(edge, reply);
 		return;
 	}
-	head_reply(edge->dialect, reply, &decoded, &lines);
-	feed(edge, (struct flow_event){
-			   .type = FLOW_REPLY, .id = id, .reply = &decoded });
+	head_parse_reply(edge->dialect, reply, &decoded, &lines);
+	dispatch(edge, (struct flow_event){ .type = FLOW_REPLY,
+					    .id = id,
+					    .reply = &decoded });
 	buf_free(&lines);
 }
 
-static void do_send(struct edge *edge, const struct flow_effect *fx)
+static void send_to_target(struct edge *edge, const struct flow_effect *fx)
 {
 	struct buf head = { 0 };
 	struct upstream_request request = {
@@ -152,24 +154,25 @@
 		.echo_name = edge->dialect->names.request_id,
 		.echo = fx->request->request_id,
 		.no_body = str_eq(fx->request->method, STR("HEAD")),
-		.connect_us = CONNECT_US,
+		.connect_us = CONNECT_TIMEOUT_US,
 		.timeout_us = fx->timeout_us,
 	};
 
-	head_request(edge->dialect, fx, &head);
+	head_write_request(edge->dialect, fx, &head);
 	request.head = buf_str(&head);
 	upstream_send(edge->upstream, &request);
 	buf_free(&head);
 }
 
-static void do_read(struct edge *edge, const struct flow_effect *fx)
+static void read_store(struct edge *edge, const struct flow_effect *fx)
 {
 	struct buf head = { 0 };
 	struct upstream_request request = {
-		.id = store_bit | ++edge->store_id,
+		.id = store_id_bit | ++edge->store_id,
 		.addr = edge->settings.store,
 		.reply_max =
-			PAGE_MAX + VALUE_COST * edge->settings.store_value_max,
+			STORE_PAGE_MAX_BYTES +
+			VALUE_ENCODING_FACTOR * edge->settings.store_value_max,
 		.connect_us = fx->timeout_us,
 		.timeout_us = fx->timeout_us,
 		.pause_us = fx->pause_us,
@@ -191,7 +194,7 @@
 
 /* Callers. */
 
-static void do_answer(struct edge *edge, const struct flow_effect *fx)
+static void answer_caller(struct edge *edge, const struct flow_effect *fx)
 {
 	uint64_t id = fx->id;
 	struct http_request *req =
@@ -201,7 +204,7 @@
 	if (!req)
 		return;
 	apr_hash_set(edge->requests, &req->id, sizeof(req->id), NULL);
-	head_answer(edge->dialect, fx, &lines);
+	head_write_answer(edge->dialect, fx, &lines);
 	http_respond(req, fx->status, buf_str(&lines), fx->body);
 	buf_free(&lines);
 }
@@ -218,17 +221,18 @@
 		.request_id = http_header(req, names->request_id),
 		.body = req->body,
 		.caller = http_caller(req),
-		.time_left_us =
-			head_time_left(http_header(req, names->time_left)),
+		.time_left_us = head_parse_time_left(
+			http_header(req, names->time_left)),
 	};
 
-	http_headers(req, head_keep, &lines);
+	http_headers(req, head_is_forwarded, &lines);
 	request.headers = buf_str(&lines);
 	apr_hash_set(edge->requests, &req->id, sizeof(req->id), req);
-	feed(edge, (struct flow_event){ .type = FLOW_REQUEST,
-					.id = req->id,
-					.request = &request,
-					.held_us = loop_held_us(edge->loop) });
+	dispatch(edge,
+		 (struct flow_event){ .type = FLOW_REQUEST,
+				      .id = req->id,
+				      .request = &request,
+				      .held_us = loop_held_us(edge->loop) });
 	buf_free(&lines);
 }
 
@@ -239,8 +243,8 @@
 	if (!apr_hash_get(edge->requests, &req->id, sizeof(req->id)))
 		return;
 	apr_hash_set(edge->requests, &req->id, sizeof(req->id), NULL);
-	feed(edge,
-	     (struct flow_event){ .type = FLOW_CALLER_GONE, .id = req->id });
+	dispatch(edge, (struct flow_event){ .type = FLOW_CALLER_GONE,
+					    .id = req->id });
 }
 
 static void on_health(void *ctx, struct http_request *req)
@@ -276,13 +280,14 @@
 
 	for (size_t i = 0; i < frame->count; i++) {
 		event.msg = &frame->msgs[i];
-		feed(edge, event);
+		dispatch(edge, event);
 	}
 }
 
 static void on_peer_lost(void *ctx, struct str addr)
 {
-	feed(ctx, (struct flow_event){ .type = FLOW_PEER_LOST, .from = addr });
+	dispatch(ctx,
+		 (struct flow_event){ .type = FLOW_PEER_LOST, .from = addr });
 }
 
 static void on_bad_frame(void *ctx, const struct error *err)
@@ -293,20 +298,20 @@
 
 /* Effects. */
 
-static void do_effect(struct edge *edge, const struct flow_effect *fx)
+static void apply_effect(struct edge *edge, const struct flow_effect *fx)
 {
 	switch (fx->type) {
 	case FLOW_SEND:
-		do_send(edge, fx);
+		send_to_target(edge, fx);
 		break;
 	case FLOW_CANCEL:
 		upstream_cancel(edge->upstream, fx->id);
 		break;
 	case FLOW_ANSWER:
-		do_answer(edge, fx);
+		answer_caller(edge, fx);
 		break;
 	case FLOW_READ:
-		do_read(edge, fx);
+		read_store(edge, fx);
 		break;
 	case FLOW_PEER_SEND:
 		peers_send(edge->peers, fx->addr, fx->incarnation, &fx->msg);
@@ -330,16 +335,16 @@
 	}
 }
 
-static void carry_out(struct edge *edge)
+static void apply_effects(struct edge *edge)
 {
 	size_t done = 0;
 
-	edge->carrying = true;
+	edge->applying_effects = true;
 	while (done < edge->fx.count) {
 		while (done < edge->fx.count) {
 			struct flow_effect fx = edge->fx.list[done++];
 
-			do_effect(edge, &fx);
+			apply_effect(edge, &fx);
 		}
 		/*
 		 * Encodes what was queued, while its strings live; connections
@@ -347,7 +352,7 @@
 		 */
 		peers_flush(edge->peers);
 	}
-	edge->carrying = false;
+	edge->applying_effects = false;
 	flow_clear(&edge->fx);
 	tier_reap(edge->tier);
 }
@@ -366,8 +371,8 @@
 		return error_set(err, ERR_SETTINGS, "%s is not set",
 				 edge->dialect->settings_variable);
 	if (!stat(path, &st))
-		edge->settings_time = st.st_mtim;
-	code = file_read(path, SETTINGS_MAX, &text, err);
+		edge->settings_mtime = st.st_mtim;
+	code = file_read(path, SETTINGS_MAX_BYTES, &text, err);
 	if (!code)
 		code = edge->dialect->settings(buf_str(&text), out, edge->pool,
 					       err);
@@ -375,7 +380,7 @@
 	return code;
 }
 
-static void reload(struct edge *edge, const char *why)
+static void reload_settings(struct edge *edge, const char *why)
 {
 	struct vm_settings settings;
 	struct error err = { 0 };
@@ -388,40 +393,40 @@
 	}
 	LOG_INFO("settings read again: %s", why);
 	edge->settings = settings;
-	feed(edge, (struct flow_event){ .type = FLOW_SETTINGS,
-					.settings = &edge->settings });
+	dispatch(edge, (struct flow_event){ .type = FLOW_SETTINGS,
+					    .settings = &edge->settings });
 }
 
-static void look_at_settings(struct edge *edge, int64_t now)
+static void poll_settings(struct edge *edge, int64_t now)
 {
 	const char *path = getenv(edge->dialect->settings_variable);
 	struct stat st;
 
-	if (now < edge->settings_looked_at + SETTINGS_LOOK_US)
+	if (now < edge->settings_checked_at + SETTINGS_POLL_INTERVAL_US)
 		return;
-	edge->settings_looked_at = now;
+	edge->settings_checked_at = now;
 	if (!path || stat(path, &st))
 		return;
-	if (st.st_mtim.tv_sec != edge->settings_time.tv_sec ||
-	    st.st_mtim.tv_nsec != edge->settings_time.tv_nsec)
-		reload(edge, "the file changed");
+	if (st.st_mtim.tv_sec != edge->settings_mtime.tv_sec ||
+	    st.st_mtim.tv_nsec != edge->settings_mtime.tv_nsec)
+		reload_settings(edge, "the file changed");
 }
 
 static void on_signal(void *ctx, int events)
 {
 	struct edge *edge = ctx;
-	int number = os_signal(edge->signal_fd);
+	int number = os_signal_read(edge->signal_fd);
 
 	(void)events;
 	if (!number)
 		return;
 	if (number == SIGHUP) {
-		reload(edge, "SIGHUP");
+		reload_settings(edge, "SIGHUP");
 		return;
 	}
 	LOG_INFO("signal %d: planned stop", number);
 	http_closing(edge->callers, true);
-	feed(edge, (struct flow_event){ .type = FLOW_STOP });
+	dispatch(edge, (struct flow_event){ .type = FLOW_STOP });
 }
 
 static void watch_signals(struct edge *edge)
@@ -429,7 +434,7 @@
 	static const int numbers[] = { SIGTERM, SIGINT, SIGHUP };
 
 	edge->signal_fd =
-		os_signals(numbers, sizeof(numbers) / sizeof(*numbers));
+		os_signalfd(numbers, sizeof(numbers) / sizeof(*numbers));
 	edge->signals = loop_add(edge->loop, edge->signal_fd, APR_POLLIN,
 				 on_signal, edge);
 }
@@ -440,18 +445,19 @@
  * A node that is held up answers late for reasons that are not seen in any
  * request: its processor was taken away, or it had too much to do at once.
  */
-static void tell_slow_round(struct edge *edge)
+static void log_slow_round(struct edge *edge)
 {
 	int64_t now = loop_now();
-	int64_t took = now - loop_round_at(edge->loop);
+	int64_t elapsed_us = now - loop_round_at(edge->loop);
 
-	if (took >= SLOW_ROUND_US && now - edge->slow_told_at > SLOW_TOLD_US) {
-		edge->slow_told_at = now;
+	if (elapsed_us >= SLOW_ROUND_US &&
+	    now - edge->slow_round_logged_at > SLOW_ROUND_LOG_INTERVAL_US) {
+		edge->slow_round_logged_at = now;
 		LOG_WARN("a round took %lld ms: %d requests, %d replies, "
 			 "%d of the store, %d messages",
-			 (long long)took / 1000, edge->events[FLOW_REQUEST],
-			 edge->events[FLOW_REPLY], edge->events[FLOW_STORE],
-			 edge->events[FLOW_MSG]);
+			 (long long)elapsed_us / 1000,
+			 edge->events[FLOW_REQUEST], edge->events[FLOW_REPLY],
+			 edge->events[FLOW_STORE], edge->events[FLOW_MSG]);
 	}
 	memset(edge->events, 0, sizeof(edge->events));
 }
@@ -461,13 +467,13 @@
  * in first, so that nothing is judged late which is there. Once only, as a
  * busy node would else never look at its timers.
  */
-static bool has_unread(struct edge *edge, int64_t now)
+static bool defer_tick(struct edge *edge, int64_t now)
 {
-	bool wait = !edge->tick_put_off &&
-		    now - loop_round_at(edge->loop) > LONG_ROUND_US;
+	bool defer = !edge->tick_deferred &&
+		     now - loop_round_at(edge->loop) > LONG_ROUND_US;
 
-	edge->tick_put_off = wait;
-	return wait;
+	edge->tick_deferred = defer;
+	return defer;
 }
 
 static void on_round(void *ctx)
@@ -475,11 +481,11 @@
 	struct edge *edge = ctx;
 	int64_t now = loop_now();
 
-	if (now >= tier_wake_at(edge->tier) && !has_unread(edge, now))
-		feed(edge, (struct flow_event){ .type = FLOW_TICK });
+	if (now >= tier_wake_at(edge->tier) && !defer_tick(edge, now))
+		dispatch(edge, (struct flow_event){ .type = FLOW_TICK });
 	log_flush();
-	look_at_settings(edge, now);
-	tell_slow_round(edge);
+	poll_settings(edge, now);
+	log_slow_round(edge);
 }
 
 static int64_t wait_us(void *ctx)
@@ -511,18 +517,18 @@
 		return err->code;
 	}
 	edge->callers = http_listen(edge->loop, edge->settings.callers,
-				    BODY_MAX, callers, err);
+				    BODY_MAX_BYTES, callers, err);
 	if (!edge->callers)
 		return err->code;
-	edge->health = http_listen(edge->loop, edge->settings.ready, BODY_MAX,
-				   health, err);
+	edge->health = http_listen(edge->loop, edge->settings.ready,
+				   BODY_MAX_BYTES, health, err);
 	if (!edge->health)
 		return err->code;
 	if (!metrics_port)
 		return 0;
 	buf_printf(&addr, "%.*s:%u", STR_ARG(edge->settings.ip), metrics_port);
-	edge->metrics =
-		http_listen(edge->loop, buf_str(&addr), BODY_MAX, metrics, err);
+	edge->metrics = http_listen(edge->loop, buf_str(&addr), BODY_MAX_BYTES,
+				    metrics, err);
 	buf_free(&addr);
 	return edge->metrics ? 0 : err->code;
 }
@@ -544,7 +550,8 @@
 	if (code)
 		return code;
 	edge->upstream = upstream_create(
-		edge->loop, (struct upstream_handler){ on_upstream, edge });
+		edge->loop,
+		(struct upstream_handler){ on_upstream_reply, edge });
 	watch_signals(edge);
 	edge->tier = tier_create(&tier, loop_now(), &edge->fx);
 	loop_hook(edge->loop, (struct loop_hook){ on_round, wait_us, edge });
@@ -553,7 +560,7 @@
 
 static void flush_answers(struct edge *edge)
 {
-	int64_t until = loop_now() + FLUSH_US;
+	int64_t until = loop_now() + FLUSH_TIMEOUT_US;
 
 	/*
 	 * Requests that came meanwhile are served like any other: the process
@@ -592,7 +599,7 @@
 	struct error err = { 0 };
 	int code;
 
-	head_dialect(opt->dialect);
+	head_set_dialect(opt->dialect);
 	apr_pool_create(&edge.pool, NULL);
 	flow_effects_init(&edge.fx, edge.pool);
 	edge.requests = hash_make(edge.pool);
--- a/head.c
+++ b/head.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 
 enum {
-	TIME_TEXT_MAX = 24,
+	NUMBER_TEXT_MAX = 24,
 	TIME_MAX_MS = 86400000,
 };
 
-static const struct dialect *kept_for;
+static const struct dialect *active_dialect;
 
 /* These concern one connection, or are written anew for the next one. */
-static const struct str hop_names[] = {
+static const struct str hop_by_hop_names[] = {
 	{ "Connection", 10 },
 	{ "Keep-Alive", 10 },
 	{ "Transfer-Encoding", 17 },
@@ -30,24 +30,25 @@
 	return a.len == b.len && !strncasecmp(a.ptr, b.ptr, a.len);
 }
 
-static bool is_hop(struct str name)
+static bool is_hop_by_hop(struct str name)
 {
-	for (size_t i = 0; i < sizeof(hop_names) / sizeof(*hop_names); i++)
-		if (name_is(name, hop_names[i]))
+	for (size_t i = 0;
+	     i < sizeof(hop_by_hop_names) / sizeof(*hop_by_hop_names); i++)
+		if (name_is(name, hop_by_hop_names[i]))
 			return true;
 	return false;
 }
 
-void head_dialect(const struct dialect *dialect)
+void head_set_dialect(const struct dialect *dialect)
 {
-	kept_for = dialect;
+	active_dialect = dialect;
 }
 
-bool head_keep(struct str name)
+bool head_is_forwarded(struct str name)
 {
-	const struct header_names *names = &kept_for->names;
+	const struct header_names *names = &active_dialect->names;
 
-	return !is_hop(name) && !name_is(name, names->request_id) &&
+	return !is_hop_by_hop(name) && !name_is(name, names->request_id) &&
 	       !name_is(name, names->time_left) &&
 	       !name_is(name, names->expected);
 }
@@ -62,14 +63,14 @@
 
 static void add_number(struct buf *out, struct str name, int64_t value)
 {
-	char text[TIME_TEXT_MAX];
+	char text[NUMBER_TEXT_MAX];
 	int len = snprintf(text, sizeof(text), "%lld", (long long)value);
 
 	add_line(out, name, (struct str){ text, (size_t)len });
 }
 
-void head_request(const struct dialect *dialect, const struct flow_effect *fx,
-		  struct buf *out)
+void head_write_request(const struct dialect *dialect,
+			const struct flow_effect *fx, struct buf *out)
 {
 	const struct flow_request *request = fx->request;
 	const struct header_names *names = &dialect->names;
@@ -91,36 +92,37 @@
 	buf_str_add(out, STR("\r\n"));
 }
 
-static struct str find(const struct upstream_reply *reply, struct str name)
+static struct str find_header(const struct upstream_reply *reply,
+			      struct str name)
 {
 	return header_find(reply->headers, reply->nheaders, name);
 }
 
 /* The text of a header ends where the next begins, so it is copied. */
-static double number(struct str value, double other)
+static double parse_number(struct str value, double fallback)
 {
-	char text[TIME_TEXT_MAX];
+	char text[NUMBER_TEXT_MAX];
 	char *end;
 	double got;
 
 	if (!value.len || value.len >= sizeof(text))
-		return other;
+		return fallback;
 	memcpy(text, value.ptr, value.len);
 	text[value.len] = '\0';
 	got = strtod(text, &end);
-	return end == text || got < 0 || got > TIME_MAX_MS ? other : got;
+	return end == text || got < 0 || got > TIME_MAX_MS ? fallback : got;
 }
 
-int64_t head_time_left(struct str value)
+int64_t head_parse_time_left(struct str value)
 {
-	double ms = number(value, -1);
+	double ms = parse_number(value, -1);
 
 	return ms < 0 ? -1 : (int64_t)(ms * 1e3);
 }
 
-static void read_load(struct str value, struct flow_reply *out)
+static void parse_load(struct str value, struct flow_reply *out)
 {
-	char text[TIME_TEXT_MAX];
+	char text[NUMBER_TEXT_MAX];
 
 	out->running = -1;
 	out->waiting = -1;
@@ -132,9 +134,9 @@
 		out->running = out->waiting = -1;
 }
 
-void head_reply(const struct dialect *dialect,
-		const struct upstream_reply *reply, struct flow_reply *out,
-		struct buf *lines)
+void head_parse_reply(const struct dialect *dialect,
+		      const struct upstream_reply *reply,
+		      struct flow_reply *out, struct buf *lines)
 {
 	const struct header_names *names = &dialect->names;
 	struct str cold;
@@ -146,25 +148,25 @@
 				    .waiting = -1 };
 	if (reply->result != FETCH_OK)
 		return;
-	out->signature = find(reply, names->signature);
-	out->encoded = find(reply, STR("Content-Encoding")).len > 0;
+	out->signature = find_header(reply, names->signature);
+	out->encoded = find_header(reply, STR("Content-Encoding")).len > 0;
 	out->other = reply->status == 421;
-	out->not_run = out->other || find(reply, names->not_run).len > 0;
-	cold = find(reply, names->cold_left);
-	out->cold_us = head_time_left(cold);
-	read_load(find(reply, names->load), out);
+	out->not_run = out->other || find_header(reply, names->not_run).len > 0;
+	cold = find_header(reply, names->cold_left);
+	out->cold_us = head_parse_time_left(cold);
+	parse_load(find_header(reply, names->load), out);
 	out->body = reply->body;
 	for (size_t i = 0; i < reply->nheaders; i++)
-		if (!is_hop(reply->headers[i].name))
+		if (!is_hop_by_hop(reply->headers[i].name))
 			add_line(lines, reply->headers[i].name,
 				 reply->headers[i].value);
 	out->headers = buf_str(lines);
 }
 
-void head_answer(const struct dialect *dialect, const struct flow_effect *fx,
-		 struct buf *out)
+void head_write_answer(const struct dialect *dialect,
+		       const struct flow_effect *fx, struct buf *out)
 {
-	char text[TIME_TEXT_MAX];
+	char text[NUMBER_TEXT_MAX];
 	int len;
 
 	buf_str_add(out, fx->headers);
--- a/os.c
+++ b/os.c
@@ -26,7 +26,7 @@
 	return value | 1;
 }
 
-int os_signals(const int *numbers, size_t count)
+int os_signalfd(const int *numbers, size_t count)
 {
 	sigset_t set;
 
@@ -38,7 +38,7 @@
 	return signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
 }
 
-int os_signal(int fd)
+int os_signal_read(int fd)
 {
 	struct signalfd_siginfo info;
 
@@ -47,7 +47,8 @@
 	return (int)info.ssi_signo;
 }
 
-int os_socket(struct str addr, unsigned int silent_ms, struct sockaddr_in *sin)
+int os_socket(struct str addr, unsigned int user_timeout_ms,
+	      struct sockaddr_in *sin)
 {
 	char ip[INET_ADDRSTRLEN];
 	uint16_t port;
@@ -63,7 +64,7 @@
 	if (fd < 0)
 		return -1;
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent_ms,
-		   sizeof(silent_ms));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms,
+		   sizeof(user_timeout_ms));
 	return fd;
 }
--- a/reply.c
+++ b/reply.c
@@ -62,7 +62,7 @@
  * A target may send a second reply to an earlier request, early or late. It
  * stands where the reply to this one is expected; only its echo tells.
  */
-static bool is_foreign(const struct reply *reply)
+static bool is_stale_reply(const struct reply *reply)
 {
 	struct str echo = buf_str(&reply->echo);
 
@@ -78,8 +78,8 @@
 {
 	struct reply *reply = parser->data;
 
-	reply->body_at = reply->text.len;
-	reply->skip = is_foreign(reply);
+	reply->body_offset = reply->text.len;
+	reply->skip = is_stale_reply(reply);
 	return reply->no_body ? 1 : 0;
 }
 
@@ -87,7 +87,7 @@
 {
 	struct reply *reply = parser->data;
 
-	if (reply->text.len - reply->body_at + len > reply->body_max)
+	if (reply->text.len - reply->body_offset + len > reply->body_max)
 		return 1;
 	buf_add(&reply->text, at, len);
 	return 0;
@@ -97,7 +97,7 @@
 {
 	struct reply *reply = parser->data;
 
-	reply->last = !http_should_keep_alive(parser);
+	reply->closes_after = !http_should_keep_alive(parser);
 	if (parser->status_code / 100 == 1 || reply->skip) {
 		reply->text.len = 0;
 		reply->nheaders = 0;
@@ -110,7 +110,7 @@
 	return 0;
 }
 
-static const http_parser_settings hooks = {
+static const http_parser_settings parser_callbacks = {
 	.on_header_field = on_header_field,
 	.on_header_value = on_header_value,
 	.on_headers_complete = on_headers_complete,
@@ -123,7 +123,7 @@
 	reply->text.len = 0;
 	reply->nheaders = 0;
 	reply->in_value = false;
-	reply->body_at = 0;
+	reply->body_offset = 0;
 	reply->skip = false;
 	reply->done = false;
 	http_parser_init(&reply->parser, HTTP_RESPONSE);
@@ -137,9 +137,10 @@
 	buf_free(&reply->text);
 }
 
-ssize_t reply_read(struct reply *reply, const char *bytes, size_t len)
+ssize_t reply_parse(struct reply *reply, const char *bytes, size_t len)
 {
-	size_t used = http_parser_execute(&reply->parser, &hooks, bytes, len);
+	size_t used = http_parser_execute(&reply->parser, &parser_callbacks,
+					  bytes, len);
 
 	if (!reply->done && HTTP_PARSER_ERRNO(&reply->parser) != HPE_OK)
 		return -1;
@@ -148,5 +149,5 @@
 
 void reply_eof(struct reply *reply)
 {
-	http_parser_execute(&reply->parser, &hooks, NULL, 0);
+	http_parser_execute(&reply->parser, &parser_callbacks, NULL, 0);
 }
--- a/serve.c
+++ b/serve.c
@@ -351,7 +351,7 @@
 static void on_signal(void *ctx, int events)
 {
 	struct server *s = ctx;
-	int number = os_signal(s->signal_fd);
+	int number = os_signal_read(s->signal_fd);
 
 	(void)events;
 	if (!number)
@@ -365,7 +365,7 @@
 {
 	static const int numbers[] = { SIGTERM, SIGINT };
 
-	s->signal_fd = os_signals(numbers, sizeof(numbers) / sizeof(*numbers));
+	s->signal_fd = os_signalfd(numbers, sizeof(numbers) / sizeof(*numbers));
 	s->signals = loop_add(s->loop, s->signal_fd, APR_POLLIN, on_signal, s);
 }
 
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -767,7 +767,7 @@
 	struct flow_reply got;
 	struct buf lines = { 0 };
 
-	head_reply(&platform_dialect, &raw, &got, &lines);
+	head_parse_reply(&platform_dialect, &raw, &got, &lines);
 	ck_assert_int_eq(got.not_run, c->not_run);
 	ck_assert_int_eq(got.other, c->other);
 	ck_assert_int_eq(got.encoded, c->encoded);
@@ -794,8 +794,8 @@
 /* What concerns one hop, or is written anew, must not go on as it came. */
 START_TEST(test_kept_headers)
 {
-	head_dialect(&platform_dialect);
-	ck_assert_int_eq(head_keep(str_of(keep_cases[_i].name)),
+	head_set_dialect(&platform_dialect);
+	ck_assert_int_eq(head_is_forwarded(str_of(keep_cases[_i].name)),
 			 keep_cases[_i].keep);
 }
 END_TEST
@@ -814,7 +814,7 @@
 
 START_TEST(test_time_left)
 {
-	ck_assert_int_eq(head_time_left(str_of(time_cases[_i].text)),
+	ck_assert_int_eq(head_parse_time_left(str_of(time_cases[_i].text)),
 			 time_cases[_i].us);
 }
 END_TEST
--- a/upstream.c
+++ b/upstream.c
@@ -12,27 +12,27 @@
 enum {
 	READ_SIZE = 32 * 1024,
 	/* Of a reply's body, unless the request says otherwise. */
-	REPLY_MAX = 4 * 1024 * 1024,
+	REPLY_BODY_MAX_BYTES = 4 * 1024 * 1024,
 	/*
 	 * A connection that takes no bytes for this long is dead: its peer has
 	 * lost power or is cut off, and no reset will tell.
 	 */
-	SILENT_MS = 3000,
+	USER_TIMEOUT_MS = 3000,
 	/*
 	 * Idle connections are closed this long after their last use unless the
 	 * peer states its own time, and after IDLE_PART of that time if it
 	 * does, so that no request meets the peer's close.
 	 */
-	IDLE_US = 1500000,
-	IDLE_PART_NUM = 7,
-	IDLE_PART_DEN = 10,
-	SWEEP_US = 250000,
+	IDLE_TIMEOUT_US = 1500000,
+	KEEP_ALIVE_SHARE_NUM = 7,
+	KEEP_ALIVE_SHARE_DEN = 10,
+	SWEEP_INTERVAL_US = 250000,
 	/* An address without connections is forgotten after this long. */
-	SITE_KEPT_US = 60000000,
+	ENDPOINT_RETENTION_US = 60000000,
 };
 
 enum conn_state {
-	CONN_OPENING,
+	CONN_CONNECTING,
 	CONN_IDLE,
 	CONN_BUSY,
 };
@@ -43,13 +43,13 @@
  * @out, @sent: bytes of it, and how many of them have left
  * @reply: to it, as far as it has come
  * @fresh: no request has been answered on it
- * @answer_by: the reply is given up then
- * @pause_us, @whole_by: each piece of it moves that on by so much, at most to
- *                       then; 0: it does not
+ * @reply_deadline: the reply is given up then
+ * @pause_us, @total_deadline: each piece of it moves that on by so much, at
+ * most to then; 0: it does not
  */
 struct conn {
 	struct upstream *up;
-	struct site *site;
+	struct endpoint *endpoint;
 	struct conn *next;
 	enum conn_state state;
 	int fd;
@@ -60,29 +60,29 @@
 	struct reply reply;
 	bool fresh;
 	int64_t idle_until;
-	int64_t connect_by;
-	int64_t answer_by;
+	int64_t connect_deadline;
+	int64_t reply_deadline;
 	int64_t pause_us;
-	int64_t whole_by;
+	int64_t total_deadline;
 };
 
-/** struct site - an address and its connections */
-struct site {
+/** struct endpoint - an address and its connections */
+struct endpoint {
 	struct str addr;
 	uint64_t key;
 	struct conn *conns;
-	int64_t idle_us;
-	int64_t used_at;
+	int64_t idle_timeout_us;
+	int64_t last_used_at;
 };
 
 struct upstream {
 	struct loop *loop;
 	apr_pool_t *pool;
 	struct upstream_handler handler;
-	apr_hash_t *sites; /* hash of the address -> struct site */
-	apr_hash_t *busy; /* request -> struct conn */
+	apr_hash_t *endpoints; /* hash of the address -> struct endpoint */
+	apr_hash_t *in_flight; /* request -> struct conn */
 	struct timers timers;
-	int64_t swept_at;
+	int64_t last_sweep_at;
 };
 
 /* Life of a connection. */
@@ -98,13 +98,14 @@
 
 static void conn_close(struct conn *conn)
 {
-	struct conn **at = &conn->site->conns;
+	struct conn **at = &conn->endpoint->conns;
 
 	while (*at != conn)
 		at = &(*at)->next;
 	*at = conn->next;
 	if (conn->id)
-		apr_hash_set(conn->up->busy, &conn->id, sizeof(conn->id), NULL);
+		apr_hash_set(conn->up->in_flight, &conn->id, sizeof(conn->id),
+			     NULL);
 	conn_free(conn);
 }
 
@@ -121,7 +122,7 @@
 		up->handler.done(up->handler.ctx, id, &reply);
 }
 
-static enum fetch_result broken(const struct conn *conn)
+static enum fetch_result broken_result(const struct conn *conn)
 {
 	return conn->sent ? FETCH_BROKEN : FETCH_REFUSED;
 }
@@ -139,14 +140,15 @@
 	return 0;
 }
 
-static void note_idle_time(struct conn *conn, const struct header *headers)
+static void update_idle_timeout(struct conn *conn, const struct header *headers)
 {
 	struct str value =
 		header_find(headers, conn->reply.nheaders, STR("Keep-Alive"));
 	int64_t us = value.len ? keep_alive_us(value) : 0;
 
 	if (us)
-		conn->site->idle_us = us * IDLE_PART_NUM / IDLE_PART_DEN;
+		conn->endpoint->idle_timeout_us =
+			us * KEEP_ALIVE_SHARE_NUM / KEEP_ALIVE_SHARE_DEN;
 }
 
 /* Hands the whole reply over, and keeps the connection if it is clean. */
@@ -155,29 +157,29 @@
 	struct upstream *up = conn->up;
 	struct header headers[REPLY_HEADERS_MAX];
 	struct buf text = conn->reply.text;
-	size_t body_at = conn->reply.body_at;
+	size_t body_offset = conn->reply.body_offset;
 	uint64_t id = conn->id;
 	struct upstream_reply reply = {
 		.result = FETCH_OK,
 		.status = (int)conn->reply.parser.status_code,
 		.headers = headers,
 		.nheaders = conn->reply.nheaders,
-		.body = { text.ptr + body_at, text.len - body_at },
+		.body = { text.ptr + body_offset, text.len - body_offset },
 		.opened = conn->fresh,
 	};
 
 	reply_headers(&conn->reply, headers);
-	note_idle_time(conn, headers);
+	update_idle_timeout(conn, headers);
 	/* What is left of a long body must not precede the next request. */
 	if (conn->sent < conn->out.len)
 		keep = false;
-	apr_hash_set(up->busy, &conn->id, sizeof(conn->id), NULL);
+	apr_hash_set(up->in_flight, &conn->id, sizeof(conn->id), NULL);
 	conn->id = 0;
 	conn->fresh = false;
 	conn->reply.text = (struct buf){ 0 };
 	if (keep) {
 		conn->state = CONN_IDLE;
-		conn->idle_until = loop_now() + conn->site->idle_us;
+		conn->idle_until = loop_now() + conn->endpoint->idle_timeout_us;
 		reply_reset(&conn->reply);
 	} else {
 		conn_close(conn);
@@ -201,7 +203,7 @@
 		if (errno == EINTR)
 			continue;
 		if (errno != EAGAIN) {
-			conn_fail(conn, broken(conn));
+			conn_fail(conn, broken_result(conn));
 			return;
 		}
 		loop_set(conn->watch, APR_POLLIN | APR_POLLOUT);
@@ -222,7 +224,7 @@
 	}
 	if (!conn->id) {
 		conn->state = CONN_IDLE;
-		conn->idle_until = loop_now() + conn->site->idle_us;
+		conn->idle_until = loop_now() + conn->endpoint->idle_timeout_us;
 		loop_set(conn->watch, APR_POLLIN);
 		return;
 	}
@@ -239,16 +241,16 @@
 			return;
 		}
 	}
-	conn_fail(conn, broken(conn));
+	conn_fail(conn, broken_result(conn));
 }
 
-static void expect_more(struct conn *conn)
+static void extend_reply_deadline(struct conn *conn)
 {
 	if (!conn->pause_us)
 		return;
-	conn->answer_by = loop_now() + conn->pause_us;
-	if (conn->answer_by > conn->whole_by)
-		conn->answer_by = conn->whole_by;
+	conn->reply_deadline = loop_now() + conn->pause_us;
+	if (conn->reply_deadline > conn->total_deadline)
+		conn->reply_deadline = conn->total_deadline;
 }
 
 static void conn_read(struct conn *conn)
@@ -260,7 +262,7 @@
 	if (got < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (got < 0) {
-		conn_fail(conn, broken(conn));
+		conn_fail(conn, broken_result(conn));
 		return;
 	}
 	if (!got) {
@@ -272,19 +274,19 @@
 		conn_fail(conn, FETCH_REFUSED);
 		return;
 	}
-	expect_more(conn);
-	used = reply_read(&conn->reply, bytes, (size_t)got);
+	extend_reply_deadline(conn);
+	used = reply_parse(&conn->reply, bytes, (size_t)got);
 	if (used < 0)
 		conn_fail(conn, FETCH_MALFORMED);
 	else if (conn->reply.done)
-		conn_answer(conn, !conn->reply.last && used == got);
+		conn_answer(conn, !conn->reply.closes_after && used == got);
 }
 
 static void on_conn(void *ctx, int events)
 {
 	struct conn *conn = ctx;
 
-	if (conn->state == CONN_OPENING) {
+	if (conn->state == CONN_CONNECTING) {
 		conn_connected(conn);
 		return;
 	}
@@ -297,10 +299,10 @@
 }
 
 /* Return: NULL when the system refuses a socket or the address is none. */
-static struct conn *conn_open(struct upstream *up, struct site *site)
+static struct conn *conn_open(struct upstream *up, struct endpoint *endpoint)
 {
 	struct sockaddr_in sin;
-	int fd = os_socket(site->addr, SILENT_MS, &sin);
+	int fd = os_socket(endpoint->addr, USER_TIMEOUT_MS, &sin);
 	struct conn *conn;
 
 	if (fd < 0)
@@ -312,31 +314,33 @@
 	}
 	conn = xcalloc(1, sizeof(*conn));
 	conn->up = up;
-	conn->site = site;
+	conn->endpoint = endpoint;
 	conn->fd = fd;
 	conn->fresh = true;
-	conn->state = CONN_OPENING;
+	conn->state = CONN_CONNECTING;
 	reply_reset(&conn->reply);
 	conn->watch = loop_add(up->loop, fd, APR_POLLOUT, on_conn, conn);
-	conn->next = site->conns;
-	site->conns = conn;
+	conn->next = endpoint->conns;
+	endpoint->conns = conn;
 	return conn;
 }
 
-static struct site *site_get(struct upstream *up, struct str addr)
+static struct endpoint *endpoint_get(struct upstream *up, struct str addr)
 {
 	uint64_t key = str_hash(addr);
-	struct site *site = apr_hash_get(up->sites, &key, sizeof(key));
-
-	if (site)
-		return site;
-	site = xcalloc(1, sizeof(*site));
-	site->addr = str_keep(addr);
-	site->key = key;
-	site->idle_us = IDLE_US;
-	site->used_at = loop_now();
-	apr_hash_set(up->sites, &site->key, sizeof(site->key), site);
-	return site;
+	struct endpoint *endpoint =
+		apr_hash_get(up->endpoints, &key, sizeof(key));
+
+	if (endpoint)
+		return endpoint;
+	endpoint = xcalloc(1, sizeof(*endpoint));
+	endpoint->addr = str_keep(addr);
+	endpoint->key = key;
+	endpoint->idle_timeout_us = IDLE_TIMEOUT_US;
+	endpoint->last_used_at = loop_now();
+	apr_hash_set(up->endpoints, &endpoint->key, sizeof(endpoint->key),
+		     endpoint);
+	return endpoint;
 }
 
 /*
@@ -354,12 +358,13 @@
  * The one used last is taken, so the others reach their idle time. It must not
  * hold unread bytes or an end that the loop has not seen yet.
  */
-static struct conn *take_idle(struct site *site, struct str echo, int64_t now)
+static struct conn *take_idle(struct endpoint *endpoint, struct str echo,
+			      int64_t now)
 {
 	struct conn *best = NULL;
 	char byte;
 
-	for (struct conn *conn = site->conns; conn; conn = conn->next) {
+	for (struct conn *conn = endpoint->conns; conn; conn = conn->next) {
 		if (conn->state != CONN_IDLE || conn->idle_until < now ||
 		    had_same_id(conn, echo))
 			continue;
@@ -371,15 +376,17 @@
 	if (recv(best->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0 ||
 	    errno != EAGAIN) {
 		conn_close(best);
-		return take_idle(site, echo, now);
+		return take_idle(endpoint, echo, now);
 	}
 	return best;
 }
 
-static void expect(struct reply *reply, const struct upstream_request *req)
+static void prepare_reply(struct reply *reply,
+			  const struct upstream_request *req)
 {
 	reply->no_body = req->no_body;
-	reply->body_max = req->reply_max ? req->reply_max : REPLY_MAX;
+	reply->body_max =
+		req->reply_max ? req->reply_max : REPLY_BODY_MAX_BYTES;
 	reply->echo.len = 0;
 	reply->echo_name.len = 0;
 	buf_str_add(&reply->echo, req->echo);
@@ -389,11 +396,11 @@
 void upstream_send(struct upstream *up, const struct upstream_request *req)
 {
 	int64_t now = loop_now();
-	struct site *site = site_get(up, req->addr);
-	struct conn *conn = take_idle(site, req->echo, now);
+	struct endpoint *endpoint = endpoint_get(up, req->addr);
+	struct conn *conn = take_idle(endpoint, req->echo, now);
 
 	if (!conn)
-		conn = conn_open(up, site);
+		conn = conn_open(up, endpoint);
 	if (!conn) {
 		struct upstream_reply reply = { .result = FETCH_REFUSED };
 
@@ -403,17 +410,18 @@
 	conn->id = req->id;
 	conn->out.len = 0;
 	conn->sent = 0;
-	expect(&conn->reply, req);
+	prepare_reply(&conn->reply, req);
 	buf_str_add(&conn->out, req->head);
 	buf_str_add(&conn->out, req->body);
-	conn->connect_by = now + req->connect_us;
-	conn->answer_by = now + req->timeout_us;
+	conn->connect_deadline = now + req->connect_us;
+	conn->reply_deadline = now + req->timeout_us;
 	conn->pause_us = req->pause_us;
-	conn->whole_by = now + req->whole_us;
-	apr_hash_set(up->busy, &conn->id, sizeof(conn->id), conn);
-	timer_add(&up->timers, conn->answer_by, TIMER_JOB, conn->id);
-	if (conn->state == CONN_OPENING) {
-		timer_add(&up->timers, conn->connect_by, TIMER_JOB, conn->id);
+	conn->total_deadline = now + req->whole_us;
+	apr_hash_set(up->in_flight, &conn->id, sizeof(conn->id), conn);
+	timer_add(&up->timers, conn->reply_deadline, TIMER_JOB, conn->id);
+	if (conn->state == CONN_CONNECTING) {
+		timer_add(&up->timers, conn->connect_deadline, TIMER_JOB,
+			  conn->id);
 		return;
 	}
 	conn->state = CONN_BUSY;
@@ -422,7 +430,7 @@
 
 void upstream_cancel(struct upstream *up, uint64_t id)
 {
-	struct conn *conn = apr_hash_get(up->busy, &id, sizeof(id));
+	struct conn *conn = apr_hash_get(up->in_flight, &id, sizeof(id));
 
 	if (conn)
 		conn_close(conn);
@@ -430,18 +438,18 @@
 
 void upstream_warm(struct upstream *up, struct str addr, int count)
 {
-	struct site *site = site_get(up, addr);
+	struct endpoint *endpoint = endpoint_get(up, addr);
 	int have = 0;
 
-	for (struct conn *conn = site->conns; conn; conn = conn->next)
+	for (struct conn *conn = endpoint->conns; conn; conn = conn->next)
 		if (conn->state != CONN_BUSY)
 			have++;
 	while (have++ < count) {
-		struct conn *conn = conn_open(up, site);
+		struct conn *conn = conn_open(up, endpoint);
 
 		if (!conn)
 			return;
-		conn->connect_by = loop_now() + IDLE_US;
+		conn->connect_deadline = loop_now() + IDLE_TIMEOUT_US;
 	}
 }
 
@@ -449,60 +457,62 @@
 
 static void check_request(struct upstream *up, uint64_t id, int64_t now)
 {
-	struct conn *conn = apr_hash_get(up->busy, &id, sizeof(id));
+	struct conn *conn = apr_hash_get(up->in_flight, &id, sizeof(id));
 
 	if (!conn)
 		return;
-	if (conn->state == CONN_OPENING && now >= conn->connect_by)
+	if (conn->state == CONN_CONNECTING && now >= conn->connect_deadline)
 		conn_fail(conn, FETCH_REFUSED);
-	else if (now >= conn->answer_by)
+	else if (now >= conn->reply_deadline)
 		conn_fail(conn, conn->sent ? FETCH_TIMEOUT : FETCH_REFUSED);
-	else if (conn->pause_us && conn->state != CONN_OPENING)
-		timer_add(&up->timers, conn->answer_by, TIMER_JOB, id);
+	else if (conn->pause_us && conn->state != CONN_CONNECTING)
+		timer_add(&up->timers, conn->reply_deadline, TIMER_JOB, id);
 }
 
-static void sweep_site(struct site *site, int64_t now)
+static void sweep_endpoint(struct endpoint *endpoint, int64_t now)
 {
 	struct conn *next;
 
-	for (struct conn *conn = site->conns; conn; conn = next) {
-		bool late = conn->state == CONN_OPENING && !conn->id &&
-			    now >= conn->connect_by;
+	for (struct conn *conn = endpoint->conns; conn; conn = next) {
+		bool expired = conn->state == CONN_CONNECTING && !conn->id &&
+			       now >= conn->connect_deadline;
 
 		next = conn->next;
-		if (late ||
+		if (expired ||
 		    (conn->state == CONN_IDLE && now >= conn->idle_until))
 			conn_close(conn);
 	}
 }
 
-static void site_free(struct upstream *up, struct site *site)
+static void endpoint_free(struct upstream *up, struct endpoint *endpoint)
 {
-	apr_hash_set(up->sites, &site->key, sizeof(site->key), NULL);
-	str_free(site->addr);
-	free(site);
+	apr_hash_set(up->endpoints, &endpoint->key, sizeof(endpoint->key),
+		     NULL);
+	str_free(endpoint->addr);
+	free(endpoint);
 }
 
 static void sweep_idle(struct upstream *up, int64_t now)
 {
-	struct site *gone = NULL;
+	struct endpoint *gone = NULL;
 	apr_hash_index_t *it;
 
-	if (now < up->swept_at + SWEEP_US)
+	if (now < up->last_sweep_at + SWEEP_INTERVAL_US)
 		return;
-	up->swept_at = now;
-	for (it = apr_hash_first(NULL, up->sites); it; it = apr_hash_next(it)) {
-		struct site *site = hash_value(it);
-
-		sweep_site(site, now);
-		if (site->conns)
-			site->used_at = now;
-		else if (now - site->used_at > SITE_KEPT_US)
-			gone = site;
+	up->last_sweep_at = now;
+	for (it = apr_hash_first(NULL, up->endpoints); it;
+	     it = apr_hash_next(it)) {
+		struct endpoint *endpoint = hash_value(it);
+
+		sweep_endpoint(endpoint, now);
+		if (endpoint->conns)
+			endpoint->last_used_at = now;
+		else if (now - endpoint->last_used_at > ENDPOINT_RETENTION_US)
+			gone = endpoint;
 	}
 	/* One a sweep: the table must not change while it is walked. */
 	if (gone)
-		site_free(up, gone);
+		endpoint_free(up, gone);
 }
 
 static void run(void *ctx)
@@ -522,8 +532,8 @@
 	int64_t next = timer_next(&up->timers);
 	int64_t now = loop_now();
 
-	if (next > up->swept_at + SWEEP_US)
-		next = up->swept_at + SWEEP_US;
+	if (next > up->last_sweep_at + SWEEP_INTERVAL_US)
+		next = up->last_sweep_at + SWEEP_INTERVAL_US;
 	return next > now ? next - now : 0;
 }
 
@@ -535,8 +545,8 @@
 	apr_pool_create(&up->pool, NULL);
 	up->loop = loop;
 	up->handler = handler;
-	up->sites = hash_make(up->pool);
-	up->busy = hash_make(up->pool);
+	up->endpoints = hash_make(up->pool);
+	up->in_flight = hash_make(up->pool);
 	loop_hook(loop, (struct loop_hook){ run, wait_us, up });
 	return up;
 }
@@ -546,17 +556,18 @@
 	apr_hash_index_t *it;
 
 	loop_unhook(up->loop, up);
-	for (it = apr_hash_first(NULL, up->sites); it; it = apr_hash_next(it)) {
-		struct site *site = hash_value(it);
+	for (it = apr_hash_first(NULL, up->endpoints); it;
+	     it = apr_hash_next(it)) {
+		struct endpoint *endpoint = hash_value(it);
 
-		while (site->conns) {
-			struct conn *conn = site->conns;
+		while (endpoint->conns) {
+			struct conn *conn = endpoint->conns;
 
-			site->conns = conn->next;
+			endpoint->conns = conn->next;
 			conn_free(conn);
 		}
-		str_free(site->addr);
-		free(site);
+		str_free(endpoint->addr);
+		free(endpoint);
 	}
 	timers_free(&up->timers);
 	apr_pool_destroy(up->pool);
