--- a/ask.c
+++ b/ask.c
@@ -9,33 +9,33 @@
 	US_PER_MS = 1000
 };
 
-static json_t *parse(struct json_in *in, struct str body)
+static json_t *parse(struct json_input *in, struct str body)
 {
 	json_t *doc = json_parse(in, body);
 
 	if (doc && !json_is_object(doc)) {
-		json_fault(in, "top", "must be an object");
+		json_error_set(in, "top", "must be an object");
 		json_decref(doc);
 		return NULL;
 	}
 	return doc;
 }
 
-static struct str text(struct json_in *in, json_t *doc, const char *key,
+static struct str text(struct json_input *in, json_t *doc, const char *key,
 		       size_t max, apr_pool_t *pool)
 {
 	return str_dup(pool, json_text(in, key, doc, key, max));
 }
 
-static struct str text_or_none(struct json_in *in, json_t *doc, const char *key,
-			       size_t max, apr_pool_t *pool)
+static struct str text_or_none(struct json_input *in, json_t *doc,
+			       const char *key, size_t max, apr_pool_t *pool)
 {
 	if (!json_object_get(doc, key))
 		return (struct str){ 0 };
 	return text(in, doc, key, max, pool);
 }
 
-static int64_t deadline(struct json_in *in, json_t *doc)
+static int64_t deadline(struct json_input *in, json_t *doc)
 {
 	return json_int_or(in, "deadline_ms", doc, "deadline_ms", 1,
 			   MAX_DEADLINE_MS, 0) *
@@ -50,7 +50,7 @@
 	return a < b ? -1 : a > b;
 }
 
-static void parse_shards(struct json_in *in, json_t *doc, apr_pool_t *pool,
+static void parse_shards(struct json_input *in, json_t *doc, apr_pool_t *pool,
 			 struct ask *ask)
 {
 	if (!json_object_get(doc, "shards"))
@@ -66,14 +66,15 @@
 		json_int_t id = json_integer_value(item);
 
 		if (!json_is_integer(item) || id < 1 || id > UINT32_MAX)
-			json_fault(in, "shards", "item %zu is no shard id", i);
+			json_error_set(in, "shards", "item %zu is no shard id",
+				       i);
 		ask->shards[i] = (uint32_t)id;
 	}
 	qsort(ask->shards, count, sizeof(*ask->shards), id_order);
 	for (size_t i = 1; i < count; i++)
 		if (ask->shards[i] == ask->shards[i - 1])
-			json_fault(in, "shards", "%u stands twice",
-				   ask->shards[i]);
+			json_error_set(in, "shards", "%u stands twice",
+				       ask->shards[i]);
 }
 
 int ask_parse(struct str body, apr_pool_t *pool, struct ask *ask,
@@ -83,12 +84,12 @@
 					    "terms",	"indexes",
 					    "shards",	"deadline_ms",
 					    NULL };
-	struct json_in in = { .file = "question", .code = ERR_BAD_REQUEST };
+	struct json_input in = { .file = "question", .code = ERR_BAD_REQUEST };
 	json_t *doc = parse(&in, body);
 
 	*ask = (struct ask){ 0 };
 	if (doc) {
-		json_keys(&in, "top", doc, keys);
+		json_check_keys(&in, "top", doc, keys);
 		ask->customer = text(&in, doc, "customer", ASK_ID_MAX, pool);
 		ask->request_id =
 			text(&in, doc, "request_id", ASK_ID_MAX, pool);
@@ -97,8 +98,8 @@
 		ask->indexes = json_strings(&in, "indexes", doc, "indexes",
 					    pool, &ask->nindexes);
 		if (!ask->nindexes || ask->nindexes > ASK_MAX_INDEXES)
-			json_fault(&in, "indexes", "must name 1 to %d",
-				   ASK_MAX_INDEXES);
+			json_error_set(&in, "indexes", "must name 1 to %d",
+				       ASK_MAX_INDEXES);
 		parse_shards(&in, doc, pool, ask);
 		ask->deadline_us = deadline(&in, doc);
 		json_decref(doc);
@@ -107,7 +108,7 @@
 	return err->code;
 }
 
-static void parse_action(struct json_in *in, json_t *doc, apr_pool_t *pool,
+static void parse_action(struct json_input *in, json_t *doc, apr_pool_t *pool,
 			 struct entry *entry)
 {
 	json_t *action = json_object_get(doc, "entry");
@@ -116,7 +117,7 @@
 	entry->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
 	entry->deadline_us = deadline(in, doc);
 	if (!json_is_object(action)) {
-		json_fault(in, "entry", "must be an object");
+		json_error_set(in, "entry", "must be an object");
 		return;
 	}
 
@@ -133,12 +134,12 @@
 					    "ticket",	   "index",
 					    "key",	   "entry",
 					    "deadline_ms", NULL };
-	struct json_in in = { .file = "entry", .code = ERR_BAD_REQUEST };
+	struct json_input in = { .file = "entry", .code = ERR_BAD_REQUEST };
 	json_t *doc = parse(&in, body);
 
 	*entry = (struct entry){ 0 };
 	if (doc) {
-		json_keys(&in, "top", doc, keys);
+		json_check_keys(&in, "top", doc, keys);
 		entry->customer = text(&in, doc, "customer", ASK_ID_MAX, pool);
 		entry->request_id =
 			text(&in, doc, "request_id", ASK_ID_MAX, pool);
--- a/call.c
+++ b/call.c
@@ -417,8 +417,8 @@
 	if (call && judge(reply) != REPLY_GOOD)
 		note_tried(calls->notes, calls->now, call, &copy, reply);
 	if (judge(reply) == REPLY_GOOD) {
-		metric_latency(&calls->notes->metrics, LATENCY_TARGET,
-			       calls->now - copy.sent_at);
+		metric_observe_latency(&calls->notes->metrics, LATENCY_TARGET,
+				       calls->now - copy.sent_at);
 		usual_add(copy.usual, calls->now - copy.sent_at);
 	}
 	judge_request(calls, call, &copy, reply);
--- a/command.c
+++ b/command.c
@@ -22,9 +22,9 @@
 #endif
 
 enum {
-	MAX_ERRORS = 10,
-	OPERATOR_MS = 5000,
-	ASK_MS = 60000,
+	ARG_ERRORS_MAX = 10,
+	OPERATOR_TIMEOUT_MS = 5000,
+	ASK_TIMEOUT_MS = 60000,
 };
 
 static const char *const exit_codes =
@@ -47,14 +47,14 @@
 {
 	struct arg_lit *help = table[0];
 	struct arg_end *end;
-	int faults;
+	int nerrors;
 	int last = 0;
 
 	if (arg_nullcheck(table)) {
 		fprintf(stderr, "wasabimoor: out of memory\n");
 		return EXIT_FAILED;
 	}
-	faults = arg_parse(argc, argv, table);
+	nerrors = arg_parse(argc, argv, table);
 	if (help->count) {
 		printf("Usage: wasabimoor %s", argv[0]);
 		arg_print_syntax(stdout, table, "\n");
@@ -63,7 +63,7 @@
 		printf("\n%s", exit_codes);
 		return EXIT_OK;
 	}
-	if (!faults)
+	if (!nerrors)
 		return -1;
 	while (!(((struct arg_hdr *)table[last])->flag & ARG_TERMINATOR))
 		last++;
@@ -86,7 +86,7 @@
 {
 	struct arg_file *settings =
 		arg_file1("s", "settings", "FILE", "settings of this VM, JSON");
-	void *table[] = { help_arg(), settings, arg_end(MAX_ERRORS) };
+	void *table[] = { help_arg(), settings, arg_end(ARG_ERRORS_MAX) };
 	struct error err = { 0 };
 	int code = parse_args(argc, argv, table, "Run a node.");
 
@@ -118,7 +118,7 @@
 	return EXIT_OK;
 }
 
-static int take_without(const struct arg_str *names, uint32_t *without)
+static int parse_without(const struct arg_str *names, uint32_t *without)
 {
 	struct error err = { 0 };
 
@@ -143,7 +143,7 @@
 	struct arg_lit *list = arg_lit0(NULL, "list-mechanisms",
 					"name those that can be switched off");
 	void *table[] = { help_arg(), metrics, level,
-			  names,      list,    arg_end(MAX_ERRORS) };
+			  names,      list,    arg_end(ARG_ERRORS_MAX) };
 	struct edge_options opt = { .dialect = &platform_dialect };
 	int code =
 		parse_args(argc, argv, table,
@@ -153,7 +153,7 @@
 
 	if (code < 0 && list->count)
 		code = list_mechanisms();
-	else if (code < 0 && take_without(names, &opt.without))
+	else if (code < 0 && parse_without(names, &opt.without))
 		code = EXIT_USAGE;
 	if (code < 0) {
 		opt.metrics_port =
@@ -238,7 +238,7 @@
 	struct arg_file *fleet = arg_file0("f", "fleet", "FILE",
 					   "domains, VMs, targets, snapshots");
 	void *table[] = { help_arg(), settings, lists, fleet,
-			  arg_end(MAX_ERRORS) };
+			  arg_end(ARG_ERRORS_MAX) };
 	int code = parse_args(argc, argv, table,
 			      "Judge files with the code that a node uses.");
 
@@ -340,7 +340,7 @@
 	struct arg_str *addr = arg_str1("a", "address", "IP:PORT",
 					"operators' address of the node");
 	struct arg_lit *json = arg_lit0("j", "json", "print JSON");
-	void *table[] = { help_arg(), addr, json, arg_end(MAX_ERRORS) };
+	void *table[] = { help_arg(), addr, json, arg_end(ARG_ERRORS_MAX) };
 	struct error err = { 0 };
 	struct buf body = { 0 };
 	int code = parse_args(argc, argv, table, summary);
@@ -348,7 +348,7 @@
 	if (code < 0) {
 		int status = client_call(str_of(addr->sval[0]), path,
 					 post ? STR("") : (struct str){ 0 },
-					 OPERATOR_MS, &body, &err);
+					 OPERATOR_TIMEOUT_MS, &body, &err);
 
 		if (status < 0)
 			print_error(&err);
@@ -422,7 +422,7 @@
 	return body;
 }
 
-static int ask_exit(int status, const struct buf *body)
+static int ask_exit_code(int status, const struct buf *body)
 {
 	json_t *doc =
 		json_loadb(body->ptr ? body->ptr : "", body->len, 0, NULL);
@@ -448,7 +448,7 @@
 	struct arg_lit *json = arg_lit0("j", "json", "print JSON");
 	void *table[] = { help_arg(), addr,  customer,
 			  index,      terms, id,
-			  deadline,   json,  arg_end(MAX_ERRORS) };
+			  deadline,   json,  arg_end(ARG_ERRORS_MAX) };
 	int code = parse_args(argc, argv, table, "Ask a question.");
 
 	if (code < 0) {
@@ -457,14 +457,15 @@
 		struct buf body =
 			question_body(customer, id, terms, index, deadline);
 		int status = client_call(str_of(addr->sval[0]), "/v1/questions",
-					 buf_str(&body), ASK_MS, &answer, &err);
+					 buf_str(&body), ASK_TIMEOUT_MS,
+					 &answer, &err);
 
 		if (status < 0) {
 			print_error(&err);
 			code = EXIT_FAILED;
 		} else {
 			print_body(&answer, json->count > 0);
-			code = ask_exit(status, &answer);
+			code = ask_exit_code(status, &answer);
 		}
 		buf_free(&body);
 		buf_free(&answer);
@@ -513,7 +514,7 @@
 	struct arg_file *files =
 		arg_filen(NULL, NULL, "LOG", 0, 1000,
 			  "logs of nodes; standard input when there is none");
-	void *table[] = { help_arg(), id, files, arg_end(MAX_ERRORS) };
+	void *table[] = { help_arg(), id, files, arg_end(ARG_ERRORS_MAX) };
 	int code = parse_args(argc, argv, table,
 			      "Gather a request's lines and say its cause.");
 
--- a/config.c
+++ b/config.c
@@ -43,19 +43,19 @@
 	return 0;
 }
 
-static void check_addr(struct json_in *in, const char *key, struct str addr)
+static void check_addr(struct json_input *in, const char *key, struct str addr)
 {
 	char ip[INET_ADDRSTRLEN];
 	uint16_t port;
 
 	if (!in->err.code && addr_split(addr, ip, sizeof(ip), &port))
-		json_fault(in, key,
-			   "must be \"ip:port\", such as "
-			   "\"127.0.0.1:7100\"");
+		json_error_set(in, key,
+			       "must be \"ip:port\", such as "
+			       "\"127.0.0.1:7100\"");
 }
 
-static struct str parse_addr(struct json_in *in, json_t *doc, const char *key,
-			     apr_pool_t *pool)
+static struct str parse_addr(struct json_input *in, json_t *doc,
+			     const char *key, apr_pool_t *pool)
 {
 	struct str addr = json_text(in, key, doc, key, ADDR_MAX);
 
@@ -63,30 +63,32 @@
 	return str_dup(pool, addr);
 }
 
-static struct str *parse_addrs(struct json_in *in, json_t *doc, const char *key,
-			       apr_pool_t *pool, size_t max, size_t *count)
+static struct str *parse_addrs(struct json_input *in, json_t *doc,
+			       const char *key, apr_pool_t *pool, size_t max,
+			       size_t *count)
 {
 	struct str *list = json_strings(in, key, doc, key, pool, count);
 
 	if (*count > max)
-		json_fault(in, key, "has over %zu addresses", max);
+		json_error_set(in, key, "has over %zu addresses", max);
 	for (size_t i = 0; i < *count; i++)
 		check_addr(in, key, list[i]);
 	return list;
 }
 
-static void check_ports(struct json_in *in, const struct config *config)
+static void check_ports(struct json_input *in, const struct config *config)
 {
 	if (in->err.code)
 		return;
 	if (str_eq(config->peer, config->callers) ||
 	    str_eq(config->peer, config->operators) ||
 	    str_eq(config->callers, config->operators))
-		json_fault(in, "peer, callers, operators",
-			   "must be three different addresses");
+		json_error_set(in, "peer, callers, operators",
+			       "must be three different addresses");
 }
 
-static void parse_level(struct json_in *in, json_t *doc, struct config *config)
+static void parse_level(struct json_input *in, json_t *doc,
+			struct config *config)
 {
 	static const char *const levels[] = { "error", "warn", "info",
 					      "debug" };
@@ -99,17 +101,18 @@
 	for (size_t i = 0; i < sizeof(levels) / sizeof(*levels); i++)
 		if (str_eq(config->log_level, str_of(levels[i])))
 			return;
-	json_fault(in, "log_level", "must be error, warn, info or debug");
+	json_error_set(in, "log_level", "must be error, warn, info or debug");
 }
 
-static void parse_fields(struct json_in *in, json_t *doc, struct config *config)
+static void parse_fields(struct json_input *in, json_t *doc,
+			 struct config *config)
 {
 	static const char *const keys[] = {
 		"peer",	 "callers",  "operators", "domain",    "platforms",
 		"peers", "max_open", "drain_ms",  "log_level", NULL
 	};
 
-	json_keys(in, "top", doc, keys);
+	json_check_keys(in, "top", doc, keys);
 	config->peer = parse_addr(in, doc, "peer", config->pool);
 	config->callers = parse_addr(in, doc, "callers", config->pool);
 	config->operators = parse_addr(in, doc, "operators", config->pool);
@@ -119,7 +122,7 @@
 		parse_addrs(in, doc, "platforms", config->pool,
 			    CONFIG_MAX_PLATFORMS, &config->nplatforms);
 	if (!config->nplatforms)
-		json_fault(in, "platforms", "names no address");
+		json_error_set(in, "platforms", "names no address");
 	if (json_object_get(doc, "peers"))
 		config->peers = parse_addrs(in, doc, "peers", config->pool,
 					    CONFIG_MAX_PEERS, &config->npeers);
@@ -135,7 +138,7 @@
 struct config *config_parse(const char *file, struct str text,
 			    struct error *err)
 {
-	struct json_in in = { .file = file, .code = ERR_SETTINGS };
+	struct json_input in = { .file = file, .code = ERR_SETTINGS };
 	json_t *doc = json_parse(&in, text);
 	struct config *config = NULL;
 	apr_pool_t *pool;
--- a/directory.c
+++ b/directory.c
@@ -64,7 +64,7 @@
 	if (held)
 		return held;
 	held = xcalloc(1, sizeof(*held));
-	held->key = str_keep(key);
+	held->key = str_heap_dup(key);
 	held->deleted = true;
 	apr_hash_set(dir->keys, held->key.ptr, (apr_ssize_t)held->key.len,
 		     held);
@@ -249,7 +249,7 @@
 	}
 	held->deleted = false;
 	str_free(held->value);
-	held->value = str_keep(item->value);
+	held->value = str_heap_dup(item->value);
 	take_fact(dir, held, now);
 }
 
--- a/doc.c
+++ b/doc.c
@@ -35,10 +35,10 @@
 	"soft_ms", "deadline_ms", "coverage_floor", "extra_load", NULL
 };
 
-static void parse_allowance(struct json_in *in, const char *place,
+static void parse_allowance(struct json_input *in, const char *place,
 			    struct lists *lists, json_t *obj, struct plan *plan)
 {
-	json_keys(in, place, obj, allowance_keys);
+	json_check_keys(in, place, obj, allowance_keys);
 	plan->name = str_dup(lists->pool,
 			     json_text(in, place, obj, "plan", DOC_NAME_MAX));
 	plan->indexes = json_strings(in, place, obj, "indexes", lists->pool,
@@ -57,7 +57,7 @@
 	plan->extra_load =
 		json_real_or(in, place, obj, "extra_load", 0, 1, 0.05);
 	if (plan->soft_us > plan->deadline_us)
-		json_fault(in, place, "soft_ms is over deadline_ms");
+		json_error_set(in, place, "soft_ms is over deadline_ms");
 }
 
 static struct plan *find_plan(apr_hash_t *names, struct str name)
@@ -65,10 +65,11 @@
 	return apr_hash_get(names, name.ptr, (apr_ssize_t)name.len);
 }
 
-static void parse_allowances(struct json_in *in, struct lists *lists,
+static void parse_allowances(struct json_input *in, struct lists *lists,
 			     json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "allowances", doc, "allowances", JSON_ANY);
+	json_t *list =
+		json_list(in, "allowances", doc, "allowances", JSON_UNBOUNDED);
 
 	lists->nplans = list ? json_array_size(list) : 0;
 	lists->plans = apr_pcalloc(lists->pool,
@@ -81,19 +82,19 @@
 		parse_allowance(in, place, lists, json_array_get(list, i),
 				plan);
 		if (find_plan(names, plan->name))
-			json_fault(in, place, "plan \"%.*s\" stands twice",
-				   STR_ARG(plan->name));
+			json_error_set(in, place, "plan \"%.*s\" stands twice",
+				       STR_ARG(plan->name));
 		apr_hash_set(names, plan->name.ptr, (apr_ssize_t)plan->name.len,
 			     plan);
 	}
 }
 
-static void parse_customer(struct json_in *in, const char *place,
+static void parse_customer(struct json_input *in, const char *place,
 			   struct lists *lists, json_t *obj, apr_hash_t *names)
 {
 	static const char *const keys[] = { "customer", "plan", NULL };
 
-	json_keys(in, place, obj, keys);
+	json_check_keys(in, place, obj, keys);
 
 	struct str customer =
 		json_text(in, place, obj, "customer", DOC_NAME_MAX);
@@ -105,23 +106,23 @@
 	struct plan *plan = find_plan(names, name);
 
 	if (!plan) {
-		json_fault(in, place, "no allowance for plan \"%.*s\"",
-			   STR_ARG(name));
+		json_error_set(in, place, "no allowance for plan \"%.*s\"",
+			       STR_ARG(name));
 		return;
 	}
 	customer = str_dup(lists->pool, customer);
 	if (apr_hash_get(lists->customers, customer.ptr,
 			 (apr_ssize_t)customer.len))
-		json_fault(in, place, "customer \"%.*s\" stands twice",
-			   STR_ARG(customer));
+		json_error_set(in, place, "customer \"%.*s\" stands twice",
+			       STR_ARG(customer));
 	apr_hash_set(lists->customers, customer.ptr, (apr_ssize_t)customer.len,
 		     plan);
 }
 
-static void parse_customers(struct json_in *in, struct lists *lists,
+static void parse_customers(struct json_input *in, struct lists *lists,
 			    json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "plans", doc, "plans", JSON_ANY);
+	json_t *list = json_list(in, "plans", doc, "plans", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	for (size_t i = 0; i < count && !in->err.code; i++) {
@@ -137,21 +138,21 @@
 {
 	static const char *const keys[] = { "version", "plans", "allowances",
 					    NULL };
-	struct json_in in = { .file = "lists", .code = ERR_LIST };
+	struct json_input in = { .file = "lists", .code = ERR_LIST };
 	json_t *doc = body.len > DOC_MAX ? NULL : json_parse(&in, body);
 	struct lists *lists = NULL;
 	apr_hash_t *names;
 	apr_pool_t *pool;
 
 	if (body.len > DOC_MAX)
-		json_fault(&in, "size", "over %d bytes", DOC_MAX);
+		json_error_set(&in, "size", "over %d bytes", DOC_MAX);
 	if (doc) {
 		apr_pool_create(&pool, NULL);
 		lists = apr_pcalloc(pool, sizeof(*lists));
 		lists->pool = pool;
 		lists->customers = hash_make(pool);
 		lists->hash = str_hash(body);
-		json_keys(&in, "top", doc, keys);
+		json_check_keys(&in, "top", doc, keys);
 		lists->version = (uint64_t)json_int(&in, "top", doc, "version",
 						    1, INT64_MAX);
 		names = hash_make(pool);
@@ -186,7 +187,7 @@
 }
 
 /* "state" has one ordinary value and one that takes the thing out. */
-static bool parse_state(struct json_in *in, const char *place, json_t *obj,
+static bool parse_state(struct json_input *in, const char *place, json_t *obj,
 			const char *ordinary, const char *other)
 {
 	struct str state = json_text(in, place, obj, "state", DOC_NAME_MAX);
@@ -194,15 +195,16 @@
 	if (str_eq(state, str_of(other)))
 		return true;
 	if (!str_eq(state, str_of(ordinary)))
-		json_fault(in, place, "state must be \"%s\" or \"%s\"",
-			   ordinary, other);
+		json_error_set(in, place, "state must be \"%s\" or \"%s\"",
+			       ordinary, other);
 	return false;
 }
 
-static void parse_domains(struct json_in *in, struct fleet *fleet, json_t *doc)
+static void parse_domains(struct json_input *in, struct fleet *fleet,
+			  json_t *doc)
 {
 	static const char *const keys[] = { "name", "state", NULL };
-	json_t *list = json_list(in, "domains", doc, "domains", JSON_ANY);
+	json_t *list = json_list(in, "domains", doc, "domains", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	fleet->domains =
@@ -213,14 +215,14 @@
 		char place[PLACE];
 
 		snprintf(place, sizeof(place), "domains[%zu]", i);
-		json_keys(in, place, obj, keys);
+		json_check_keys(in, place, obj, keys);
 
 		struct str name =
 			json_text(in, place, obj, "name", DOC_NAME_MAX);
 
 		if (fleet_domain(fleet, name))
-			json_fault(in, place, "\"%.*s\" stands twice",
-				   STR_ARG(name));
+			json_error_set(in, place, "\"%.*s\" stands twice",
+				       STR_ARG(name));
 		domain->name = str_dup(fleet->pool, name);
 		domain->out = parse_state(in, place, obj, "in", "out");
 		apr_hash_set(fleet->by_name, domain->name.ptr,
@@ -229,45 +231,47 @@
 	}
 }
 
-static struct domain *parse_domain(struct json_in *in, const char *place,
+static struct domain *parse_domain(struct json_input *in, const char *place,
 				   struct fleet *fleet, json_t *obj)
 {
 	struct str name = json_text(in, place, obj, "domain", DOC_NAME_MAX);
 	struct domain *domain = fleet_domain(fleet, name);
 
 	if (!domain)
-		json_fault(in, place, "failure domain \"%.*s\" is not listed",
-			   STR_ARG(name));
+		json_error_set(in, place,
+			       "failure domain \"%.*s\" is not listed",
+			       STR_ARG(name));
 	return domain;
 }
 
-static struct str parse_addr(struct json_in *in, const char *place,
+static struct str parse_addr(struct json_input *in, const char *place,
 			     struct fleet *fleet, json_t *obj)
 {
 	struct str addr = json_text(in, place, obj, "address", DOC_NAME_MAX);
 	const char *colon = addr.len ? memchr(addr.ptr, ':', addr.len) : NULL;
 
 	if (!colon || strspn(addr.ptr, "0123456789.:") < addr.len)
-		json_fault(in, place, "address must be \"ip:port\"");
+		json_error_set(in, place, "address must be \"ip:port\"");
 	return str_dup(fleet->pool, addr);
 }
 
 /* A name or address that stands twice would give one thing two owners. */
-static void check_unique(struct json_in *in, const char *place,
+static void check_unique(struct json_input *in, const char *place,
 			 apr_hash_t *seen, struct str name, void *value)
 {
 	if (in->err.code)
 		return;
 	if (apr_hash_get(seen, name.ptr, (apr_ssize_t)name.len))
-		json_fault(in, place, "\"%.*s\" stands twice", STR_ARG(name));
+		json_error_set(in, place, "\"%.*s\" stands twice",
+			       STR_ARG(name));
 	apr_hash_set(seen, name.ptr, (apr_ssize_t)name.len, value);
 }
 
-static void parse_vms(struct json_in *in, struct fleet *fleet, json_t *doc)
+static void parse_vms(struct json_input *in, struct fleet *fleet, json_t *doc)
 {
 	static const char *const keys[] = { "address", "domain", "state",
 					    NULL };
-	json_t *list = json_list(in, "vms", doc, "vms", JSON_ANY);
+	json_t *list = json_list(in, "vms", doc, "vms", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 	apr_hash_t *seen = hash_make(fleet->pool);
 
@@ -280,7 +284,7 @@
 		char place[PLACE];
 
 		snprintf(place, sizeof(place), "vms[%zu]", i);
-		json_keys(in, place, obj, keys);
+		json_check_keys(in, place, obj, keys);
 		vm->addr = parse_addr(in, place, fleet, obj);
 		vm->key = str_hash(vm->addr);
 		vm->domain = parse_domain(in, place, fleet, obj);
@@ -289,13 +293,13 @@
 	}
 }
 
-static void parse_targets(struct json_in *in, struct fleet *fleet, json_t *doc,
-			  apr_hash_t *names)
+static void parse_targets(struct json_input *in, struct fleet *fleet,
+			  json_t *doc, apr_hash_t *names)
 {
 	static const char *const keys[] = { "name",  "address", "domain",
 					    "state", "slots",	"connections",
 					    NULL };
-	json_t *list = json_list(in, "targets", doc, "targets", JSON_ANY);
+	json_t *list = json_list(in, "targets", doc, "targets", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 	apr_hash_t *addrs = hash_make(fleet->pool);
 
@@ -308,7 +312,7 @@
 		char place[PLACE];
 
 		snprintf(place, sizeof(place), "targets[%zu]", i);
-		json_keys(in, place, obj, keys);
+		json_check_keys(in, place, obj, keys);
 		target->name =
 			str_dup(fleet->pool, json_text(in, place, obj, "name",
 						       DOC_NAME_MAX));
@@ -326,8 +330,8 @@
 	}
 }
 
-static void parse_replicas(struct json_in *in, const char *place, json_t *obj,
-			   apr_hash_t *names, struct shard *shard)
+static void parse_replicas(struct json_input *in, const char *place,
+			   json_t *obj, apr_hash_t *names, struct shard *shard)
 {
 	json_t *list = json_list(in, place, obj, "replicas", DOC_MAX_REPLICAS);
 	size_t count = list ? json_array_size(list) : 0;
@@ -339,13 +343,14 @@
 			     : NULL;
 
 		if (!target) {
-			json_fault(in, place, "replica %zu is no target", i);
+			json_error_set(in, place, "replica %zu is no target",
+				       i);
 			return;
 		}
 		for (size_t j = 0; j < i; j++)
 			if (shard->replicas[j] == target)
-				json_fault(in, place, "replica \"%s\" twice",
-					   name);
+				json_error_set(in, place,
+					       "replica \"%s\" twice", name);
 		shard->replicas[i] = target;
 	}
 	shard->nreplicas = count;
@@ -369,7 +374,7 @@
  * Two shards that share a key would count its records twice and let an answer
  * report more than it covers, so such a map is refused as a whole.
  */
-static void check_map(struct json_in *in, const char *place,
+static void check_map(struct json_input *in, const char *place,
 		      struct snapshot *snap, apr_pool_t *pool)
 {
 	apr_hash_t *ids = hash_make(pool);
@@ -381,45 +386,45 @@
 
 		if (before && str_eq(before->index, shard->index) &&
 		    before->to > shard->from)
-			json_fault(in, place, "shards %u and %u overlap",
-				   before->id, shard->id);
+			json_error_set(in, place, "shards %u and %u overlap",
+				       before->id, shard->id);
 		if (apr_hash_get(ids, &shard->id, sizeof(shard->id)))
-			json_fault(in, place, "shard id %u stands twice",
-				   shard->id);
+			json_error_set(in, place, "shard id %u stands twice",
+				       shard->id);
 		apr_hash_set(ids, &shard->id, sizeof(shard->id), shard);
 	}
 }
 
-static void parse_shard(struct json_in *in, const char *place,
+static void parse_shard(struct json_input *in, const char *place,
 			struct fleet *fleet, json_t *obj, apr_hash_t *names,
 			struct shard *shard)
 {
 	static const char *const keys[] = { "id",     "index",	  "from", "to",
 					    "weight", "replicas", NULL };
 
-	json_keys(in, place, obj, keys);
+	json_check_keys(in, place, obj, keys);
 	shard->id = (uint32_t)json_int(in, place, obj, "id", 1, UINT32_MAX);
 	shard->index = str_dup(
 		fleet->pool, json_text(in, place, obj, "index", DOC_NAME_MAX));
 	shard->from = json_int(in, place, obj, "from", INT64_MIN, INT64_MAX);
 	shard->to = json_int(in, place, obj, "to", INT64_MIN, INT64_MAX);
 	if (shard->to <= shard->from)
-		json_fault(in, place, "\"to\" must be above \"from\"");
+		json_error_set(in, place, "\"to\" must be above \"from\"");
 	shard->weight = json_real_or(in, place, obj, "weight", 1e-9, 1e12, 1);
 	parse_replicas(in, place, obj, names, shard);
 }
 
-static void parse_snapshot(struct json_in *in, const char *place,
+static void parse_snapshot(struct json_input *in, const char *place,
 			   struct fleet *fleet, json_t *obj, apr_hash_t *names,
 			   struct snapshot *snap)
 {
 	static const char *const keys[] = { "version", "shards", NULL };
 
-	json_keys(in, place, obj, keys);
+	json_check_keys(in, place, obj, keys);
 	snap->version =
 		(uint64_t)json_int(in, place, obj, "version", 1, INT64_MAX);
 
-	json_t *list = json_list(in, place, obj, "shards", JSON_ANY);
+	json_t *list = json_list(in, place, obj, "shards", JSON_UNBOUNDED);
 
 	snap->nshards = list ? json_array_size(list) : 0;
 	snap->shards = apr_pcalloc(fleet->pool,
@@ -435,10 +440,11 @@
 		check_map(in, place, snap, fleet->pool);
 }
 
-static void parse_snapshots(struct json_in *in, struct fleet *fleet,
+static void parse_snapshots(struct json_input *in, struct fleet *fleet,
 			    json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "snapshots", doc, "snapshots", JSON_ANY);
+	json_t *list =
+		json_list(in, "snapshots", doc, "snapshots", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	fleet->nsnapshots = count;
@@ -452,7 +458,7 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_fault(in, place, "versions must go down");
+			json_error_set(in, place, "versions must go down");
 	}
 }
 
@@ -460,13 +466,13 @@
 {
 	static const char *const keys[] = { "version", "domains",   "vms",
 					    "targets", "snapshots", NULL };
-	struct json_in in = { .file = "fleet", .code = ERR_LIST };
+	struct json_input in = { .file = "fleet", .code = ERR_LIST };
 	json_t *doc = body.len > DOC_MAX ? NULL : json_parse(&in, body);
 	struct fleet *fleet = NULL;
 	apr_pool_t *pool;
 
 	if (body.len > DOC_MAX)
-		json_fault(&in, "size", "over %d bytes", DOC_MAX);
+		json_error_set(&in, "size", "over %d bytes", DOC_MAX);
 	if (doc) {
 		apr_pool_create(&pool, NULL);
 		fleet = apr_pcalloc(pool, sizeof(*fleet));
@@ -477,7 +483,7 @@
 
 		apr_hash_t *names = hash_make(pool);
 
-		json_keys(&in, "top", doc, keys);
+		json_check_keys(&in, "top", doc, keys);
 		fleet->version = (uint64_t)json_int(&in, "top", doc, "version",
 						    1, INT64_MAX);
 		parse_domains(&in, fleet, doc);
--- a/edge.c
+++ b/edge.c
@@ -220,19 +220,19 @@
 		.host = http_header(req, STR("Host")),
 		.request_id = http_header(req, names->request_id),
 		.body = req->body,
-		.caller = http_caller(req),
+		.caller = http_client_ip(req),
 		.time_left_us = head_parse_time_left(
 			http_header(req, names->time_left)),
 	};
 
-	http_headers(req, head_is_forwarded, &lines);
+	http_copy_headers(req, head_is_forwarded, &lines);
 	request.headers = buf_str(&lines);
 	apr_hash_set(edge->requests, &req->id, sizeof(req->id), req);
 	dispatch(edge,
 		 (struct flow_event){ .type = FLOW_REQUEST,
 				      .id = req->id,
 				      .request = &request,
-				      .held_us = loop_held_us(edge->loop) });
+				      .held_us = loop_pause_us(edge->loop) });
 	buf_free(&lines);
 }
 
@@ -251,7 +251,7 @@
 {
 	struct edge *edge = ctx;
 
-	http_reply(req, edge->ready ? 200 : 503, STR("{}"));
+	http_respond_json(req, edge->ready ? 200 : 503, STR("{}"));
 }
 
 static void on_metrics(void *ctx, struct http_request *req)
@@ -274,7 +274,7 @@
 		.type = FLOW_MSG,
 		.from = frame->from,
 		.incarnation = frame->from_incarnation,
-		.held_us = loop_held_us(edge->loop),
+		.held_us = loop_pause_us(edge->loop),
 		.sent_us = frame->sent_us,
 	};
 
@@ -327,7 +327,7 @@
 		edge->ready = fx->on;
 		break;
 	case FLOW_LIMITS:
-		http_max_body(edge->callers, fx->limits.body_bytes);
+		http_set_max_body(edge->callers, fx->limits.body_bytes);
 		break;
 	case FLOW_EXIT:
 		loop_stop(edge->loop);
@@ -425,7 +425,7 @@
 		return;
 	}
 	LOG_INFO("signal %d: planned stop", number);
-	http_closing(edge->callers, true);
+	http_set_closing(edge->callers, true);
 	dispatch(edge, (struct flow_event){ .type = FLOW_STOP });
 }
 
@@ -448,7 +448,7 @@
 static void log_slow_round(struct edge *edge)
 {
 	int64_t now = loop_now();
-	int64_t elapsed_us = now - loop_round_at(edge->loop);
+	int64_t elapsed_us = now - loop_round_start(edge->loop);
 
 	if (elapsed_us >= SLOW_ROUND_US &&
 	    now - edge->slow_round_logged_at > SLOW_ROUND_LOG_INTERVAL_US) {
@@ -470,7 +470,7 @@
 static bool defer_tick(struct edge *edge, int64_t now)
 {
 	bool defer = !edge->tick_deferred &&
-		     now - loop_round_at(edge->loop) > LONG_ROUND_US;
+		     now - loop_round_start(edge->loop) > LONG_ROUND_US;
 
 	edge->tick_deferred = defer;
 	return defer;
@@ -545,7 +545,7 @@
 
 	if (code)
 		return code;
-	log_node(edge->settings.name);
+	log_set_node(edge->settings.name);
 	code = listen_all(edge, opt->metrics_port, tier.incarnation, err);
 	if (code)
 		return code;
@@ -566,7 +566,7 @@
 	 * Requests that came meanwhile are served like any other: the process
 	 * ends at a moment when it holds none.
 	 */
-	while (http_open(edge->callers) && loop_now() < until)
+	while (http_open_requests(edge->callers) && loop_now() < until)
 		loop_step(edge->loop);
 }
 
--- a/explain.c
+++ b/explain.c
@@ -92,13 +92,14 @@
 {
 	struct explain *explain = xcalloc(1, sizeof(*explain));
 
-	explain->id = str_keep(id);
+	explain->id = str_heap_dup(id);
 	return explain;
 }
 
 static struct str text_of(json_t *obj, const char *key)
 {
-	return str_keep(str_of(json_string_value(json_object_get(obj, key))));
+	return str_heap_dup(
+		str_of(json_string_value(json_object_get(obj, key))));
 }
 
 static bool is_about(json_t *event, struct str id)
--- a/gate.c
+++ b/gate.c
@@ -368,14 +368,14 @@
 	job->incarnation = incarnation;
 	job->id = msg->id;
 	job->attempt = msg->attempt;
-	job->addr = str_keep(from);
+	job->addr = str_heap_dup(from);
 	job->is_entry = msg->kind == MSG_RESERVE;
 	job->target = target;
 	target->jobs++;
 	job->shard = msg->shard;
 	job->version = msg->version;
-	job->index = str_keep(msg->name);
-	job->terms = str_keep(msg->text);
+	job->index = str_heap_dup(msg->name);
+	job->terms = str_heap_dup(msg->text);
 	job->queued_at = node->now;
 	job->deadline = node->now + msg->remaining_us;
 	apr_hash_set(gate->jobs_by_number, &job->number, sizeof(job->number),
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -157,7 +157,7 @@
 	if (!target) {
 		target = xcalloc(1, sizeof(*target));
 		target->key = listed->key;
-		target->name = str_keep(listed->name);
+		target->name = str_heap_dup(listed->name);
 		apr_hash_set(gate->targets, &target->key, sizeof(target->key),
 			     target);
 	}
@@ -179,12 +179,12 @@
 
 	if (!str_eq(target->addr, listed->addr)) {
 		str_free(target->addr);
-		target->addr = str_keep(listed->addr);
+		target->addr = str_heap_dup(listed->addr);
 		target->boot = 0;
 		target->limit = TARGET_LIMIT_MIN;
 	}
 	str_free(target->domain);
-	target->domain = str_keep(listed->domain->name);
+	target->domain = str_heap_dup(listed->domain->name);
 	target->slots = listed->slots;
 	if (node->opt.direct)
 		target->slots =
--- a/http.c
+++ b/http.c
@@ -12,9 +12,9 @@
 #include "xmalloc.h"
 
 enum {
-	CONNECTION_MEMORY = 32 * 1024,
+	CONNECTION_MEMORY_BYTES = 32 * 1024,
 	CONNECTIONS_MAX = 8192,
-	IDLE_SECONDS = 120,
+	IDLE_TIMEOUT_S = 120,
 };
 
 /** struct pending - a request and what MHD needs for it */
@@ -24,7 +24,7 @@
 	struct buf body;
 	struct watch *watch;
 	int dup_fd;
-	bool handed;
+	bool delivered;
 	bool suspended;
 	bool answered;
 	bool aborted;
@@ -50,7 +50,7 @@
 
 static uint64_t last_id;
 
-static void stop_watching(struct pending *p)
+static void unwatch_client(struct pending *p)
 {
 	if (!p->watch)
 		return;
@@ -59,9 +59,9 @@
 	p->watch = NULL;
 }
 
-static void resume(struct pending *p)
+static void resume_connection(struct pending *p)
 {
-	stop_watching(p);
+	unwatch_client(p);
 	if (!p->suspended)
 		return;
 	p->suspended = false;
@@ -80,10 +80,10 @@
 	p->status = status;
 	buf_str_add(&p->reply_headers, headers);
 	buf_str_add(&p->reply, body);
-	resume(p);
+	resume_connection(p);
 }
 
-void http_reply(struct http_request *req, int status, struct str body)
+void http_respond_json(struct http_request *req, int status, struct str body)
 {
 	http_respond(req, status, STR("Content-Type: application/json\r\n"),
 		     body);
@@ -95,14 +95,14 @@
 
 	p->answered = true;
 	p->aborted = true;
-	resume(p);
+	resume_connection(p);
 }
 
 /*
  * A suspended connection is not polled by MHD, so a caller that went away
  * would go unnoticed and its leaf work would run on for nobody.
  */
-static void on_caller(void *ctx, int events)
+static void on_client_readable(void *ctx, int events)
 {
 	struct pending *p = ctx;
 	char byte;
@@ -110,7 +110,7 @@
 
 	(void)events;
 	if (got > 0) {
-		stop_watching(p);
+		unwatch_client(p);
 		return;
 	}
 	if (got < 0 && (errno == EAGAIN || errno == EINTR))
@@ -122,10 +122,10 @@
 	p->aborted = true;
 	if (server->handler.gone)
 		server->handler.gone(server->handler.ctx, &p->req);
-	resume(p);
+	resume_connection(p);
 }
 
-static void watch_caller(struct pending *p)
+static void watch_client(struct pending *p)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -135,7 +135,7 @@
 	if (p->dup_fd < 0)
 		return;
 	p->watch = loop_add(p->req.server->loop, p->dup_fd, APR_POLLIN,
-			    on_caller, p);
+			    on_client_readable, p);
 }
 
 /* Lines of "Name: value"; their ends become the ends of strings. */
@@ -215,7 +215,8 @@
 	return p;
 }
 
-static void note_head(struct pending *p, const char *method, const char *path)
+static void fill_request(struct pending *p, const char *method,
+			 const char *path)
 {
 	const char *remaining = MHD_lookup_connection_value(
 		p->conn, MHD_HEADER_KIND, "X-Remaining-Ms");
@@ -227,7 +228,7 @@
 	p->req.remaining_ms = remaining ? strtoll(remaining, NULL, 10) : -1;
 }
 
-struct str http_caller(struct http_request *req)
+struct str http_client_ip(struct http_request *req)
 {
 	struct pending *p = (struct pending *)req;
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -249,7 +250,7 @@
 						  name.ptr));
 }
 
-/** struct header_copy - what http_headers() carries through MHD's walk */
+/** struct header_copy - what http_copy_headers() carries through MHD's walk */
 struct header_copy {
 	bool (*keep)(struct str name);
 	struct buf *out;
@@ -266,8 +267,8 @@
 	return MHD_YES;
 }
 
-void http_headers(struct http_request *req, bool (*keep)(struct str name),
-		  struct buf *out)
+void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
+		       struct buf *out)
 {
 	struct pending *p = (struct pending *)req;
 	struct header_copy copy = { keep, out };
@@ -275,22 +276,22 @@
 	MHD_get_connection_values(p->conn, MHD_HEADER_KIND, copy_header, &copy);
 }
 
-void http_max_body(struct http_server *server, size_t max_body)
+void http_set_max_body(struct http_server *server, size_t max_body)
 {
 	server->max_body = max_body;
 }
 
-static void hand_over(struct pending *p)
+static void deliver(struct pending *p)
 {
 	struct http_server *server = p->req.server;
 
-	p->handed = true;
+	p->delivered = true;
 	if (p->too_large) {
 		struct buf out = { 0 };
 
 		error_json(&out, ERR_TOO_LARGE, "body", 0);
-		http_reply(&p->req, error_info(ERR_TOO_LARGE)->status,
-			   buf_str(&out));
+		http_respond_json(&p->req, error_info(ERR_TOO_LARGE)->status,
+				  buf_str(&out));
 		buf_free(&out);
 		return;
 	}
@@ -308,7 +309,7 @@
 
 	(void)version;
 	if (!p->req.method.len) {
-		note_head(p, method, path);
+		fill_request(p, method, path);
 		return MHD_YES;
 	}
 	if (*size) {
@@ -319,14 +320,14 @@
 		*size = 0;
 		return MHD_YES;
 	}
-	if (!p->handed)
-		hand_over(p);
+	if (!p->delivered)
+		deliver(p);
 	if (p->answered)
 		return queue_reply(p);
 	if (!p->suspended) {
 		p->suspended = true;
 		MHD_suspend_connection(conn);
-		watch_caller(p);
+		watch_client(p);
 	}
 	return MHD_YES;
 }
@@ -341,8 +342,8 @@
 	(void)code;
 	if (!p)
 		return;
-	stop_watching(p);
-	if (p->handed && !p->answered && server->handler.gone)
+	unwatch_client(p);
+	if (p->delivered && !p->answered && server->handler.gone)
 		server->handler.gone(server->handler.ctx, &p->req);
 	buf_free(&p->body);
 	buf_free(&p->uri);
@@ -412,9 +413,10 @@
 		MHD_OPTION_URI_LOG_CALLBACK, on_request_line, server,
 		MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
 		MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
-		MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
-		MHD_OPTION_CONNECTION_LIMIT, (unsigned int)CONNECTIONS_MAX,
-		MHD_OPTION_CONNECTION_TIMEOUT, (unsigned int)IDLE_SECONDS,
+		MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+		(size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_LIMIT,
+		(unsigned int)CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT,
+		(unsigned int)IDLE_TIMEOUT_S,
 		MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
 	if (!server->daemon) {
 		error_set(err, ERR_IO, "cannot listen on %.*s: %s",
@@ -440,7 +442,7 @@
 						  MHD_GET_ARGUMENT_KIND, key));
 }
 
-void http_closing(struct http_server *server, bool closing)
+void http_set_closing(struct http_server *server, bool closing)
 {
 	server->closing = closing;
 }
@@ -451,7 +453,7 @@
 		server->quiesced_fd = MHD_quiesce_daemon(server->daemon);
 }
 
-size_t http_open(const struct http_server *server)
+size_t http_open_requests(const struct http_server *server)
 {
 	return server->open;
 }
--- a/http.h
+++ b/http.h
@@ -33,7 +33,7 @@
 
 /**
  * struct http_handler - what the owner of a server does
- * @request: a whole request; answer it with http_reply(), now or later
+ * @request: a whole request; answer it with http_respond_json(), now or later
  * @gone: the peer closed before the answer; do not answer any more
  */
 struct http_handler {
@@ -45,7 +45,7 @@
 struct http_server *http_listen(struct loop *loop, struct str addr,
 				size_t max_body, struct http_handler handler,
 				struct error *err);
-void http_reply(struct http_request *req, int status, struct str body);
+void http_respond_json(struct http_request *req, int status, struct str body);
 /**
  * http_respond() - reply with header lines, "Name: value\r\n" each
  */
@@ -53,20 +53,21 @@
 		  struct str body);
 /** http_header() - value of a request's header; empty when absent. */
 struct str http_header(struct http_request *req, struct str name);
-/** http_caller() - IP number that it came from; empty when it is not known. */
-struct str http_caller(struct http_request *req);
-/** http_headers() - append the header lines for which @keep says so. */
-void http_headers(struct http_request *req, bool (*keep)(struct str name),
-		  struct buf *out);
-/** http_max_body() - largest body that is taken from now on, bytes. */
-void http_max_body(struct http_server *server, size_t max_body);
+/** http_client_ip() - IP number that it came from; empty when it is not known.
+ */
+struct str http_client_ip(struct http_request *req);
+/** http_copy_headers() - append the header lines for which @keep says so. */
+void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
+		       struct buf *out);
+/** http_set_max_body() - largest body that is taken from now on, bytes. */
+void http_set_max_body(struct http_server *server, size_t max_body);
 /** http_abort() - close the connection without an answer. */
 void http_abort(struct http_request *req);
 /** http_query() - value of a query parameter; empty when absent. */
 struct str http_query(struct http_request *req, const char *key);
-/** http_closing() - tell clients to close after each answer. */
-void http_closing(struct http_server *server, bool closing);
+/** http_set_closing() - tell clients to close after each answer. */
+void http_set_closing(struct http_server *server, bool closing);
 /** http_quiesce() - accept no further connections. */
 void http_quiesce(struct http_server *server);
-size_t http_open(const struct http_server *server);
+size_t http_open_requests(const struct http_server *server);
 void http_destroy(struct http_server *server);
--- a/json.c
+++ b/json.c
@@ -5,10 +5,11 @@
 #include <stdio.h>
 
 enum {
-	MAX_NAME = 64
+	NAME_MAX_BYTES = 64
 };
 
-void json_fault(struct json_in *in, const char *place, const char *fmt, ...)
+void json_error_set(struct json_input *in, const char *place, const char *fmt,
+		    ...)
 {
 	char text[120];
 	va_list args;
@@ -21,19 +22,19 @@
 	error_set(&in->err, in->code, "%s: %s: %s", in->file, place, text);
 }
 
-json_t *json_parse(struct json_in *in, struct str text)
+json_t *json_parse(struct json_input *in, struct str text)
 {
-	json_error_t fault;
+	json_error_t parse_error;
 	json_t *doc = json_loadb(text.ptr ? text.ptr : "", text.len,
-				 JSON_REJECT_DUPLICATES, &fault);
+				 JSON_REJECT_DUPLICATES, &parse_error);
 
 	if (doc)
 		return doc;
 	char place[48];
 
-	snprintf(place, sizeof(place), "line %d column %d", fault.line,
-		 fault.column);
-	json_fault(in, place, "%s", fault.text);
+	snprintf(place, sizeof(place), "line %d column %d", parse_error.line,
+		 parse_error.column);
+	json_error_set(in, place, "%s", parse_error.text);
 	return NULL;
 }
 
@@ -45,144 +46,148 @@
 	return false;
 }
 
-void json_keys(struct json_in *in, const char *place, json_t *obj,
-	       const char *const *known)
+void json_check_keys(struct json_input *in, const char *place, json_t *obj,
+		     const char *const *known)
 {
 	const char *key;
 	json_t *value;
 
 	if (!json_is_object(obj)) {
-		json_fault(in, place, "must be an object");
+		json_error_set(in, place, "must be an object");
 		return;
 	}
 	json_object_foreach(obj, key, value)
 	{
 		if (!is_known(key, known))
-			json_fault(in, place, "unknown field \"%.40s\"", key);
+			json_error_set(in, place, "unknown field \"%.40s\"",
+				       key);
 	}
 }
 
-static json_t *field(struct json_in *in, const char *place, json_t *obj,
-		     const char *key)
+static json_t *required_field(struct json_input *in, const char *place,
+			      json_t *obj, const char *key)
 {
 	json_t *value = json_object_get(obj, key);
 
 	if (!value)
-		json_fault(in, place, "field \"%s\" is missing", key);
+		json_error_set(in, place, "field \"%s\" is missing", key);
 	return value;
 }
 
-static int64_t int_value(struct json_in *in, const char *place, json_t *value,
-			 const char *key, int64_t min, int64_t max)
+static int64_t int_value(struct json_input *in, const char *place,
+			 json_t *value, const char *key, int64_t min,
+			 int64_t max)
 {
 	if (!json_is_integer(value)) {
-		json_fault(in, place, "field \"%s\" must be an integer", key);
+		json_error_set(in, place, "field \"%s\" must be an integer",
+			       key);
 		return min;
 	}
 	int64_t number = json_integer_value(value);
 
 	if (number < min || number > max) {
-		json_fault(in, place, "field \"%s\" must be %lld to %lld", key,
-			   (long long)min, (long long)max);
+		json_error_set(in, place, "field \"%s\" must be %lld to %lld",
+			       key, (long long)min, (long long)max);
 		return min;
 	}
 	return number;
 }
 
-int64_t json_int(struct json_in *in, const char *place, json_t *obj,
+int64_t json_int(struct json_input *in, const char *place, json_t *obj,
 		 const char *key, int64_t min, int64_t max)
 {
-	json_t *value = field(in, place, obj, key);
+	json_t *value = required_field(in, place, obj, key);
 
 	return value ? int_value(in, place, value, key, min, max) : min;
 }
 
-int64_t json_int_or(struct json_in *in, const char *place, json_t *obj,
-		    const char *key, int64_t min, int64_t max, int64_t other)
+int64_t json_int_or(struct json_input *in, const char *place, json_t *obj,
+		    const char *key, int64_t min, int64_t max, int64_t fallback)
 {
 	json_t *value = json_object_get(obj, key);
 
-	return value ? int_value(in, place, value, key, min, max) : other;
+	return value ? int_value(in, place, value, key, min, max) : fallback;
 }
 
-double json_real_or(struct json_in *in, const char *place, json_t *obj,
-		    const char *key, double min, double max, double other)
+double json_real_or(struct json_input *in, const char *place, json_t *obj,
+		    const char *key, double min, double max, double fallback)
 {
 	json_t *value = json_object_get(obj, key);
 
 	if (!value)
-		return other;
+		return fallback;
 	if (!json_is_number(value)) {
-		json_fault(in, place, "field \"%s\" must be a number", key);
-		return other;
+		json_error_set(in, place, "field \"%s\" must be a number", key);
+		return fallback;
 	}
 	double number = json_number_value(value);
 
 	if (number < min || number > max)
-		json_fault(in, place, "field \"%s\" must be %g to %g", key, min,
-			   max);
+		json_error_set(in, place, "field \"%s\" must be %g to %g", key,
+			       min, max);
 	return number;
 }
 
-double json_near(struct json_in *in, const char *place, json_t *obj,
-		 const char *key, double min, double max, double other)
+double json_clamped(struct json_input *in, const char *place, json_t *obj,
+		    const char *key, double min, double max, double fallback)
 {
-	double number =
-		json_real_or(in, place, obj, key, -INFINITY, INFINITY, other);
+	double number = json_real_or(in, place, obj, key, -INFINITY, INFINITY,
+				     fallback);
 
 	if (number < min)
 		return min;
 	return number > max ? max : number;
 }
 
-static struct str text_value(struct json_in *in, const char *place,
+static struct str text_value(struct json_input *in, const char *place,
 			     json_t *value, const char *key, size_t max)
 {
 	if (!json_is_string(value)) {
-		json_fault(in, place, "field \"%s\" must be a string", key);
+		json_error_set(in, place, "field \"%s\" must be a string", key);
 		return (struct str){ 0 };
 	}
 	struct str text = { json_string_value(value),
 			    json_string_length(value) };
 
 	if (!text.len || text.len > max)
-		json_fault(in, place, "field \"%s\" must have 1 to %zu bytes",
-			   key, max);
+		json_error_set(in, place,
+			       "field \"%s\" must have 1 to %zu bytes", key,
+			       max);
 	return text;
 }
 
-struct str json_text(struct json_in *in, const char *place, json_t *obj,
+struct str json_text(struct json_input *in, const char *place, json_t *obj,
 		     const char *key, size_t max)
 {
-	json_t *value = field(in, place, obj, key);
+	json_t *value = required_field(in, place, obj, key);
 
 	return value ? text_value(in, place, value, key, max)
 		     : (struct str){ 0 };
 }
 
-json_t *json_list(struct json_in *in, const char *place, json_t *obj,
+json_t *json_list(struct json_input *in, const char *place, json_t *obj,
 		  const char *key, size_t max)
 {
-	json_t *value = field(in, place, obj, key);
+	json_t *value = required_field(in, place, obj, key);
 
 	if (!value)
 		return NULL;
 	if (!json_is_array(value)) {
-		json_fault(in, place, "field \"%s\" must be an array", key);
+		json_error_set(in, place, "field \"%s\" must be an array", key);
 		return NULL;
 	}
 	if (json_array_size(value) > max) {
-		json_fault(in, place, "field \"%s\" has over %zu items", key,
-			   max);
+		json_error_set(in, place, "field \"%s\" has over %zu items",
+			       key, max);
 		return NULL;
 	}
 	return value;
 }
 
-struct str *json_strings(struct json_in *in, const char *place, json_t *obj,
+struct str *json_strings(struct json_input *in, const char *place, json_t *obj,
 			 const char *key, apr_pool_t *pool, size_t *count)
 {
-	json_t *list = json_list(in, place, obj, key, JSON_ANY);
+	json_t *list = json_list(in, place, obj, key, JSON_UNBOUNDED);
 	size_t n = list ? json_array_size(list) : 0;
 	struct str *out = apr_pcalloc(pool, (n + 1) * sizeof(*out));
 	apr_hash_t *seen = hash_make(pool);
@@ -190,11 +195,11 @@
 	*count = n;
 	for (size_t i = 0; i < n; i++) {
 		out[i] = text_value(in, place, json_array_get(list, i), key,
-				    MAX_NAME);
+				    NAME_MAX_BYTES);
 		out[i] = str_dup(pool, out[i]);
 		if (apr_hash_get(seen, out[i].ptr, (apr_ssize_t)out[i].len))
-			json_fault(in, place, "\"%s\" has \"%.*s\" twice", key,
-				   STR_ARG(out[i]));
+			json_error_set(in, place, "\"%s\" has \"%.*s\" twice",
+				       key, STR_ARG(out[i]));
 		apr_hash_set(seen, out[i].ptr, (apr_ssize_t)out[i].len,
 			     &out[i]);
 	}
--- a/log.c
+++ b/log.c
@@ -11,14 +11,14 @@
 
 enum {
 	/* A pipe that is ready takes this much at once without waiting. */
-	CHUNK = 4096,
+	CHUNK_BYTES = 4096,
 	/* At the end: the reader is given this long, milliseconds. */
-	LAST_WAIT_MS = 200,
+	FINAL_FLUSH_TIMEOUT_MS = 200,
 };
 
 static log4c_category_t *category;
-static struct buf kept;
-static unsigned long left_out;
+static struct buf pending;
+static unsigned long dropped;
 static char node_name[64];
 
 static const int priorities[] = {
@@ -45,55 +45,55 @@
 
 static const log4c_layout_type_t json_layout = { "json", json_format };
 
-static int keep_line(log4c_appender_t *appender,
-		     const log4c_logging_event_t *event)
+static int buffer_line(log4c_appender_t *appender,
+		       const log4c_logging_event_t *event)
 {
 	struct str line = str_of(event->evt_rendered_msg);
 
 	(void)appender;
-	if (kept.len + line.len > LOG_KEPT_MAX)
-		left_out++;
+	if (pending.len + line.len > LOG_BUFFER_MAX_BYTES)
+		dropped++;
 	else
-		buf_str_add(&kept, line);
+		buf_str_add(&pending, line);
 	return (int)line.len;
 }
 
-static const log4c_appender_type_t kept_appender = { "kept", NULL, keep_line,
-						     NULL };
+static const log4c_appender_type_t buffer_appender = { "kept", NULL,
+						       buffer_line, NULL };
 
 /* Return: false when the reader takes nothing now, or is gone. */
 static bool write_chunk(int wait_ms)
 {
 	struct pollfd out = { .fd = STDOUT_FILENO, .events = POLLOUT };
-	size_t len = kept.len < CHUNK ? kept.len : CHUNK;
+	size_t len = pending.len < CHUNK_BYTES ? pending.len : CHUNK_BYTES;
 	ssize_t done;
 
 	if (poll(&out, 1, wait_ms) != 1 || !(out.revents & POLLOUT))
 		return false;
-	done = write(STDOUT_FILENO, kept.ptr, len);
+	done = write(STDOUT_FILENO, pending.ptr, len);
 	if (done < 0 && errno == EINTR)
 		return true;
 	if (done <= 0)
 		return false;
-	buf_drop(&kept, (size_t)done);
+	buf_drop(&pending, (size_t)done);
 	return true;
 }
 
 void log_flush(void)
 {
-	while (kept.len && write_chunk(0))
+	while (pending.len && write_chunk(0))
 		;
-	if (left_out && kept.len < LOG_KEPT_MAX / 2) {
-		unsigned long count = left_out;
+	if (dropped && pending.len < LOG_BUFFER_MAX_BYTES / 2) {
+		unsigned long count = dropped;
 
-		left_out = 0;
+		dropped = 0;
 		log_msg(LOG_CLASS_WARN, "log",
 			"%lu lines left out: standard output was not read",
 			count);
 	}
 }
 
-void log_node(struct str name)
+void log_set_node(struct str name)
 {
 	snprintf(node_name, sizeof(node_name), "%.*s", STR_ARG(name));
 }
@@ -107,13 +107,13 @@
 			priority = priorities[i];
 	log4c_init();
 	log4c_layout_type_set(&json_layout);
-	log4c_appender_type_set(&kept_appender);
+	log4c_appender_type_set(&buffer_appender);
 
 	log4c_layout_t *layout = log4c_layout_get("json lines");
 	log4c_appender_t *appender = log4c_appender_get("kept lines");
 
 	log4c_layout_set_type(layout, &json_layout);
-	log4c_appender_set_type(appender, &kept_appender);
+	log4c_appender_set_type(appender, &buffer_appender);
 	log4c_appender_set_layout(appender, layout);
 	category = log4c_category_get("wasabimoor");
 	log4c_category_set_appender(category, appender);
@@ -122,11 +122,11 @@
 
 void log_deinit(void)
 {
-	while (kept.len && write_chunk(LAST_WAIT_MS))
+	while (pending.len && write_chunk(FINAL_FLUSH_TIMEOUT_MS))
 		;
 	log4c_fini();
-	buf_free(&kept);
-	kept = (struct buf){ 0 };
+	buf_free(&pending);
+	pending = (struct buf){ 0 };
 	category = NULL;
 }
 
--- a/log.h
+++ b/log.h
@@ -9,12 +9,13 @@
  * message. A file that logs defines LOG_MODULE before it includes this header.
  *
  * Nothing ever waits for whoever reads standard output. Lines are kept in
- * memory and written as far as the reader takes them; beyond LOG_KEPT_MAX bytes
- * they are left out, and their number is told when the reader goes on.
+ * memory and written as far as the reader takes them; beyond
+ * LOG_BUFFER_MAX_BYTES bytes they are left out, and their number is told when
+ * the reader goes on.
  */
 
 enum {
-	LOG_KEPT_MAX = 256 * 1024,
+	LOG_BUFFER_MAX_BYTES = 256 * 1024,
 };
 
 enum log_class {
@@ -28,8 +29,8 @@
 void log_init(struct str level);
 /** log_deinit() - gives the reader a last moment for what is kept. */
 void log_deinit(void);
-/** log_node() - name of the VM, for each line from now on. */
-void log_node(struct str name);
+/** log_set_node() - name of the VM, for each line from now on. */
+void log_set_node(struct str name);
 /** log_flush() - write what the reader of standard output takes now. */
 void log_flush(void);
 void log_msg(enum log_class cls, const char *module, const char *fmt, ...)
--- a/loop.c
+++ b/loop.c
@@ -12,9 +12,9 @@
 	MAX_HOOKS = 256,
 	MAX_WAIT_US = 100000,
 	/* A scheduler's delay, not a pause of the process. */
-	HELD_US = 300000,
+	PAUSE_MIN_US = 300000,
 	/* What came during a pause has been read by then. */
-	HELD_FOR_US = 100000,
+	PAUSE_REPORT_US = 100000,
 };
 
 struct watch {
@@ -22,10 +22,10 @@
 	apr_pool_t *pool;
 	apr_socket_t *sock;
 	int events;
-	bool dead;
+	bool deleted;
 	void (*fn)(void *ctx, int events);
 	void *ctx;
-	struct watch *next_dead;
+	struct watch *next_deleted;
 };
 
 struct loop {
@@ -33,12 +33,12 @@
 	apr_pollset_t *set;
 	struct loop_hook hooks[MAX_HOOKS];
 	int nhooks;
-	struct watch *dead;
+	struct watch *deleted;
 	bool stopped;
-	int64_t round_at;
-	int64_t round_end_at;
-	int64_t held_us;
-	int64_t held_until;
+	int64_t round_start;
+	int64_t round_end;
+	int64_t pause_us;
+	int64_t pause_reported_until;
 };
 
 int64_t loop_now(void)
@@ -58,19 +58,19 @@
 	apr_pool_create(&pool, parent);
 	loop = apr_pcalloc(pool, sizeof(*loop));
 	loop->pool = pool;
-	loop->round_end_at = loop_now();
+	loop->round_end = loop_now();
 	if (apr_pollset_create_ex(&loop->set, MAX_FDS, pool, 0,
 				  APR_POLLSET_EPOLL))
 		abort();
 	return loop;
 }
 
-static void bury_dead(struct loop *loop)
+static void free_deleted(struct loop *loop)
 {
-	while (loop->dead) {
-		struct watch *watch = loop->dead;
+	while (loop->deleted) {
+		struct watch *watch = loop->deleted;
 
-		loop->dead = watch->next_dead;
+		loop->deleted = watch->next_deleted;
 		apr_pool_destroy(watch->pool);
 		free(watch);
 	}
@@ -78,7 +78,7 @@
 
 void loop_destroy(struct loop *loop)
 {
-	bury_dead(loop);
+	free_deleted(loop);
 	apr_pollset_destroy(loop->set);
 	apr_pool_destroy(loop->pool);
 }
@@ -132,9 +132,9 @@
 	apr_pollfd_t poll = poll_fd(watch);
 
 	apr_pollset_remove(watch->loop->set, &poll);
-	watch->dead = true;
-	watch->next_dead = watch->loop->dead;
-	watch->loop->dead = watch;
+	watch->deleted = true;
+	watch->next_deleted = watch->loop->deleted;
+	watch->loop->deleted = watch;
 }
 
 void loop_hook(struct loop *loop, struct loop_hook hook)
@@ -154,9 +154,9 @@
 	loop->nhooks = kept;
 }
 
-static int64_t wait_time(const struct loop *loop)
+static int64_t poll_timeout(const struct loop *loop)
 {
-	int64_t least = MAX_WAIT_US;
+	int64_t shortest = MAX_WAIT_US;
 
 	for (int i = 0; i < loop->nhooks; i++) {
 		int64_t wait =
@@ -164,24 +164,24 @@
 				? loop->hooks[i].wait_us(loop->hooks[i].ctx)
 				: -1;
 
-		if (wait >= 0 && wait < least)
-			least = wait;
+		if (wait >= 0 && wait < shortest)
+			shortest = wait;
 	}
-	return least;
+	return shortest;
 }
 
 /*
  * Connections that were opened to a paused process are accepted in the first
  * round after it and read in those that follow.
  */
-static void note_pause(struct loop *loop)
+static void detect_pause(struct loop *loop)
 {
-	int64_t held = loop->round_at - loop->round_end_at - MAX_WAIT_US;
+	int64_t pause_us = loop->round_start - loop->round_end - MAX_WAIT_US;
 
-	if (held < HELD_US)
+	if (pause_us < PAUSE_MIN_US)
 		return;
-	loop->held_us = held;
-	loop->held_until = loop->round_at + HELD_FOR_US;
+	loop->pause_us = pause_us;
+	loop->pause_reported_until = loop->round_start + PAUSE_REPORT_US;
 }
 
 void loop_step(struct loop *loop)
@@ -189,21 +189,21 @@
 	const apr_pollfd_t *ready;
 	apr_int32_t count = 0;
 
-	if (apr_pollset_poll(loop->set, wait_time(loop), &count, &ready))
+	if (apr_pollset_poll(loop->set, poll_timeout(loop), &count, &ready))
 		count = 0;
-	loop->round_at = loop_now();
-	note_pause(loop);
+	loop->round_start = loop_now();
+	detect_pause(loop);
 	for (apr_int32_t i = 0; i < count; i++) {
 		struct watch *watch = ready[i].client_data;
 
-		if (!watch->dead)
+		if (!watch->deleted)
 			watch->fn(watch->ctx, ready[i].rtnevents);
 	}
 	for (int i = 0; i < loop->nhooks; i++)
 		if (loop->hooks[i].run)
 			loop->hooks[i].run(loop->hooks[i].ctx);
-	bury_dead(loop);
-	loop->round_end_at = loop_now();
+	free_deleted(loop);
+	loop->round_end = loop_now();
 }
 
 void loop_run(struct loop *loop)
@@ -212,14 +212,15 @@
 		loop_step(loop);
 }
 
-int64_t loop_held_us(const struct loop *loop)
+int64_t loop_pause_us(const struct loop *loop)
 {
-	return loop->round_at < loop->held_until ? loop->held_us : 0;
+	return loop->round_start < loop->pause_reported_until ? loop->pause_us
+							      : 0;
 }
 
-int64_t loop_round_at(const struct loop *loop)
+int64_t loop_round_start(const struct loop *loop)
 {
-	return loop->round_at;
+	return loop->round_start;
 }
 
 void loop_stop(struct loop *loop)
--- a/loop.h
+++ b/loop.h
@@ -41,12 +41,13 @@
 /** loop_step() - one round. */
 void loop_step(struct loop *loop);
 void loop_stop(struct loop *loop);
-/** loop_round_at() - when the present round began, monotonic microseconds. */
-int64_t loop_round_at(const struct loop *loop);
+/** loop_round_start() - when the present round began, monotonic microseconds.
+ */
+int64_t loop_round_start(const struct loop *loop);
 /**
- * loop_held_us() - for how long the process was paused or suspended just
+ * loop_pause_us() - for how long the process was paused or suspended just
  * before, 0 when it was not; what is read now may be that old
  */
-int64_t loop_held_us(const struct loop *loop);
+int64_t loop_pause_us(const struct loop *loop);
 /** loop_now() - monotonic microseconds, the time of suspension included. */
 int64_t loop_now(void);
--- a/member.c
+++ b/member.c
@@ -21,7 +21,7 @@
 	struct member *member = node->member;
 	struct vm *vm = xcalloc(1, sizeof(*vm));
 
-	vm->addr = str_keep(addr);
+	vm->addr = str_heap_dup(addr);
 	vm->key = str_hash(addr);
 	vm->heard_at = INT64_MIN;
 	vm->known_at = node->now;
@@ -48,7 +48,7 @@
 		return;
 
 	str_free(vm->domain);
-	vm->domain = str_keep(domain);
+	vm->domain = str_heap_dup(domain);
 }
 
 struct vm *member_find(const struct node *node, uint64_t key)
--- a/metric.c
+++ b/metric.c
@@ -48,14 +48,15 @@
 	1, 2, 5, 10, 20, 35, 50, 75, 100, 150, 250, 500, 1000, 5000,
 };
 
-void metric_latency(struct metrics *metrics, enum latency_kind kind, int64_t us)
+void metric_observe_latency(struct metrics *metrics, enum latency_kind kind,
+			    int64_t us)
 {
 	struct histogram *histogram = &metrics->latencies[kind];
 	int i = 0;
 
 	while (i < LATENCY_BOUNDS && us > bounds_ms[i] * 1000LL)
 		i++;
-	histogram->below[i]++;
+	histogram->buckets[i]++;
 	histogram->count++;
 	histogram->sum_us += us > 0 ? (uint64_t)us : 0;
 }
@@ -63,14 +64,15 @@
 static void histogram_text(const struct histogram *histogram, const char *name,
 			   struct buf *out)
 {
-	uint64_t below = 0;
+	uint64_t cumulative = 0;
 
 	for (int i = 0; i < LATENCY_BOUNDS; i++) {
-		below += histogram->below[i];
+		cumulative += histogram->buckets[i];
 		buf_printf(out,
 			   "wasabimoor_latency_seconds_bucket{kind=\"%s\","
 			   "le=\"%.3f\"} %llu\n",
-			   name, bounds_ms[i] / 1e3, (unsigned long long)below);
+			   name, bounds_ms[i] / 1e3,
+			   (unsigned long long)cumulative);
 	}
 	buf_printf(out,
 		   "wasabimoor_latency_seconds_bucket{kind=\"%s\","
--- a/metric.h
+++ b/metric.h
@@ -48,9 +48,9 @@
 	LATENCY_BOUNDS = 14,
 };
 
-/** struct histogram - @below[i]: values up to the bound i, not summed up */
+/** struct histogram - @buckets[i]: values up to the bound i, not summed up */
 struct histogram {
-	uint64_t below[LATENCY_BOUNDS + 1];
+	uint64_t buckets[LATENCY_BOUNDS + 1];
 	uint64_t count;
 	uint64_t sum_us;
 };
@@ -65,8 +65,8 @@
 	metrics->counters[metric]++;
 }
 
-void metric_latency(struct metrics *metrics, enum latency_kind kind,
-		    int64_t us);
+void metric_observe_latency(struct metrics *metrics, enum latency_kind kind,
+			    int64_t us);
 /** metrics_text() - append all of them. */
 void metrics_text(const struct metrics *metrics, struct buf *out);
 /** metric_gauge() - append one value that goes up and down. */
--- a/note.c
+++ b/note.c
@@ -155,8 +155,9 @@
 {
 	struct metrics *metrics = &notes->metrics;
 
-	metric_latency(metrics,
-		       final->merged ? LATENCY_MERGED : LATENCY_FORWARDED, us);
+	metric_observe_latency(
+		metrics, final->merged ? LATENCY_MERGED : LATENCY_FORWARDED,
+		us);
 	if (final->status == 503) {
 		metric_add(metrics, METRIC_REFUSED);
 	} else if (final->status / 100 != 2) {
--- a/once.c
+++ b/once.c
@@ -213,7 +213,7 @@
 	record->pool = pool;
 	record->seq = seq;
 	entry_parse(body, false, pool, &record->entry, &err);
-	record->request_id = str_keep(record->entry.request_id);
+	record->request_id = str_heap_dup(record->entry.request_id);
 	record->customer = str_hash(record->entry.customer);
 	record->body_hash = str_hash(record->entry.entry);
 	record->state = RECORD_RESERVING;
@@ -264,7 +264,7 @@
 	record->state = state;
 	record->code = code;
 	str_free(record->result);
-	record->result = str_keep(result);
+	record->result = str_heap_dup(result);
 	if (!record->retry_us)
 		record->retry_us = ONCE_RETRY_AFTER_US;
 	node->counters[counters[state]]++;
@@ -273,7 +273,7 @@
 	record->waiters = NULL;
 	if (record->result.len > RESULT_KEPT_MAX_BYTES) {
 		str_free(record->result);
-		record->result = str_keep(STR("{\"omitted\":true}"));
+		record->result = str_heap_dup(STR("{\"omitted\":true}"));
 	}
 	record->entry = (struct entry){ 0 };
 	if (record->pool)
--- a/quota.c
+++ b/quota.c
@@ -106,7 +106,7 @@
 	if (!account) {
 		account = xcalloc(1, sizeof(*account));
 		account->key = key;
-		account->name = str_keep(name);
+		account->name = str_heap_dup(name);
 		account->recent_rate_at = node->now;
 		apr_hash_set(node->quota->customers, &account->key,
 			     sizeof(account->key), account);
--- a/roster.c
+++ b/roster.c
@@ -145,9 +145,9 @@
 	struct group *group = group_get(roster, entry->service);
 
 	target->key = key;
-	target->id = str_keep(entry->id);
-	target->addr = str_keep(entry->addr);
-	target->domain = str_keep(entry->domain);
+	target->id = str_heap_dup(entry->id);
+	target->addr = str_heap_dup(entry->addr);
+	target->domain = str_heap_dup(entry->domain);
 	target->domain_key = str_hash(entry->domain);
 	target->near = str_eq(entry->domain, roster->domain);
 	target->service = entry->service;
--- a/serve.c
+++ b/serve.c
@@ -166,7 +166,7 @@
 	if (!req)
 		return;
 	apr_hash_set(s->requests, &req->id, sizeof(req->id), NULL);
-	http_reply(req, fx->status, fx->body);
+	http_respond_json(req, fx->status, fx->body);
 }
 
 static void do_effect(struct server *s, const struct effect *fx)
@@ -255,7 +255,7 @@
 	struct buf out = { 0 };
 
 	error_json(&out, code, text, 0);
-	http_reply(req, error_info(code)->status, buf_str(&out));
+	http_respond_json(req, error_info(code)->status, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -264,9 +264,9 @@
 	bool live =
 		member_state(s->node) == VM_LIVE && !member_isolated(s->node);
 
-	http_reply(req, live ? 200 : 503,
-		   live ? STR("{\"state\":\"live\"}")
-			: STR("{\"state\":\"not ready\"}"));
+	http_respond_json(req, live ? 200 : 503,
+			  live ? STR("{\"state\":\"live\"}")
+			       : STR("{\"state\":\"not ready\"}"));
 }
 
 /** struct route - a path of the callers' interface */
@@ -320,7 +320,7 @@
 
 static void begin_stop(struct server *s)
 {
-	http_closing(s->callers, true);
+	http_set_closing(s->callers, true);
 	feed(s, (struct event){ .type = EV_LEAVE });
 }
 
@@ -344,7 +344,7 @@
 			    "GET /status, /audit, /counters or POST /drain");
 		return;
 	}
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -417,7 +417,7 @@
 	http_quiesce(s->callers);
 	for (int i = 0; i < FLUSH_ROUNDS; i++)
 		loop_step(s->loop);
-	while (http_open(s->callers) && loop_now() < until)
+	while (http_open_requests(s->callers) && loop_now() < until)
 		loop_step(s->loop);
 }
 
--- a/str.c
+++ b/str.c
@@ -9,7 +9,7 @@
 #include "xmalloc.h"
 
 enum {
-	BUF_MIN = 64
+	BUF_MIN_BYTES = 64
 };
 
 uint64_t str_hash(struct str s)
@@ -41,7 +41,7 @@
 	return apr_hash_make_custom(pool, hash_bytes);
 }
 
-struct str str_keep(struct str s)
+struct str str_heap_dup(struct str s)
 {
 	char *copy = xmalloc(s.len + 1);
 
@@ -58,7 +58,7 @@
 
 void buf_reserve(struct buf *buf, size_t more)
 {
-	size_t cap = buf->cap ? buf->cap : BUF_MIN;
+	size_t cap = buf->cap ? buf->cap : BUF_MIN_BYTES;
 
 	if (buf->len + more <= buf->cap)
 		return;
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -62,7 +62,7 @@
 		if (w.kind != kind)
 			continue;
 		p->waiters[i] = p->waiters[--p->nwaiters];
-		http_reply(w.req, 200, served(p, kind));
+		http_respond_json(w.req, 200, served(p, kind));
 	}
 }
 
@@ -91,9 +91,9 @@
 	if (p->down) {
 		http_abort(req);
 	} else if (str_hash(body) != query_hex(req, "hash")) {
-		http_reply(req, 200, body);
+		http_respond_json(req, 200, body);
 	} else if (wait <= 0 || p->nwaiters == WAITERS) {
-		http_reply(req, 304, STR(""));
+		http_respond_json(req, 304, STR(""));
 	} else {
 		p->waiters[p->nwaiters++] =
 			(struct waiter){ req, kind, loop_now() + wait };
@@ -134,7 +134,7 @@
 	if (str_eq(req->path, STR("/set")))
 		set(p, req);
 	buf_printf(&out, "{\"calls\":%llu}", (unsigned long long)p->calls);
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -161,7 +161,7 @@
 		if (now < w.until)
 			continue;
 		p->waiters[i] = p->waiters[--p->nwaiters];
-		http_reply(w.req, 304, STR(""));
+		http_respond_json(w.req, 304, STR(""));
 	}
 }
 
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -247,7 +247,7 @@
 
 	head_json(leaf, &out);
 	buf_printf(&out, ",%s}", field);
-	http_reply(req, status, buf_str(&out));
+	http_respond_json(req, status, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -278,7 +278,7 @@
 	}
 	if (leaf->knobs.truncate)
 		out.len /= 2;
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -493,7 +493,7 @@
 	if (str_eq(req->path, STR("/reset")))
 		reset(farm);
 	book(farm, &out);
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
--- a/tests/stage.c
+++ b/tests/stage.c
@@ -109,9 +109,9 @@
 	happen->to_incarnation = fx->incarnation;
 	happen->sent_us = stage->now;
 	happen->msg = fx->msg;
-	happen->msg.body = str_keep(fx->msg.body);
-	happen->msg.name = str_keep(fx->msg.name);
-	happen->msg.text = str_keep(fx->msg.text);
+	happen->msg.body = str_heap_dup(fx->msg.body);
+	happen->msg.name = str_heap_dup(fx->msg.name);
+	happen->msg.text = str_heap_dup(fx->msg.text);
 }
 
 static void do_send(struct stage *stage, int node, const struct flow_effect *fx)
@@ -121,9 +121,9 @@
 
 	happen->id = fx->id;
 	happen->incarnation = stage->nodes[node].incarnation;
-	happen->request_id = str_keep(fx->request->request_id);
-	happen->uri = str_keep(fx->request->uri);
-	happen->expected = str_keep(fx->expected);
+	happen->request_id = str_heap_dup(fx->request->request_id);
+	happen->uri = str_heap_dup(fx->request->uri);
+	happen->expected = str_heap_dup(fx->expected);
 	happen->target = -1;
 	for (int i = 0; i < stage->ntargets; i++)
 		if (stage->targets[i].up &&
--- a/tests/stage_targets.c
+++ b/tests/stage_targets.c
@@ -221,7 +221,7 @@
 	if (t->keeps_id)
 		return;
 	lapse = stage_later(stage, LAPSE_US, HAPPEN_LAPSE, 0);
-	lapse->expected = str_keep(str_of(t->id));
+	lapse->expected = str_heap_dup(str_of(t->id));
 }
 
 void stage_ended(struct stage *stage, const struct happen *happen)
@@ -332,7 +332,7 @@
 	snprintf(signature, sizeof(signature), "%d.%d.%s", call_id, shard_of(t),
 		 t->id);
 	reply.status = 200;
-	reply.signature = str_keep(str_of(signature));
+	reply.signature = str_heap_dup(str_of(signature));
 	reply.body = make_records(stage);
 	reply_later(stage, happen, took, reply);
 }
--- a/upstream.c
+++ b/upstream.c
@@ -334,7 +334,7 @@
 	if (endpoint)
 		return endpoint;
 	endpoint = xcalloc(1, sizeof(*endpoint));
-	endpoint->addr = str_keep(addr);
+	endpoint->addr = str_heap_dup(addr);
 	endpoint->key = key;
 	endpoint->idle_timeout_us = IDLE_TIMEOUT_US;
 	endpoint->last_used_at = loop_now();
--- a/xmalloc.c
+++ b/xmalloc.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-static void *check(void *ptr, size_t size)
+static void *check_alloc(void *ptr, size_t size)
 {
 	if (ptr || !size)
 		return ptr;
@@ -16,15 +16,15 @@
 
 void *xmalloc(size_t size)
 {
-	return check(malloc(size), size);
+	return check_alloc(malloc(size), size);
 }
 
 void *xcalloc(size_t count, size_t size)
 {
-	return check(calloc(count, size), size);
+	return check_alloc(calloc(count, size), size);
 }
 
 void *xrealloc(void *ptr, size_t size)
 {
-	return check(realloc(ptr, size), size);
+	return check_alloc(realloc(ptr, size), size);
 }
