--- a/edge.c
+++ b/edge.c
@@ -21,29 +21,32 @@
 
 enum {
 	SETTINGS_MAX_BYTES = 256 * 1024,
-	/* Until the configuration in force says what callers may send. */
+	/* Applies until the configuration sets a limit. */
 	BODY_MAX_BYTES = 256 * 1024,
-	/* Of a page of the store beside its largest value. */
+	/* Allowance for a page of the store, in addition to its largest value.
+	 */
 	STORE_PAGE_MAX_BYTES = 4 * 1024 * 1024,
-	/* A value takes up to this many times its size on the wire. */
+	/* A value is up to this many times its decoded size on the wire. */
 	VALUE_ENCODING_FACTOR = 2,
 	/*
-	 * A target that is up accepts within a few ms; one without power never.
-	 * Nothing has been sent by then, so another one may have the request.
+	 * A running target accepts within a few ms, one without power never
+	 * does. Nothing has been sent before the connection is established, so
+	 * the request can safely go to another target.
 	 */
 	CONNECT_TIMEOUT_US = 150000,
-	/* Settings may change without a signal: their file is looked at. */
+	/* The settings file may change without a signal, so it is polled. */
 	SETTINGS_POLL_INTERVAL_US = 1000000,
-	/* What is answered last may still be on its way to the sockets. */
+	/* Time for the last answers to reach the sockets. */
 	FLUSH_TIMEOUT_US = 1500000,
-	/* Much may have come in during a round of this length. */
+	/* Input may have arrived unread during a round longer than this. */
 	LONG_ROUND_US = 2000,
-	/* Callers notice a round of this length; told of once a second. */
+	/* Callers notice a round of this length; logged once a second at most.
+	 */
 	SLOW_ROUND_US = 15000,
 	SLOW_ROUND_LOG_INTERVAL_US = 1000000,
 };
 
-/* Ids of calls to the store have this bit, those of attempts never do. */
+/* Set in the ids of calls to the store, clear in those of attempts. */
 static const uint64_t store_id_bit = 1ULL << 63;
 
 struct edge {
@@ -79,7 +82,8 @@
 	event.now = loop_now();
 	edge->events[event.type]++;
 	tier_reduce(edge->tier, &event, &edge->fx);
-	/* Carrying out may itself feed; the outer round takes that along. */
+	/* Applying effects can dispatch events; the outer call applies theirs.
+	 */
 	if (!edge->applying_effects)
 		apply_effects(edge);
 }
@@ -347,8 +351,9 @@
 			apply_effect(edge, &fx);
 		}
 		/*
-		 * Encodes what was queued, while its strings live; connections
-		 * found broken add events, and so effects.
+		 * Encodes queued messages while their strings are valid. A
+		 * connection that turns out to be broken adds an event, which
+		 * can add effects.
 		 */
 		peers_flush(edge->peers);
 	}
@@ -385,13 +390,13 @@
 	struct vm_settings settings;
 	struct error err = { 0 };
 
-	/* A file that is half written must not end a node that serves. */
+	/* A half-written file must not stop a running node. */
 	if (load_settings(edge, &settings, &err)) {
-		LOG_ERR("settings kept as they were: %s; %s", err.text,
-			error_info(err.code)->remedy);
+		LOG_ERR("settings not reloaded, previous ones kept: %s; %s",
+			err.text, error_info(err.code)->remedy);
 		return;
 	}
-	LOG_INFO("settings read again: %s", why);
+	LOG_INFO("settings reloaded: %s", why);
 	edge->settings = settings;
 	dispatch(edge, (struct flow_event){ .type = FLOW_SETTINGS,
 					    .settings = &edge->settings });
@@ -439,11 +444,11 @@
 				 on_signal, edge);
 }
 
-/* Life. */
+/* Main loop. */
 
 /*
- * A node that is held up answers late for reasons that are not seen in any
- * request: its processor was taken away, or it had too much to do at once.
+ * A stalled node answers late for reasons that no request shows: it did not
+ * get the processor, or it had too much to do in one round.
  */
 static void log_slow_round(struct edge *edge)
 {
@@ -463,9 +468,10 @@
 }
 
 /*
- * After a long round replies wait unread that came during it; they are taken
- * in first, so that nothing is judged late which is there. Once only, as a
- * busy node would else never look at its timers.
+ * Replies that arrived during a long round are still unread after it. They are
+ * read before the timers run, so that no reply that has arrived is treated as
+ * late. The tick is deferred only once, as otherwise a busy node would never
+ * run its timers.
  */
 static bool defer_tick(struct edge *edge, int64_t now)
 {
@@ -563,8 +569,8 @@
 	int64_t until = loop_now() + FLUSH_TIMEOUT_US;
 
 	/*
-	 * Requests that came meanwhile are served like any other: the process
-	 * ends at a moment when it holds none.
+	 * Requests that arrive in the meantime are served as usual; the process
+	 * exits when none is open, or after FLUSH_TIMEOUT_US.
 	 */
 	while (http_open_requests(edge->callers) && loop_now() < until)
 		loop_step(edge->loop);
--- a/edge.h
+++ b/edge.h
@@ -3,15 +3,16 @@
 #include "dialect.h"
 
 /**
- * DOC: a node on a platform
+ * DOC: node process on a platform
  *
- * The shell of the tier's reducer: sockets, signals, settings and the log.
+ * Performs the I/O of the tier's reducer: sockets, signals, settings and the
+ * log.
  */
 
 /**
- * struct edge_options - how to run
- * @metrics_port: 0 for none
- * @without: set of mechanisms that are off
+ * struct edge_options - command line options
+ * @metrics_port: port of the metrics endpoint, 0 for none
+ * @without: bit set of disabled mechanisms
  */
 struct edge_options {
 	const struct dialect *dialect;
@@ -19,5 +20,9 @@
 	uint32_t without;
 };
 
-/** edge_run() - serve until the planned stop; returns the exit code. */
+/**
+ * edge_run() - serve until the planned stop
+ *
+ * Return: the exit code of the process.
+ */
 int edge_run(const struct edge_options *opt);
--- a/head.c
+++ b/head.c
@@ -10,7 +10,7 @@
 
 static const struct dialect *active_dialect;
 
-/* These concern one connection, or are written anew for the next one. */
+/* Headers that apply to one connection, or are rewritten for the next one. */
 static const struct str hop_by_hop_names[] = {
 	{ "Connection", 10 },
 	{ "Keep-Alive", 10 },
@@ -98,7 +98,7 @@
 	return header_find(reply->headers, reply->nheaders, name);
 }
 
-/* The text of a header ends where the next begins, so it is copied. */
+/* Header values are not NUL-terminated, so the text is copied. */
 static double parse_number(struct str value, double fallback)
 {
 	char text[NUMBER_TEXT_MAX];
