--- a/os.h
+++ b/os.h
@@ -6,30 +6,35 @@
 #include "str.h"
 
 /**
- * DOC: what a node asks of the system
+ * DOC: system interface
  *
- * Random numbers, signals as a descriptor, sockets that notice a dead peer.
+ * Random numbers, signals through a file descriptor, and sockets that detect a
+ * dead peer.
  */
 
-/** os_random() - from the system; never 0. */
+/** os_random() - random number from the kernel; never 0. */
 uint64_t os_random(void);
 
 /**
- * os_signalfd() - descriptor that becomes readable with one of @count @numbers,
- * which no longer interrupt the process; SIGPIPE is ignored
+ * os_signalfd() - block @numbers and open a signalfd for them; ignore SIGPIPE
+ * @count: length of @numbers
+ *
+ * Return: a non-blocking file descriptor.
  */
 int os_signalfd(const int *numbers, size_t count);
 
-/** os_signal_read() - the signal that is pending on such a descriptor, or 0. */
+/** os_signal_read() - read a signal from os_signalfd(); 0 if none is pending.
+ */
 int os_signal_read(int fd);
 
 /**
- * os_socket() - TCP socket that never blocks, for the "ip:port" @addr
- * @user_timeout_ms: bytes that are not taken for this long end the connection:
- * a peer without power sends no reset
- * @sin: filled with the address
+ * os_socket() - open a non-blocking TCP socket for the "ip:port" @addr
+ * @user_timeout_ms: TCP_USER_TIMEOUT; the connection fails if sent bytes stay
+ *                   unacknowledged for this long, as a peer without power
+ *                   sends no reset
+ * @sin: receives the parsed address
  *
- * Return: the descriptor, or -1 if @addr is none or the system has no more.
+ * Return: the descriptor, or -1 if @addr is invalid or no socket is available.
  */
 int os_socket(struct str addr, unsigned int user_timeout_ms,
 	      struct sockaddr_in *sin);
--- a/reply.c
+++ b/reply.c
@@ -60,7 +60,8 @@
 
 /*
  * A target may send a second reply to an earlier request, early or late. It
- * stands where the reply to this one is expected; only its echo tells.
+ * arrives in place of the reply to this request and differs only in the echoed
+ * request id.
  */
 static bool is_stale_reply(const struct reply *reply)
 {
--- a/reply.h
+++ b/reply.h
@@ -5,39 +5,41 @@
 #include "str.h"
 
 /**
- * DOC: one HTTP reply, as it comes in
+ * DOC: incremental parser of an HTTP reply
  *
- * Between a connection's bytes and a whole reply. Interim replies and those to
- * an earlier request are skipped; what is no HTTP, or too long, is an error.
+ * Assembles a reply from the bytes of a connection. Interim (1xx) replies and
+ * replies to an earlier request are skipped; bytes that are not HTTP and
+ * replies that are too large are errors.
  */
 
 enum {
 	REPLY_HEADERS_MAX = 64,
 };
 
-/** struct header - one line of a head */
+/** struct header - one header of a request or reply */
 struct header {
 	struct str name;
 	struct str value;
 };
 
-/** struct span - a piece of reply.text, which may move while it grows */
+/** struct span - range of reply.text, which may be reallocated as it grows */
 struct span {
 	size_t at;
 	size_t len;
 };
 
 /**
- * struct reply - a reply that is being read
+ * struct reply - a reply being parsed
  * @text: header names and values, then the body
- * @body_offset: where the body begins in @text
- * @body_max: bytes of it that are taken
- * @no_body: it has none whatever its head says
- * @echo_name, @echo: header that must hold @echo, if there is such a header; a
- *                    reply with another value is one to an earlier request
- * @skip: this one is
- * @done: it is whole
- * @closes_after: its sender closes the connection after it
+ * @body_offset: offset of the body in @text
+ * @body_max: largest body accepted, bytes
+ * @no_body: the reply has no body, whatever its head states
+ * @echo_name, @echo: name and expected value of a header that echoes the
+ *                    request's id; a reply with another value belongs to an
+ *                    earlier request. Not checked if the header is absent
+ * @skip: this reply belongs to an earlier request
+ * @done: the reply is complete
+ * @closes_after: the sender closes the connection after this reply
  */
 struct reply {
 	struct http_parser parser;
@@ -56,19 +58,19 @@
 	bool closes_after;
 };
 
-/** reply_reset() - forget what was read; the next reply is expected. */
+/** reply_reset() - discard all state and expect the next reply. */
 void reply_reset(struct reply *reply);
 void reply_free(struct reply *reply);
 /**
- * reply_parse() - take bytes of the connection, up to the end of the reply
+ * reply_parse() - parse bytes of the connection, up to the end of the reply
  *
- * Return: how many were taken, or -1 when they are no reply that can be taken.
+ * Return: number of bytes parsed, or -1 if they are not an acceptable reply.
  */
 ssize_t reply_parse(struct reply *reply, const char *bytes, size_t len);
-/** reply_eof() - the connection has ended: so may a reply without a length. */
+/** reply_eof() - end of the connection; completes a reply without a length. */
 void reply_eof(struct reply *reply);
-/** reply_headers() - fill @out, of REPLY_HEADERS_MAX. */
+/** reply_headers() - fill @out, which has REPLY_HEADERS_MAX items. */
 void reply_headers(const struct reply *reply, struct header *out);
-/** header_find() - value of the first header with this name, or empty. */
+/** header_find() - value of the first header named @name, or empty. */
 struct str header_find(const struct header *headers, size_t count,
 		       struct str name);
--- a/upstream.c
+++ b/upstream.c
@@ -11,23 +11,23 @@
 
 enum {
 	READ_SIZE = 32 * 1024,
-	/* Of a reply's body, unless the request says otherwise. */
+	/* Largest reply body, unless the request sets another limit. */
 	REPLY_BODY_MAX_BYTES = 4 * 1024 * 1024,
 	/*
-	 * A connection that takes no bytes for this long is dead: its peer has
-	 * lost power or is cut off, and no reset will tell.
+	 * A peer that acknowledges no bytes for this long has lost power or is
+	 * cut off from the network and sends no reset.
 	 */
 	USER_TIMEOUT_MS = 3000,
 	/*
-	 * Idle connections are closed this long after their last use unless the
-	 * peer states its own time, and after IDLE_PART of that time if it
-	 * does, so that no request meets the peer's close.
+	 * Idle connections are closed this long after their last use. If the
+	 * peer states its own timeout in Keep-Alive, they are closed after the
+	 * given share of it, so that no request meets the peer's close.
 	 */
 	IDLE_TIMEOUT_US = 1500000,
 	KEEP_ALIVE_SHARE_NUM = 7,
 	KEEP_ALIVE_SHARE_DEN = 10,
 	SWEEP_INTERVAL_US = 250000,
-	/* An address without connections is forgotten after this long. */
+	/* An endpoint without connections is removed after this long. */
 	ENDPOINT_RETENTION_US = 60000000,
 };
 
@@ -39,13 +39,13 @@
 
 /**
  * struct conn - one connection
- * @id: of the request at hand, 0: none
- * @out, @sent: bytes of it, and how many of them have left
- * @reply: to it, as far as it has come
- * @fresh: no request has been answered on it
- * @reply_deadline: the reply is given up then
- * @pause_us, @total_deadline: each piece of it moves that on by so much, at
- * most to then; 0: it does not
+ * @id: of the request in flight, 0 if there is none
+ * @out, @sent: bytes of the request, and number of them sent
+ * @reply: to the request in flight, as far as received
+ * @fresh: no request has been answered on this connection
+ * @reply_deadline: the request fails at this time
+ * @pause_us: each read extends @reply_deadline to this much from now, but not
+ *            beyond @total_deadline; 0: reads do not extend it
  */
 struct conn {
 	struct upstream *up;
@@ -66,7 +66,7 @@
 	int64_t total_deadline;
 };
 
-/** struct endpoint - an address and its connections */
+/** struct endpoint - address and its connections */
 struct endpoint {
 	struct str addr;
 	uint64_t key;
@@ -85,7 +85,7 @@
 	int64_t last_sweep_at;
 };
 
-/* Life of a connection. */
+/* Life cycle of a connection. */
 
 static void conn_free(struct conn *conn)
 {
@@ -109,7 +109,7 @@
 	conn_free(conn);
 }
 
-/* Ends the request at hand; the connection is closed. */
+/* Closes the connection and fails its request, if any. */
 static void conn_fail(struct conn *conn, enum fetch_result result)
 {
 	struct upstream *up = conn->up;
@@ -127,7 +127,7 @@
 	return conn->sent ? FETCH_BROKEN : FETCH_REFUSED;
 }
 
-/* Whole seconds of a "Keep-Alive: timeout=5" header, or 0. */
+/* Timeout of a "Keep-Alive: timeout=5" header in microseconds, or 0. */
 static int64_t keep_alive_us(struct str value)
 {
 	static const char key[] = "timeout=";
@@ -151,7 +151,7 @@
 			us * KEEP_ALIVE_SHARE_NUM / KEEP_ALIVE_SHARE_DEN;
 }
 
-/* Hands the whole reply over, and keeps the connection if it is clean. */
+/* Reports the complete reply; keeps the connection if it can be reused. */
 static void conn_answer(struct conn *conn, bool keep)
 {
 	struct upstream *up = conn->up;
@@ -170,7 +170,7 @@
 
 	reply_headers(&conn->reply, headers);
 	update_idle_timeout(conn, headers);
-	/* What is left of a long body must not precede the next request. */
+	/* The unsent rest of a long body must not precede the next request. */
 	if (conn->sent < conn->out.len)
 		keep = false;
 	apr_hash_set(up->in_flight, &conn->id, sizeof(conn->id), NULL);
@@ -269,7 +269,7 @@
 		conn_eof(conn);
 		return;
 	}
-	/* Bytes that nobody asked for: what follows could be misread. */
+	/* Unsolicited bytes: the next reply could be misread. */
 	if (conn->state != CONN_BUSY) {
 		conn_fail(conn, FETCH_REFUSED);
 		return;
@@ -298,7 +298,7 @@
 		conn_write(conn);
 }
 
-/* Return: NULL when the system refuses a socket or the address is none. */
+/* Return: NULL if no socket can be opened or the address is invalid. */
 static struct conn *conn_open(struct upstream *up, struct endpoint *endpoint)
 {
 	struct sockaddr_in sin;
@@ -344,10 +344,11 @@
 }
 
 /*
- * A faulty target sends a second reply to a request, late, where the next one
- * is expected; its id tells it apart. A request that goes to the same target
- * again, as two merging nodes had it, has that id too: on the same connection
- * the spoilt reply would be taken for its own. So it goes over another one.
+ * A faulty target sends a late second reply to a request in place of the reply
+ * to the next one; it is recognised by its request id. A request that two
+ * merging nodes send to the same target has the same id both times, so on the
+ * same connection the stale reply would be accepted as its own. It is therefore
+ * sent on another connection.
  */
 static bool had_same_id(const struct conn *conn, struct str echo)
 {
@@ -355,8 +356,9 @@
 }
 
 /*
- * The one used last is taken, so the others reach their idle time. It must not
- * hold unread bytes or an end that the loop has not seen yet.
+ * Takes the most recently used connection, so that the others reach their idle
+ * timeout. It must not hold unread bytes or an end of stream that the loop has
+ * not seen yet.
  */
 static struct conn *take_idle(struct endpoint *endpoint, struct str echo,
 			      int64_t now)
@@ -453,7 +455,7 @@
 	}
 }
 
-/* Time. */
+/* Timeouts. */
 
 static void check_request(struct upstream *up, uint64_t id, int64_t now)
 {
@@ -510,7 +512,7 @@
 		else if (now - endpoint->last_used_at > ENDPOINT_RETENTION_US)
 			gone = endpoint;
 	}
-	/* One a sweep: the table must not change while it is walked. */
+	/* One per sweep: the table must not change while it is iterated. */
 	if (gone)
 		endpoint_free(up, gone);
 }
--- a/upstream.h
+++ b/upstream.h
@@ -7,26 +7,30 @@
 /**
  * DOC: HTTP connections to targets and to the store
  *
- * Connections are kept and reused, one request at a time on each. Nothing is
- * ever sent twice: what came of a request is reported, and the reducer decides.
+ * Connections are kept alive and reused, with one request at a time on each.
+ * Requests are never retried here: the outcome is reported, and the reducer
+ * decides whether to retry.
  */
 
 struct upstream;
 
 /**
- * struct upstream_request - what to send, and where
- * @id: unique; names the request in upstream_cancel() and the reply
+ * struct upstream_request - a request and its destination
+ * @id: unique; identifies the request in upstream_cancel() and in the handler
  * @addr: "ip:port"
- * @head: request line and headers, with the empty line that ends them
- * @echo_name, @echo: header of the reply that must hold @echo; a reply with
- *                    another value belongs to an earlier request and is
- *                    skipped. Not checked when @echo is empty or absent there
- * @no_body: the reply has no body whatever its head says
- * @reply_max: bytes of a reply's body that are taken, 0 for the default
- * @connect_us, @timeout_us: until a connection stands, until the whole reply
- * @pause_us, @whole_us: where not 0, @timeout_us ends with the reply's first
- *                       bytes; from then on it may pause for @pause_us at a
- *                       time, and take @whole_us in all
+ * @head: request line and headers, including the empty line at their end
+ * @echo_name, @echo: name and expected value of a reply header that echoes the
+ *                    request's id; a reply with another value belongs to an
+ *                    earlier request and is skipped. Not checked if @echo is
+ *                    empty or the reply has no such header
+ * @no_body: the reply has no body, whatever its head states
+ * @reply_max: largest reply body accepted, bytes; 0 for the default
+ * @connect_us: timeout of the connection attempt
+ * @timeout_us: timeout of the complete reply
+ * @pause_us, @whole_us: if @pause_us is not 0, @timeout_us applies only until
+ *                       the first bytes of the reply; after them, @pause_us
+ *                       limits each gap between reads and @whole_us the time
+ *                       from sending to the complete reply
  */
 struct upstream_request {
 	uint64_t id;
@@ -44,9 +48,9 @@
 };
 
 /**
- * struct upstream_reply - what came of it
- * @result: FETCH_REFUSED only when no byte was sent
- * @opened: a new connection was opened for it
+ * struct upstream_reply - outcome of a request
+ * @result: FETCH_REFUSED only if no byte was sent
+ * @opened: a new connection was opened for the request
  */
 struct upstream_reply {
 	enum fetch_result result;
@@ -65,10 +69,10 @@
 
 struct upstream *upstream_create(struct loop *loop,
 				 struct upstream_handler handler);
-/** upstream_send() - strings are copied; the handler is called once, later. */
+/** upstream_send() - copies the strings; calls the handler once. */
 void upstream_send(struct upstream *up, const struct upstream_request *req);
-/** upstream_cancel() - close its connection; the handler is not called. */
+/** upstream_cancel() - close the connection without calling the handler. */
 void upstream_cancel(struct upstream *up, uint64_t id);
-/** upstream_warm() - open connections until @count to @addr stand idle. */
+/** upstream_warm() - open connections to @addr until @count are idle. */
 void upstream_warm(struct upstream *up, struct str addr, int count);
 void upstream_destroy(struct upstream *up);
