--- a/http.c
+++ b/http.c
@@ -17,7 +17,7 @@
 	IDLE_TIMEOUT_S = 120,
 };
 
-/** struct pending - a request and what MHD needs for it */
+/** struct pending - a request and its state in MHD */
 struct pending {
 	struct http_request req;
 	struct MHD_Connection *conn;
@@ -99,8 +99,8 @@
 }
 
 /*
- * A suspended connection is not polled by MHD, so a caller that went away
- * would go unnoticed and its leaf work would run on for nobody.
+ * MHD does not poll suspended connections. Without this watch a client that
+ * closes would go unnoticed, and its requests to targets would run on unneeded.
  */
 static void on_client_readable(void *ctx, int events)
 {
@@ -130,7 +130,7 @@
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 
-	/* A descriptor of our own: MHD has its socket in a set already. */
+	/* Duplicated, as MHD has its own descriptor in an epoll set already. */
 	p->dup_fd = info ? dup(info->connect_fd) : -1;
 	if (p->dup_fd < 0)
 		return;
@@ -138,7 +138,7 @@
 			    on_client_readable, p);
 }
 
-/* Lines of "Name: value"; their ends become the ends of strings. */
+/* Parses "Name: value" lines in place, writing NULs over the separators. */
 static void add_headers(struct MHD_Response *response, struct buf *lines)
 {
 	char *at = lines->ptr;
@@ -174,7 +174,7 @@
 	return result;
 }
 
-/* MHD keeps one pointer for us per connection: set once it has been used. */
+/* The socket context of a connection is a flag, set by its first request. */
 static bool is_first(struct MHD_Connection *conn)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -200,7 +200,8 @@
 	*state = NULL;
 }
 
-/* The request line has come; MHD passes what is returned on as the state. */
+/* Called with the request line; MHD passes the returned state to on_request().
+ */
 static void *on_request_line(void *ctx, const char *uri,
 			     struct MHD_Connection *conn)
 {
@@ -250,7 +251,7 @@
 						  name.ptr));
 }
 
-/** struct header_copy - what http_copy_headers() carries through MHD's walk */
+/** struct header_copy - context of copy_header() */
 struct header_copy {
 	bool (*keep)(struct str name);
 	struct buf *out;
@@ -362,7 +363,8 @@
 	MHD_get_timeout(server->daemon, &ms);
 	if (!server->ready && ms)
 		return;
-	/* Before the call: what is resumed within it needs one more run. */
+	/* Cleared first: a connection resumed by MHD_run() needs another run.
+	 */
 	server->ready = false;
 	MHD_run(server->daemon);
 }
@@ -397,7 +399,8 @@
 	uint16_t port;
 
 	if (addr_split(addr, ip, sizeof(ip), &port)) {
-		error_set(err, ERR_IO, "%.*s is no \"ip:port\"", STR_ARG(addr));
+		error_set(err, ERR_IO, "%.*s is not an \"ip:port\" address",
+			  STR_ARG(addr));
 		return NULL;
 	}
 	inet_pton(AF_INET, ip, &sin.sin_addr);
--- a/http.h
+++ b/http.h
@@ -6,19 +6,19 @@
 /**
  * DOC: HTTP server
  *
- * libmicrohttpd in the event loop. A request is handed over whole, and may be
- * answered at once or later.
+ * libmicrohttpd in the event loop. The handler gets complete requests and may
+ * answer them at once or later.
  */
 
 struct http_server;
 
 /**
- * struct http_request - a caller's request, from its last byte to its answer
+ * struct http_request - a complete request that awaits its answer
  * @id: unique within the process
  * @method, @path, @body: as received
- * @uri: path and query, as they stood in the request line
- * @first: first request of its connection
- * @remaining_ms: of the X-Remaining-Ms header, -1 when there is none
+ * @uri: path and query of the request line
+ * @first: first request on its connection
+ * @remaining_ms: value of the X-Remaining-Ms header, -1 if absent
  */
 struct http_request {
 	uint64_t id;
@@ -32,9 +32,10 @@
 };
 
 /**
- * struct http_handler - what the owner of a server does
- * @request: a whole request; answer it with http_respond_json(), now or later
- * @gone: the peer closed before the answer; do not answer any more
+ * struct http_handler - callbacks of a server
+ * @request: a complete request; answer it with http_respond_json() or
+ *           http_respond(), now or later
+ * @gone: the client closed before the answer; @req must not be answered
  */
 struct http_handler {
 	void (*request)(void *ctx, struct http_request *req);
@@ -47,25 +48,26 @@
 				struct error *err);
 void http_respond_json(struct http_request *req, int status, struct str body);
 /**
- * http_respond() - reply with header lines, "Name: value\r\n" each
+ * http_respond() - answer a request
+ * @headers: header lines, "Name: value\r\n" each
  */
 void http_respond(struct http_request *req, int status, struct str headers,
 		  struct str body);
-/** http_header() - value of a request's header; empty when absent. */
+/** http_header() - value of a request header; empty if absent. */
 struct str http_header(struct http_request *req, struct str name);
 /** http_client_ip() - IP number that it came from; empty when it is not known.
  */
 struct str http_client_ip(struct http_request *req);
-/** http_copy_headers() - append the header lines for which @keep says so. */
+/** http_copy_headers() - append the header lines that @keep accepts. */
 void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
 		       struct buf *out);
-/** http_set_max_body() - largest body that is taken from now on, bytes. */
+/** http_set_max_body() - limit of request bodies from now on, bytes. */
 void http_set_max_body(struct http_server *server, size_t max_body);
 /** http_abort() - close the connection without an answer. */
 void http_abort(struct http_request *req);
-/** http_query() - value of a query parameter; empty when absent. */
+/** http_query() - value of a query parameter; empty if absent. */
 struct str http_query(struct http_request *req, const char *key);
-/** http_set_closing() - tell clients to close after each answer. */
+/** http_set_closing() - send "Connection: close" with each answer. */
 void http_set_closing(struct http_server *server, bool closing);
 /** http_quiesce() - accept no further connections. */
 void http_quiesce(struct http_server *server);
--- a/loop.c
+++ b/loop.c
@@ -11,9 +11,9 @@
 	MAX_FDS = 16384,
 	MAX_HOOKS = 256,
 	MAX_WAIT_US = 100000,
-	/* A scheduler's delay, not a pause of the process. */
+	/* Shorter gaps are scheduling delays, not pauses of the process. */
 	PAUSE_MIN_US = 300000,
-	/* What came during a pause has been read by then. */
+	/* Input that arrived during a pause has been read by then. */
 	PAUSE_REPORT_US = 100000,
 };
 
@@ -45,7 +45,7 @@
 {
 	struct timespec ts;
 
-	/* Time that the VM was suspended counts: others' deadlines went on. */
+	/* Includes time of VM suspension, as the peers' deadlines ran on. */
 	clock_gettime(CLOCK_BOOTTIME, &ts);
 	return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
@@ -171,8 +171,8 @@
 }
 
 /*
- * Connections that were opened to a paused process are accepted in the first
- * round after it and read in those that follow.
+ * Connections that were opened during a pause are accepted in the first round
+ * after it and read in later ones, so the pause is reported for a while.
  */
 static void detect_pause(struct loop *loop)
 {
