--- a/command.c
+++ b/command.c
@@ -40,8 +40,8 @@
 }
 
 /*
- * The first entry of each table is --help and the last the end. Return: -1 to
- * go on, else the exit code.
+ * The first entry of @table must be --help and the last one the arg_end.
+ * Return: -1 to continue, otherwise the exit code.
  */
 static int parse_args(int argc, char **argv, void **table, const char *summary)
 {
@@ -139,9 +139,10 @@
 					 "error, warn, info or debug");
 	struct arg_str *names =
 		arg_strn(NULL, "without", "NAME", 0, MECHANISMS,
-			 "switch a mechanism off, to measure it");
-	struct arg_lit *list = arg_lit0(NULL, "list-mechanisms",
-					"name those that can be switched off");
+			 "disable a mechanism, to measure its effect");
+	struct arg_lit *list =
+		arg_lit0(NULL, "list-mechanisms",
+			 "list the mechanisms that can be disabled");
 	void *table[] = { help_arg(), metrics, level,
 			  names,      list,    arg_end(ARG_ERRORS_MAX) };
 	struct edge_options opt = { .dialect = &platform_dialect };
@@ -240,7 +241,7 @@
 	void *table[] = { help_arg(), settings, lists, fleet,
 			  arg_end(ARG_ERRORS_MAX) };
 	int code = parse_args(argc, argv, table,
-			      "Judge files with the code that a node uses.");
+			      "Check files with the code that a node uses.");
 
 	if (code < 0) {
 		code = EXIT_OK;
@@ -251,7 +252,7 @@
 		if (fleet->count && check_doc(fleet->filename[0], check_fleet))
 			code = EXIT_FAILED;
 		if (!settings->count && !lists->count && !fleet->count) {
-			fprintf(stderr, "wasabimoor: nothing to check; name a "
+			fprintf(stderr, "wasabimoor: nothing to check; give a "
 					"file\n");
 			code = EXIT_USAGE;
 		}
@@ -260,7 +261,7 @@
 	return code;
 }
 
-/* Tables of what the operators' port returns. */
+/* Prints replies of the operators' port as tables. */
 
 static void print_value(const json_t *value)
 {
@@ -437,14 +438,14 @@
 	struct arg_str *addr = arg_str1("a", "address", "IP:PORT",
 					"callers' address of a node");
 	struct arg_str *customer =
-		arg_str1("c", "customer", "NAME", "who asks");
+		arg_str1("c", "customer", "NAME", "customer that asks");
 	struct arg_str *index =
 		arg_strn("i", "index", "NAME", 1, 16, "index to search");
-	struct arg_str *terms = arg_str0("t", "terms", "TEXT", "what for");
+	struct arg_str *terms = arg_str0("t", "terms", "TEXT", "search terms");
 	struct arg_str *id =
 		arg_str0("r", "request-id", "ID", "echoed in the answer");
 	struct arg_int *deadline =
-		arg_int0("d", "deadline-ms", "MS", "answer by then");
+		arg_int0("d", "deadline-ms", "MS", "time limit of the answer");
 	struct arg_lit *json = arg_lit0("j", "json", "print JSON");
 	void *table[] = { help_arg(), addr,  customer,
 			  index,      terms, id,
@@ -513,10 +514,12 @@
 	struct arg_str *id = arg_str1(NULL, NULL, "ID", "id of the request");
 	struct arg_file *files =
 		arg_filen(NULL, NULL, "LOG", 0, 1000,
-			  "logs of nodes; standard input when there is none");
+			  "logs of nodes; standard input if none is given");
 	void *table[] = { help_arg(), id, files, arg_end(ARG_ERRORS_MAX) };
-	int code = parse_args(argc, argv, table,
-			      "Gather a request's lines and say its cause.");
+	int code =
+		parse_args(argc, argv, table,
+			   "Print a request's log lines and the cause of its "
+			   "failure.");
 
 	if (code < 0) {
 		struct explain *explain = explain_create(str_of(id->sval[0]));
@@ -544,13 +547,13 @@
 static const struct command commands[] = {
 	{ "serve", "run a node", run_serve },
 	{ "tier", "serve the targets that a platform publishes", run_tier },
-	{ "check", "judge settings, lists and fleet files", run_check },
+	{ "check", "check settings, lists and fleet files", run_check },
 	{ "ask", "ask a question", run_ask },
 	{ "status", "show a node's state", run_status },
 	{ "audit", "show a node's audit trail", run_audit },
 	{ "counters", "show a node's counters", run_counters },
 	{ "drain", "begin the planned stop of a node", run_drain },
-	{ "explain", "say the cause of a request's failure", run_explain },
+	{ "explain", "print the cause of a request's failure", run_explain },
 	{ "version", "show the version", run_version },
 };
 
@@ -560,7 +563,7 @@
 	for (size_t i = 0; i < sizeof(commands) / sizeof(*commands); i++)
 		fprintf(out, "  %-10s %s\n", commands[i].name,
 			commands[i].summary);
-	fprintf(out, "\nEach takes --help. %s", exit_codes);
+	fprintf(out, "\nEach command accepts --help. %s", exit_codes);
 }
 
 int command_run(int argc, char **argv)
@@ -576,6 +579,7 @@
 	for (size_t i = 0; i < sizeof(commands) / sizeof(*commands); i++)
 		if (!strcmp(argv[1], commands[i].name))
 			return commands[i].run(argc - 1, argv + 1);
-	fprintf(stderr, "wasabimoor: no command \"%s\"; see --help\n", argv[1]);
+	fprintf(stderr, "wasabimoor: unknown command \"%s\"; see --help\n",
+		argv[1]);
 	return EXIT_USAGE;
 }
--- a/command.h
+++ b/command.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
- * DOC: commands
+ * DOC: command line
  *
- * Exit codes: 0 done; 1 failed; 2 wrong usage; 3 refused or partial, with the
- * answer printed.
+ * Exit codes: 0 success; 1 failure; 2 wrong usage; 3 refused, partial or
+ * unknown answer, which is printed.
  */
 
 enum exit_code {
@@ -16,7 +16,7 @@
 
 /**
  * struct command - a subcommand
- * @run: gets argc and argv from the subcommand's name on
+ * @run: called with argc and argv starting at the subcommand's name
  */
 struct command {
 	const char *name;
--- a/log.c
+++ b/log.c
@@ -10,9 +10,9 @@
 #include <log4c.h>
 
 enum {
-	/* A pipe that is ready takes this much at once without waiting. */
+	/* A pipe that polls writable accepts this much without blocking. */
 	CHUNK_BYTES = 4096,
-	/* At the end: the reader is given this long, milliseconds. */
+	/* Wait of log_deinit() for a reader that accepts nothing. */
 	FINAL_FLUSH_TIMEOUT_MS = 200,
 };
 
@@ -35,7 +35,7 @@
 	[LOG_CLASS_DEBUG] = "debug",
 };
 
-/* The message is a whole JSON line already. */
+/* The message is already a complete JSON line. */
 static const char *json_format(const log4c_layout_t *layout,
 			       const log4c_logging_event_t *event)
 {
@@ -61,7 +61,7 @@
 static const log4c_appender_type_t buffer_appender = { "kept", NULL,
 						       buffer_line, NULL };
 
-/* Return: false when the reader takes nothing now, or is gone. */
+/* Return: false if standard output accepts nothing now, or is closed. */
 static bool write_chunk(int wait_ms)
 {
 	struct pollfd out = { .fd = STDOUT_FILENO, .events = POLLOUT };
@@ -88,7 +88,7 @@
 
 		dropped = 0;
 		log_msg(LOG_CLASS_WARN, "log",
-			"%lu lines left out: standard output was not read",
+			"%lu lines dropped: standard output was not read",
 			count);
 	}
 }
--- a/log.h
+++ b/log.h
@@ -8,10 +8,9 @@
  * JSON lines on standard output through log4c: time, node, level, module,
  * message. A file that logs defines LOG_MODULE before it includes this header.
  *
- * Nothing ever waits for whoever reads standard output. Lines are kept in
- * memory and written as far as the reader takes them; beyond
- * LOG_BUFFER_MAX_BYTES bytes they are left out, and their number is told when
- * the reader goes on.
+ * Logging never blocks on the reader of standard output. Lines are buffered and
+ * written as far as the reader accepts them; beyond LOG_BUFFER_MAX_BYTES they
+ * are dropped, and their number is logged when the reader continues.
  */
 
 enum {
@@ -27,15 +26,15 @@
 
 /** log_init() - @level: "error", "warn", "info" or "debug" */
 void log_init(struct str level);
-/** log_deinit() - gives the reader a last moment for what is kept. */
+/** log_deinit() - flush, waiting briefly for the reader, and close the log. */
 void log_deinit(void);
-/** log_set_node() - name of the VM, for each line from now on. */
+/** log_set_node() - set the VM name that further lines carry. */
 void log_set_node(struct str name);
-/** log_flush() - write what the reader of standard output takes now. */
+/** log_flush() - write what standard output accepts without blocking. */
 void log_flush(void);
 void log_msg(enum log_class cls, const char *module, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
-/** log_json() - a line whose "event" is the JSON object @body. */
+/** log_json() - log a line whose "event" is the JSON object @body. */
 void log_json(enum log_class cls, const char *module, struct str body);
 
 #define LOG_ERR(...) log_msg(LOG_CLASS_ERROR, LOG_MODULE, __VA_ARGS__)
