--- a/command.h
+++ b/command.h
@@ -4,7 +4,7 @@
  * DOC: command line
  *
  * Exit codes: 0 success; 1 failure; 2 wrong usage; 3 refused, partial or
- * unknown answer, which is printed.
+ * unknown, with the answer printed.
  */
 
 enum exit_code {
--- a/error.h
+++ b/error.h
@@ -3,10 +3,10 @@
 #include "str.h"
 
 /**
- * enum error_code - every way in which a request or an input can fail
+ * enum error_code - reasons for which a request or an input fails
  *
- * Negative, so a function can return a count or an error. Each has a kind (a
- * stable name for programs), an HTTP status and a remedy; see error_info().
+ * Negative, so that a function can return a count or an error. Each has a kind
+ * (a stable name for programs), an HTTP status and a remedy; see error_info().
  */
 enum error_code {
 	ERR_NONE = 0,
@@ -49,9 +49,9 @@
 };
 
 /**
- * struct error_info - what programs and people are told of a code
- * @kind: stable name
- * @status: HTTP status towards callers
+ * struct error_info - how an error code is reported
+ * @kind: stable name for programs
+ * @status: HTTP status sent to callers
  * @remedy: what the reader can do, one sentence
  */
 struct error_info {
@@ -61,9 +61,9 @@
 };
 
 /**
- * struct error - a failure with its place
+ * struct error - a failure and its location
  * @code: an enum error_code
- * @text: place and cause, terminated
+ * @text: location and cause, NUL-terminated
  */
 struct error {
 	int code;
--- a/http.h
+++ b/http.h
@@ -55,8 +55,7 @@
 		  struct str body);
 /** http_header() - value of a request header; empty if absent. */
 struct str http_header(struct http_request *req, struct str name);
-/** http_client_ip() - IP number that it came from; empty when it is not known.
- */
+/** http_client_ip() - IP address of the client; empty if unknown. */
 struct str http_client_ip(struct http_request *req);
 /** http_copy_headers() - append the header lines that @keep accepts. */
 void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
--- a/json.h
+++ b/json.h
@@ -4,14 +4,14 @@
 
 #include "error.h"
 
-/** JSON_UNBOUNDED - a list or text is bounded by its document's size alone. */
+/** JSON_UNBOUNDED - no limit but the size of the document */
 #define JSON_UNBOUNDED SIZE_MAX
 
 /**
- * struct json_input - a document under judgement
- * @file: name for messages
- * @code: ERR_SETTINGS, ERR_LIST or ERR_BAD_REQUEST, used for every fault
- * @err: first fault; err.code is 0 while there is none
+ * struct json_input - a document being validated
+ * @file: name of the document in error messages
+ * @code: ERR_SETTINGS, ERR_LIST or ERR_BAD_REQUEST, used for every error
+ * @err: first error; err.code is 0 if there is none
  */
 struct json_input {
 	const char *file;
@@ -19,19 +19,22 @@
 	struct error err;
 };
 
-/** json_error_set() - record the first fault at @place; later ones are dropped.
+/** json_error_set() - record an error at @place, unless there is one already.
  */
 void json_error_set(struct json_input *in, const char *place, const char *fmt,
 		    ...) __attribute__((format(printf, 3, 4)));
 
-/** json_parse() - parse a whole text; duplicate keys are a fault. */
+/** json_parse() - parse @text; duplicate keys are an error. */
 json_t *json_parse(struct json_input *in, struct str text);
 
 /** json_check_keys() - every key of @obj must be in @known (NULL-ended). */
 void json_check_keys(struct json_input *in, const char *place, json_t *obj,
 		     const char *const *known);
 
-/* Typed fields. A required field that is absent is a fault. */
+/*
+ * Typed fields. A missing required field is an error; the functions with
+ * @fallback return it instead if the field is absent.
+ */
 int64_t json_int(struct json_input *in, const char *place, json_t *obj,
 		 const char *key, int64_t min, int64_t max);
 int64_t json_int_or(struct json_input *in, const char *place, json_t *obj,
@@ -40,20 +43,19 @@
 double json_real_or(struct json_input *in, const char *place, json_t *obj,
 		    const char *key, double min, double max, double fallback);
 /**
- * json_clamped() - a number that was judged elsewhere
+ * json_clamped() - a number whose range was validated elsewhere
  *
- * Return: the nearest of @min to @max, or @fallback when the field is absent; a
- * field that is no number is a fault.
+ * Return: the value clamped to @min and @max, or @fallback if the field is
+ * absent; a field that is not a number is an error.
  */
 double json_clamped(struct json_input *in, const char *place, json_t *obj,
 		    const char *key, double min, double max, double fallback);
-/** json_text() - a string of 1 to @max bytes; JSON_UNBOUNDED: as long as it is.
- */
+/** json_text() - a string of 1 to @max bytes, or JSON_UNBOUNDED. */
 struct str json_text(struct json_input *in, const char *place, json_t *obj,
 		     const char *key, size_t max);
-/** json_list() - an array of up to @max items, or NULL after a fault. */
+/** json_list() - an array of up to @max items, or NULL after an error. */
 json_t *json_list(struct json_input *in, const char *place, json_t *obj,
 		  const char *key, size_t max);
-/** json_strings() - array of unique strings, copied to @pool. */
+/** json_strings() - an array of unique strings, copied to @pool. */
 struct str *json_strings(struct json_input *in, const char *place, json_t *obj,
 			 const char *key, apr_pool_t *pool, size_t *count);
--- a/loop.h
+++ b/loop.h
@@ -42,8 +42,7 @@
 /** loop_step() - run one round. */
 void loop_step(struct loop *loop);
 void loop_stop(struct loop *loop);
-/** loop_round_start() - when the present round began, monotonic microseconds.
- */
+/** loop_round_start() - start of the current round, as of loop_now(). */
 int64_t loop_round_start(const struct loop *loop);
 /**
  * loop_pause_us() - length of a pause or suspension that ended just now
--- a/metric.c
+++ b/metric.c
@@ -1,6 +1,6 @@
 #include "metric.h"
 
-/** struct metric_text - name without its prefix, and what it counts */
+/** struct metric_text - name without prefix and suffix, and help text */
 struct metric_text {
 	const char *name;
 	const char *help;
@@ -43,7 +43,7 @@
 	[LATENCY_TARGET] = "target",
 };
 
-/* Milliseconds; goals lie between 50 and 500. */
+/* Bucket bounds; the goals of routes lie between 50 and 500 ms. */
 static const int bounds_ms[LATENCY_BOUNDS] = {
 	1, 2, 5, 10, 20, 35, 50, 75, 100, 150, 250, 500, 1000, 5000,
 };
--- a/metric.h
+++ b/metric.h
@@ -7,8 +7,8 @@
 /**
  * DOC: counters and latency histograms of the tier
  *
- * All start at 0 with the process and only go up. Served as text in the format
- * of Prometheus; docs/OPERATIONS.md says what each is for.
+ * All start at 0 with the process and only increase. Served in the text format
+ * of Prometheus; docs/OPERATIONS.md describes each.
  */
 
 /** enum metric - counters; names and help in metric.c */
@@ -16,7 +16,7 @@
 	METRIC_ANSWERED,
 	METRIC_PARTIAL,
 	METRIC_LATE,
-	METRIC_REFUSED, /* "not run", with the time to come back */
+	METRIC_REFUSED, /* answered "not run", with a retry time */
 	METRIC_GAVE_UP,
 	METRIC_CALLERS_GONE,
 	METRIC_SENT,
@@ -40,7 +40,7 @@
 enum latency_kind {
 	LATENCY_MERGED, /* questions over shards, from arrival to answer */
 	LATENCY_FORWARDED, /* requests to one target, likewise */
-	LATENCY_TARGET, /* good replies of targets, from sending */
+	LATENCY_TARGET, /* good replies of targets, from sending the request */
 	LATENCY_KINDS,
 };
 
@@ -48,7 +48,7 @@
 	LATENCY_BOUNDS = 14,
 };
 
-/** struct histogram - @buckets[i]: values up to the bound i, not summed up */
+/** struct histogram - @buckets[i]: values up to bound i, not cumulative */
 struct histogram {
 	uint64_t buckets[LATENCY_BOUNDS + 1];
 	uint64_t count;
@@ -67,8 +67,8 @@
 
 void metric_observe_latency(struct metrics *metrics, enum latency_kind kind,
 			    int64_t us);
-/** metrics_text() - append all of them. */
+/** metrics_text() - append all counters and histograms. */
 void metrics_text(const struct metrics *metrics, struct buf *out);
-/** metric_gauge() - append one value that goes up and down. */
+/** metric_gauge() - append one gauge. */
 void metric_gauge(struct buf *out, const char *name, const char *help,
 		  uint64_t value);
--- a/rng.h
+++ b/rng.h
@@ -5,8 +5,8 @@
 /**
  * struct rng - counter-based random numbers (Random123, Philox 4x32)
  *
- * The same seed and the same number of draws give the same values, so a
- * replayed event log gives the same effects.
+ * The same seed and the same number of draws give the same values, so that
+ * replaying an event log gives the same effects.
  */
 struct rng {
 	uint64_t seed;
--- a/str.h
+++ b/str.h
@@ -53,14 +53,14 @@
 uint64_t str_hash(struct str s);
 
 /**
- * hash_make() - hash table whose order depends on its content alone
+ * hash_make() - hash table whose order depends only on its content
  *
  * APR seeds its own hash function at random, so two runs over the same events
- * would walk a table, and send messages, in different orders.
+ * would iterate over a table, and send messages, in different orders.
  */
 apr_hash_t *hash_make(apr_pool_t *pool);
 
-/** hash_value() - what a table's iterator stands at. */
+/** hash_value() - value at the position of a hash iterator. */
 static inline void *hash_value(apr_hash_index_t *it)
 {
 	void *value;
@@ -84,6 +84,6 @@
 	__attribute__((format(printf, 2, 3)));
 /** buf_json_add() - append @s as a quoted JSON string. */
 void buf_json_add(struct buf *buf, struct str s);
-/** buf_drop() - remove @len bytes from the front. */
+/** buf_drop() - remove the first @len bytes. */
 void buf_drop(struct buf *buf, size_t len);
 void buf_free(struct buf *buf);
--- a/upstream.h
+++ b/upstream.h
@@ -69,7 +69,11 @@
 
 struct upstream *upstream_create(struct loop *loop,
 				 struct upstream_handler handler);
-/** upstream_send() - copies the strings; calls the handler once. */
+/**
+ * upstream_send() - send a request; strings are copied
+ *
+ * The handler is called once, possibly before this returns.
+ */
 void upstream_send(struct upstream *up, const struct upstream_request *req);
 /** upstream_cancel() - close the connection without calling the handler. */
 void upstream_cancel(struct upstream *up, uint64_t id);
--- a/xmalloc.h
+++ b/xmalloc.h
@@ -5,8 +5,8 @@
 /**
  * DOC: allocation that cannot fail
  *
- * A node that runs out of memory cannot keep a promise by going on with half
- * of its state. These wrappers print a message and abort, so no caller needs
+ * A node without memory cannot keep its guarantees by continuing with part of
+ * its state. These wrappers print a message and abort, so that no caller needs
  * an error path. The supervisor of the VM starts a new incarnation.
  */
 
