--- a/json.c
+++ b/json.c
@@ -198,8 +198,7 @@
 				    NAME_MAX_BYTES);
 		out[i] = str_dup(pool, out[i]);
 		if (apr_hash_get(seen, out[i].ptr, (apr_ssize_t)out[i].len))
-			json_error_set(in, place,
-				       "field \"%s\" contains \"%.*s\" twice",
+			json_error_set(in, place, "\"%s\" has \"%.*s\" twice",
 				       key, STR_ARG(out[i]));
 		apr_hash_set(seen, out[i].ptr, (apr_ssize_t)out[i].len,
 			     &out[i]);
