--- a/edge.c
+++ b/edge.c
@@ -69,7 +69,7 @@
 	uint64_t store_id;
 	bool ready;
 	bool tick_deferred;
-	int events[FLOW_EVENTS];
+	int event_counts[FLOW_EVENTS];
 	int64_t slow_round_logged_at;
 	int signal_fd;
 	struct watch *signals;
@@ -80,7 +80,7 @@
 static void dispatch(struct edge *edge, struct flow_event event)
 {
 	event.now = loop_now();
-	edge->events[event.type]++;
+	edge->event_counts[event.type]++;
 	tier_reduce(edge->tier, &event, &edge->fx);
 	/* Applying effects can dispatch events; the outer call applies theirs.
 	 */
@@ -461,10 +461,12 @@
 		LOG_WARN("a round took %lld ms: %d requests, %d replies, "
 			 "%d of the store, %d messages",
 			 (long long)elapsed_us / 1000,
-			 edge->events[FLOW_REQUEST], edge->events[FLOW_REPLY],
-			 edge->events[FLOW_STORE], edge->events[FLOW_MSG]);
+			 edge->event_counts[FLOW_REQUEST],
+			 edge->event_counts[FLOW_REPLY],
+			 edge->event_counts[FLOW_STORE],
+			 edge->event_counts[FLOW_MSG]);
 	}
-	memset(edge->events, 0, sizeof(edge->events));
+	memset(edge->event_counts, 0, sizeof(edge->event_counts));
 }
 
 /*
--- a/fetch.c
+++ b/fetch.c
@@ -91,7 +91,7 @@
 	if (what & CURL_POLL_OUT)
 		events |= APR_POLLOUT;
 	if (sock) {
-		loop_set(sock->watch, events);
+		loop_set_events(sock->watch, events);
 		return 0;
 	}
 	sock = xcalloc(1, sizeof(*sock));
--- a/http.c
+++ b/http.c
@@ -42,8 +42,8 @@
 	struct watch *watch;
 	size_t max_body;
 	struct http_handler handler;
-	size_t open;
-	bool ready;
+	size_t open_requests;
+	bool needs_run;
 	bool closing;
 	int quiesced_fd;
 };
@@ -65,7 +65,7 @@
 	if (!p->suspended)
 		return;
 	p->suspended = false;
-	p->req.server->ready = true;
+	p->req.server->needs_run = true;
 	MHD_resume_connection(p->conn);
 }
 
@@ -212,7 +212,7 @@
 	p->req.id = ++last_id;
 	p->req.server = server;
 	buf_str_add(&p->uri, str_of(uri));
-	server->open++;
+	server->open_requests++;
 	return p;
 }
 
@@ -351,7 +351,7 @@
 	buf_free(&p->reply_headers);
 	buf_free(&p->reply);
 	free(p);
-	server->open--;
+	server->open_requests--;
 	*state = NULL;
 }
 
@@ -361,11 +361,11 @@
 	MHD_UNSIGNED_LONG_LONG ms = 1;
 
 	MHD_get_timeout(server->daemon, &ms);
-	if (!server->ready && ms)
+	if (!server->needs_run && ms)
 		return;
 	/* Cleared first: a connection resumed by MHD_run() needs another run.
 	 */
-	server->ready = false;
+	server->needs_run = false;
 	MHD_run(server->daemon);
 }
 
@@ -374,7 +374,7 @@
 	struct http_server *server = ctx;
 
 	(void)events;
-	server->ready = true;
+	server->needs_run = true;
 }
 
 static int64_t wait_us(void *ctx)
@@ -382,7 +382,7 @@
 	struct http_server *server = ctx;
 	MHD_UNSIGNED_LONG_LONG ms;
 
-	if (server->ready)
+	if (server->needs_run)
 		return 0;
 	if (MHD_get_timeout(server->daemon, &ms) != MHD_YES)
 		return -1;
@@ -458,7 +458,7 @@
 
 size_t http_open_requests(const struct http_server *server)
 {
-	return server->open;
+	return server->open_requests;
 }
 
 void http_destroy(struct http_server *server)
--- a/loop.c
+++ b/loop.c
@@ -30,7 +30,7 @@
 
 struct loop {
 	apr_pool_t *pool;
-	apr_pollset_t *set;
+	apr_pollset_t *pollset;
 	struct loop_hook hooks[MAX_HOOKS];
 	int nhooks;
 	struct watch *deleted;
@@ -59,7 +59,7 @@
 	loop = apr_pcalloc(pool, sizeof(*loop));
 	loop->pool = pool;
 	loop->round_end = loop_now();
-	if (apr_pollset_create_ex(&loop->set, MAX_FDS, pool, 0,
+	if (apr_pollset_create_ex(&loop->pollset, MAX_FDS, pool, 0,
 				  APR_POLLSET_EPOLL))
 		abort();
 	return loop;
@@ -79,7 +79,7 @@
 void loop_destroy(struct loop *loop)
 {
 	free_deleted(loop);
-	apr_pollset_destroy(loop->set);
+	apr_pollset_destroy(loop->pollset);
 	apr_pool_destroy(loop->pool);
 }
 
@@ -109,21 +109,21 @@
 
 	apr_pollfd_t poll = poll_fd(watch);
 
-	if (apr_pollset_add(loop->set, &poll))
+	if (apr_pollset_add(loop->pollset, &poll))
 		abort();
 	return watch;
 }
 
-void loop_set(struct watch *watch, int events)
+void loop_set_events(struct watch *watch, int events)
 {
 	apr_pollfd_t poll = poll_fd(watch);
 
 	if (watch->events == events)
 		return;
-	apr_pollset_remove(watch->loop->set, &poll);
+	apr_pollset_remove(watch->loop->pollset, &poll);
 	watch->events = events;
 	poll = poll_fd(watch);
-	if (apr_pollset_add(watch->loop->set, &poll))
+	if (apr_pollset_add(watch->loop->pollset, &poll))
 		abort();
 }
 
@@ -131,7 +131,7 @@
 {
 	apr_pollfd_t poll = poll_fd(watch);
 
-	apr_pollset_remove(watch->loop->set, &poll);
+	apr_pollset_remove(watch->loop->pollset, &poll);
 	watch->deleted = true;
 	watch->next_deleted = watch->loop->deleted;
 	watch->loop->deleted = watch;
@@ -189,7 +189,7 @@
 	const apr_pollfd_t *ready;
 	apr_int32_t count = 0;
 
-	if (apr_pollset_poll(loop->set, poll_timeout(loop), &count, &ready))
+	if (apr_pollset_poll(loop->pollset, poll_timeout(loop), &count, &ready))
 		count = 0;
 	loop->round_start = loop_now();
 	detect_pause(loop);
--- a/loop.h
+++ b/loop.h
@@ -32,7 +32,7 @@
 /** loop_add() - watch @fd for @events, APR_POLLIN and APR_POLLOUT. */
 struct watch *loop_add(struct loop *loop, int fd, int events,
 		       void (*fn)(void *ctx, int events), void *ctx);
-void loop_set(struct watch *watch, int events);
+void loop_set_events(struct watch *watch, int events);
 /** loop_del() - stop watching; safe within callbacks. */
 void loop_del(struct watch *watch);
 void loop_hook(struct loop *loop, struct loop_hook hook);
--- a/peer.c
+++ b/peer.c
@@ -128,7 +128,8 @@
 		}
 		break;
 	}
-	loop_set(link->watch, APR_POLLIN | (link->out.len ? APR_POLLOUT : 0));
+	loop_set_events(link->watch,
+			APR_POLLIN | (link->out.len ? APR_POLLOUT : 0));
 }
 
 static void on_link(void *ctx, int events)
--- a/reply.c
+++ b/reply.c
@@ -16,7 +16,7 @@
 
 static struct str span_str(const struct reply *reply, struct span span)
 {
-	return (struct str){ reply->text.ptr + span.at, span.len };
+	return (struct str){ reply->text.ptr + span.offset, span.len };
 }
 
 void reply_headers(const struct reply *reply, struct header *out)
--- a/reply.h
+++ b/reply.h
@@ -24,7 +24,7 @@
 
 /** struct span - range of reply.text, which may be reallocated as it grows */
 struct span {
-	size_t at;
+	size_t offset;
 	size_t len;
 };
 
--- a/upstream.c
+++ b/upstream.c
@@ -152,7 +152,7 @@
 }
 
 /* Reports the complete reply; keeps the connection if it can be reused. */
-static void conn_answer(struct conn *conn, bool keep)
+static void conn_complete(struct conn *conn, bool keep)
 {
 	struct upstream *up = conn->up;
 	struct header headers[REPLY_HEADERS_MAX];
@@ -206,26 +206,26 @@
 			conn_fail(conn, broken_result(conn));
 			return;
 		}
-		loop_set(conn->watch, APR_POLLIN | APR_POLLOUT);
+		loop_set_events(conn->watch, APR_POLLIN | APR_POLLOUT);
 		return;
 	}
-	loop_set(conn->watch, APR_POLLIN);
+	loop_set_events(conn->watch, APR_POLLIN);
 }
 
 static void conn_connected(struct conn *conn)
 {
-	int fault = 0;
-	socklen_t len = sizeof(fault);
+	int so_error = 0;
+	socklen_t len = sizeof(so_error);
 
-	getsockopt(conn->fd, SOL_SOCKET, SO_ERROR, &fault, &len);
-	if (fault) {
+	getsockopt(conn->fd, SOL_SOCKET, SO_ERROR, &so_error, &len);
+	if (so_error) {
 		conn_fail(conn, FETCH_REFUSED);
 		return;
 	}
 	if (!conn->id) {
 		conn->state = CONN_IDLE;
 		conn->idle_until = loop_now() + conn->endpoint->idle_timeout_us;
-		loop_set(conn->watch, APR_POLLIN);
+		loop_set_events(conn->watch, APR_POLLIN);
 		return;
 	}
 	conn->state = CONN_BUSY;
@@ -237,7 +237,7 @@
 	if (conn->state == CONN_BUSY) {
 		reply_eof(&conn->reply);
 		if (conn->reply.done) {
-			conn_answer(conn, false);
+			conn_complete(conn, false);
 			return;
 		}
 	}
@@ -279,7 +279,7 @@
 	if (used < 0)
 		conn_fail(conn, FETCH_MALFORMED);
 	else if (conn->reply.done)
-		conn_answer(conn, !conn->reply.closes_after && used == got);
+		conn_complete(conn, !conn->reply.closes_after && used == got);
 }
 
 static void on_conn(void *ctx, int events)
