--- a/edge.c
+++ b/edge.c
@@ -23,8 +23,7 @@
 	SETTINGS_MAX_BYTES = 256 * 1024,
 	/* Applies until the configuration sets a limit. */
 	BODY_MAX_BYTES = 256 * 1024,
-	/* Allowance for a page of the store, in addition to its largest value.
-	 */
+	/* Of a page of the store, in addition to its largest value. */
 	STORE_PAGE_MAX_BYTES = 4 * 1024 * 1024,
 	/* A value is up to this many times its decoded size on the wire. */
 	VALUE_ENCODING_FACTOR = 2,
@@ -40,8 +39,7 @@
 	FLUSH_TIMEOUT_US = 1500000,
 	/* Input may have arrived unread during a round longer than this. */
 	LONG_ROUND_US = 2000,
-	/* Callers notice a round of this length; logged once a second at most.
-	 */
+	/* Callers notice a round this long; logged at most once a second. */
 	SLOW_ROUND_US = 15000,
 	SLOW_ROUND_LOG_INTERVAL_US = 1000000,
 };
@@ -82,8 +80,7 @@
 	event.now = loop_now();
 	edge->event_counts[event.type]++;
 	tier_reduce(edge->tier, &event, &edge->fx);
-	/* Applying effects can dispatch events; the outer call applies theirs.
-	 */
+	/* Applying effects may dispatch; the outer call handles those. */
 	if (!edge->applying_effects)
 		apply_effects(edge);
 }
--- a/http.c
+++ b/http.c
@@ -200,8 +200,7 @@
 	*state = NULL;
 }
 
-/* Called with the request line; MHD passes the returned state to on_request().
- */
+/* Called with the request line; MHD stores the return value as state. */
 static void *on_request_line(void *ctx, const char *uri,
 			     struct MHD_Connection *conn)
 {
@@ -363,8 +362,7 @@
 	MHD_get_timeout(server->daemon, &ms);
 	if (!server->needs_run && ms)
 		return;
-	/* Cleared first: a connection resumed by MHD_run() needs another run.
-	 */
+	/* Cleared first: connections resumed by MHD_run() need another run. */
 	server->needs_run = false;
 	MHD_run(server->daemon);
 }
--- a/json.h
+++ b/json.h
@@ -19,8 +19,7 @@
 	struct error err;
 };
 
-/** json_error_set() - record an error at @place, unless there is one already.
- */
+/** json_error_set() - record an error at @place; only the first is kept. */
 void json_error_set(struct json_input *in, const char *place, const char *fmt,
 		    ...) __attribute__((format(printf, 3, 4)));
 
--- a/os.h
+++ b/os.h
@@ -23,8 +23,7 @@
  */
 int os_signalfd(const int *numbers, size_t count);
 
-/** os_signal_read() - read a signal from os_signalfd(); 0 if none is pending.
- */
+/** os_signal_read() - pending signal of an os_signalfd(), 0 if none. */
 int os_signal_read(int fd);
 
 /**
--- a/str.h
+++ b/str.h
@@ -72,8 +72,7 @@
 /** str_dup() - copy into @pool, with a terminating NUL for C interfaces. */
 struct str str_dup(apr_pool_t *pool, struct str s);
 
-/** str_heap_dup() - copy to the heap, with a terminating NUL; see str_free().
- */
+/** str_heap_dup() - NUL-terminated copy on the heap; see str_free(). */
 struct str str_heap_dup(struct str s);
 void str_free(struct str s);
 
