--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -178,7 +178,7 @@
 	{ "{\"version\":1,\"services\":[]}", "routes" },
 	{ "{\"version\":1,\"routes\":[{\"name\":\"r\",\"host\":\"h\","
 	  "\"prefix\":\"/\",\"kind\":\"idempotent\"}],\"services\":[]}",
-	  "nowhere" },
+	  "r has neither a service nor shards" },
 	{ "{\"version\":1,\"routes\":[{}],\"services\":[]}", "kind" },
 	{ "{\"version\":1,\"routes\":[],\"services\":[{\"name\":\"s\"}]}",
 	  "health_path" },
