--- a/edge.c
+++ b/edge.c
@@ -155,7 +155,7 @@
 		.echo_name = edge->dialect->names.request_id,
 		.echo = fx->request->request_id,
 		.no_body = str_eq(fx->request->method, STR("HEAD")),
-		.connect_us = CONNECT_TIMEOUT_US,
+		.connect_timeout_us = CONNECT_TIMEOUT_US,
 		.timeout_us = fx->timeout_us,
 	};
 
@@ -174,10 +174,10 @@
 		.reply_max =
 			STORE_PAGE_MAX_BYTES +
 			VALUE_ENCODING_FACTOR * edge->settings.store_value_max,
-		.connect_us = fx->timeout_us,
+		.connect_timeout_us = fx->timeout_us,
 		.timeout_us = fx->timeout_us,
-		.pause_us = fx->pause_us,
-		.whole_us = fx->whole_us,
+		.read_timeout_us = fx->pause_us,
+		.total_timeout_us = fx->whole_us,
 	};
 
 	buf_str_add(&head, STR("GET "));
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -315,7 +315,7 @@
 		.head = STR("GET / HTTP/1.1\r\nHost: h\r\n\r\n"),
 		.echo_name = STR("Request-Id"),
 		.echo = echo,
-		.connect_us = TIMEOUT_US,
+		.connect_timeout_us = TIMEOUT_US,
 		.timeout_us = TIMEOUT_US,
 	};
 }
@@ -372,8 +372,8 @@
 	begin(&server);
 	request = request_of(server.addr, 1, (struct str){ 0 });
 	if (pieces->may_take_long) {
-		request.pause_us = PAUSE_US;
-		request.whole_us = WHOLE_US;
+		request.read_timeout_us = PAUSE_US;
+		request.total_timeout_us = WHOLE_US;
 	}
 	ask_for(&server, &request);
 	ck_assert_int_eq(outcomes[1].result, pieces->result);
--- a/upstream.c
+++ b/upstream.c
@@ -44,8 +44,8 @@
  * @reply: to the request in flight, as far as received
  * @fresh: no request has been answered on this connection
  * @reply_deadline: the request fails at this time
- * @pause_us: each read extends @reply_deadline to this much from now, but not
- *            beyond @total_deadline; 0: reads do not extend it
+ * @read_timeout_us: each read extends @reply_deadline to this much from now,
+ * but not beyond @total_deadline; 0: reads do not extend it
  */
 struct conn {
 	struct upstream *up;
@@ -62,7 +62,7 @@
 	int64_t idle_until;
 	int64_t connect_deadline;
 	int64_t reply_deadline;
-	int64_t pause_us;
+	int64_t read_timeout_us;
 	int64_t total_deadline;
 };
 
@@ -246,9 +246,9 @@
 
 static void extend_reply_deadline(struct conn *conn)
 {
-	if (!conn->pause_us)
+	if (!conn->read_timeout_us)
 		return;
-	conn->reply_deadline = loop_now() + conn->pause_us;
+	conn->reply_deadline = loop_now() + conn->read_timeout_us;
 	if (conn->reply_deadline > conn->total_deadline)
 		conn->reply_deadline = conn->total_deadline;
 }
@@ -415,10 +415,10 @@
 	prepare_reply(&conn->reply, req);
 	buf_str_add(&conn->out, req->head);
 	buf_str_add(&conn->out, req->body);
-	conn->connect_deadline = now + req->connect_us;
+	conn->connect_deadline = now + req->connect_timeout_us;
 	conn->reply_deadline = now + req->timeout_us;
-	conn->pause_us = req->pause_us;
-	conn->total_deadline = now + req->whole_us;
+	conn->read_timeout_us = req->read_timeout_us;
+	conn->total_deadline = now + req->total_timeout_us;
 	apr_hash_set(up->in_flight, &conn->id, sizeof(conn->id), conn);
 	timer_add(&up->timers, conn->reply_deadline, TIMER_JOB, conn->id);
 	if (conn->state == CONN_CONNECTING) {
@@ -467,7 +467,7 @@
 		conn_fail(conn, FETCH_REFUSED);
 	else if (now >= conn->reply_deadline)
 		conn_fail(conn, conn->sent ? FETCH_TIMEOUT : FETCH_REFUSED);
-	else if (conn->pause_us && conn->state != CONN_CONNECTING)
+	else if (conn->read_timeout_us && conn->state != CONN_CONNECTING)
 		timer_add(&up->timers, conn->reply_deadline, TIMER_JOB, id);
 }
 
--- a/upstream.h
+++ b/upstream.h
@@ -25,11 +25,11 @@
  *                    empty or the reply has no such header
  * @no_body: the reply has no body, whatever its head states
  * @reply_max: largest reply body accepted, bytes; 0 for the default
- * @connect_us: timeout of the connection attempt
+ * @connect_timeout_us: timeout of the connection attempt
  * @timeout_us: timeout of the complete reply
- * @pause_us, @whole_us: if @pause_us is not 0, @timeout_us applies only until
- *                       the first bytes of the reply; after them, @pause_us
- *                       limits each gap between reads and @whole_us the time
+ * @read_timeout_us, @total_timeout_us: if @read_timeout_us is not 0,
+ * @timeout_us applies only until the first bytes of the reply; after them,
+ * @read_timeout_us limits each gap between reads and @total_timeout_us the time
  *                       from sending to the complete reply
  */
 struct upstream_request {
@@ -41,10 +41,10 @@
 	struct str echo;
 	bool no_body;
 	size_t reply_max;
-	int64_t connect_us;
+	int64_t connect_timeout_us;
 	int64_t timeout_us;
-	int64_t pause_us;
-	int64_t whole_us;
+	int64_t read_timeout_us;
+	int64_t total_timeout_us;
 };
 
 /**
