--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -31,7 +31,7 @@
 /** struct knobs - behaviour; each can be set for all or for one target */
 struct knobs {
 	int64_t service_us; /* mean service time of a leaf request */
-	int64_t connect_timeout_us; /* added to a connection's first request */
+	int64_t connect_us; /* added to a connection's first request */
 	int64_t cold_us; /* length of a cold start */
 	int64_t cold_bears; /* requests at a time while cold */
 	int64_t straggle_pm; /* stragglers per mille */
@@ -105,14 +105,12 @@
 #name, offsetof(struct knobs, name) \
 	}
 static const struct knob knob_table[] = {
-	KNOB(service_us),  KNOB(connect_timeout_us),
-	KNOB(cold_us),	   KNOB(cold_bears),
-	KNOB(straggle_pm), KNOB(factor),
-	KNOB(draining),	   KNOB(lie_idle),
-	KNOB(shed),	   KNOB(close),
-	KNOB(truncate),	   KNOB(wrong_version),
-	KNOB(lacks),	   KNOB(dead),
-	KNOB(mute),	   KNOB(padding),
+	KNOB(service_us), KNOB(connect_us),  KNOB(cold_us),
+	KNOB(cold_bears), KNOB(straggle_pm), KNOB(factor),
+	KNOB(draining),	  KNOB(lie_idle),    KNOB(shed),
+	KNOB(close),	  KNOB(truncate),    KNOB(wrong_version),
+	KNOB(lacks),	  KNOB(dead),	     KNOB(mute),
+	KNOB(padding),
 };
 enum {
 	KNOBS = sizeof(knob_table) / sizeof(*knob_table)
@@ -328,7 +326,7 @@
 	work->number = ++farm->last;
 	work->job = (uint64_t)query_int(req, "job", 0);
 	work->is_entry = is_entry;
-	work->extra_us = req->first ? leaf->knobs.connect_timeout_us : 0;
+	work->extra_us = req->first ? leaf->knobs.connect_us : 0;
 	work->next = leaf->works;
 	leaf->works = work;
 	leaf->waiting++;
@@ -521,7 +519,7 @@
 static void parse_knobs(struct knobs *knobs, int argc, char **argv)
 {
 	*knobs = (struct knobs){ .service_us = 3000,
-				 .connect_timeout_us = 1000,
+				 .connect_us = 1000,
 				 .cold_us = 1000000,
 				 .cold_bears = 1,
 				 .factor = 10,
