--- a/upstream.c
+++ b/upstream.c
@@ -45,7 +45,7 @@
  * @fresh: no request has been answered on this connection
  * @reply_deadline: the request fails at this time
  * @read_timeout_us: each read extends @reply_deadline to this much from now,
- * but not beyond @total_deadline; 0: reads do not extend it
+ *                   but not beyond @total_deadline; 0: reads do not extend it
  */
 struct conn {
 	struct upstream *up;
--- a/upstream.h
+++ b/upstream.h
@@ -27,10 +27,10 @@
  * @reply_max: largest reply body accepted, bytes; 0 for the default
  * @connect_timeout_us: timeout of the connection attempt
  * @timeout_us: timeout of the complete reply
- * @read_timeout_us, @total_timeout_us: if @read_timeout_us is not 0,
- * @timeout_us applies only until the first bytes of the reply; after them,
- * @read_timeout_us limits each gap between reads and @total_timeout_us the time
- *                       from sending to the complete reply
+ * @read_timeout_us: if not 0, @timeout_us applies only until the first bytes of
+ *                   the reply; after them, this limits each gap between reads
+ * @total_timeout_us: if @read_timeout_us is not 0, limit from sending to the
+ *                    complete reply
  */
 struct upstream_request {
 	uint64_t id;
