--- a/balancer.c
+++ b/balancer.c
@@ -161,9 +161,9 @@
 		service_targets_get(balancer, entry->service);
 
 	target->key = key;
-	target->id = str_keep(entry->id);
-	target->addr = str_keep(entry->addr);
-	target->domain = str_keep(entry->domain);
+	target->id = str_heap_dup(entry->id);
+	target->addr = str_heap_dup(entry->addr);
+	target->domain = str_heap_dup(entry->domain);
 	target->domain_key = str_hash(entry->domain);
 	target->near = str_eq(entry->domain, balancer->domain);
 	target->service = entry->service;
--- a/call.c
+++ b/call.c
@@ -427,8 +427,9 @@
 		decision_log_attempt(calls->decision_log, calls->now, call,
 				     &copy, reply);
 	if (classify_reply(reply) == REPLY_GOOD) {
-		metric_latency(&calls->decision_log->metrics, LATENCY_TARGET,
-			       calls->now - copy.sent_at);
+		metric_observe_latency(&calls->decision_log->metrics,
+				       LATENCY_TARGET,
+				       calls->now - copy.sent_at);
 		baseline_add(copy.baseline, calls->now - copy.sent_at);
 	}
 	record_evidence(calls, call, &copy, reply);
--- a/command.c
+++ b/command.c
@@ -22,9 +22,9 @@
 #endif
 
 enum {
-	MAX_ERRORS = 10,
-	OPERATOR_MS = 5000,
-	ASK_MS = 60000,
+	ARG_ERRORS_MAX = 10,
+	OPERATOR_TIMEOUT_MS = 5000,
+	ASK_TIMEOUT_MS = 60000,
 };
 
 static const char *const exit_codes =
@@ -40,21 +40,21 @@
 }
 
 /*
- * The first entry of each table is --help and the last the end. Return: -1 to
- * go on, else the exit code.
+ * The first entry of @table must be --help and the last one the arg_end.
+ * Return: -1 to continue, otherwise the exit code.
  */
 static int parse_args(int argc, char **argv, void **table, const char *summary)
 {
 	struct arg_lit *help = table[0];
 	struct arg_end *end;
-	int faults;
+	int nerrors;
 	int last = 0;
 
 	if (arg_nullcheck(table)) {
 		fprintf(stderr, "wasabimoor: out of memory\n");
 		return EXIT_FAILED;
 	}
-	faults = arg_parse(argc, argv, table);
+	nerrors = arg_parse(argc, argv, table);
 	if (help->count) {
 		printf("Usage: wasabimoor %s", argv[0]);
 		arg_print_syntax(stdout, table, "\n");
@@ -63,7 +63,7 @@
 		printf("\n%s", exit_codes);
 		return EXIT_OK;
 	}
-	if (!faults)
+	if (!nerrors)
 		return -1;
 	while (!(((struct arg_hdr *)table[last])->flag & ARG_TERMINATOR))
 		last++;
@@ -86,7 +86,7 @@
 {
 	struct arg_file *settings =
 		arg_file1("s", "settings", "FILE", "settings of this VM, JSON");
-	void *table[] = { help_arg(), settings, arg_end(MAX_ERRORS) };
+	void *table[] = { help_arg(), settings, arg_end(ARG_ERRORS_MAX) };
 	struct error err = { 0 };
 	int code = parse_args(argc, argv, table, "Run a node.");
 
@@ -118,7 +118,7 @@
 	return EXIT_OK;
 }
 
-static int take_without(const struct arg_str *names, uint32_t *without)
+static int parse_without(const struct arg_str *names, uint32_t *without)
 {
 	struct error err = { 0 };
 
@@ -139,11 +139,12 @@
 					 "error, warn, info or debug");
 	struct arg_str *names =
 		arg_strn(NULL, "without", "NAME", 0, MECHANISM_COUNT,
-			 "switch a mechanism off, to measure it");
-	struct arg_lit *list = arg_lit0(NULL, "list-mechanisms",
-					"name those that can be switched off");
+			 "disable a mechanism, to measure its effect");
+	struct arg_lit *list =
+		arg_lit0(NULL, "list-mechanisms",
+			 "list the mechanisms that can be disabled");
 	void *table[] = { help_arg(), metrics, level,
-			  names,      list,    arg_end(MAX_ERRORS) };
+			  names,      list,    arg_end(ARG_ERRORS_MAX) };
 	struct edge_options opt = { .dialect = &platform_dialect };
 	int code =
 		parse_args(argc, argv, table,
@@ -153,7 +154,7 @@
 
 	if (code < 0 && list->count)
 		code = list_mechanisms();
-	else if (code < 0 && take_without(names, &opt.without))
+	else if (code < 0 && parse_without(names, &opt.without))
 		code = EXIT_USAGE;
 	if (code < 0) {
 		opt.metrics_port =
@@ -238,9 +239,9 @@
 	struct arg_file *fleet = arg_file0("f", "fleet", "FILE",
 					   "domains, VMs, targets, snapshots");
 	void *table[] = { help_arg(), settings, lists, fleet,
-			  arg_end(MAX_ERRORS) };
+			  arg_end(ARG_ERRORS_MAX) };
 	int code = parse_args(argc, argv, table,
-			      "Judge files with the code that a node uses.");
+			      "Check files with the code that a node uses.");
 
 	if (code < 0) {
 		code = EXIT_OK;
@@ -251,7 +252,7 @@
 		if (fleet->count && check_doc(fleet->filename[0], check_fleet))
 			code = EXIT_FAILED;
 		if (!settings->count && !lists->count && !fleet->count) {
-			fprintf(stderr, "wasabimoor: nothing to check; name a "
+			fprintf(stderr, "wasabimoor: nothing to check; give a "
 					"file\n");
 			code = EXIT_USAGE;
 		}
@@ -260,7 +261,7 @@
 	return code;
 }
 
-/* Tables of what the operators' port returns. */
+/* Prints replies of the operators' port as tables. */
 
 static void print_value(const json_t *value)
 {
@@ -340,7 +341,7 @@
 	struct arg_str *addr = arg_str1("a", "address", "IP:PORT",
 					"operators' address of the node");
 	struct arg_lit *json = arg_lit0("j", "json", "print JSON");
-	void *table[] = { help_arg(), addr, json, arg_end(MAX_ERRORS) };
+	void *table[] = { help_arg(), addr, json, arg_end(ARG_ERRORS_MAX) };
 	struct error err = { 0 };
 	struct buf body = { 0 };
 	int code = parse_args(argc, argv, table, summary);
@@ -348,7 +349,7 @@
 	if (code < 0) {
 		int status = client_call(str_of(addr->sval[0]), path,
 					 post ? STR("") : (struct str){ 0 },
-					 OPERATOR_MS, &body, &err);
+					 OPERATOR_TIMEOUT_MS, &body, &err);
 
 		if (status < 0)
 			print_error(&err);
@@ -422,7 +423,7 @@
 	return body;
 }
 
-static int ask_exit(int status, const struct buf *body)
+static int ask_exit_code(int status, const struct buf *body)
 {
 	json_t *doc =
 		json_loadb(body->ptr ? body->ptr : "", body->len, 0, NULL);
@@ -437,18 +438,18 @@
 	struct arg_str *addr = arg_str1("a", "address", "IP:PORT",
 					"callers' address of a node");
 	struct arg_str *customer =
-		arg_str1("c", "customer", "NAME", "who asks");
+		arg_str1("c", "customer", "NAME", "customer that asks");
 	struct arg_str *index =
 		arg_strn("i", "index", "NAME", 1, 16, "index to search");
-	struct arg_str *terms = arg_str0("t", "terms", "TEXT", "what for");
+	struct arg_str *terms = arg_str0("t", "terms", "TEXT", "search terms");
 	struct arg_str *id =
 		arg_str0("r", "request-id", "ID", "echoed in the answer");
 	struct arg_int *deadline =
-		arg_int0("d", "deadline-ms", "MS", "answer by then");
+		arg_int0("d", "deadline-ms", "MS", "time limit of the answer");
 	struct arg_lit *json = arg_lit0("j", "json", "print JSON");
 	void *table[] = { help_arg(), addr,  customer,
 			  index,      terms, id,
-			  deadline,   json,  arg_end(MAX_ERRORS) };
+			  deadline,   json,  arg_end(ARG_ERRORS_MAX) };
 	int code = parse_args(argc, argv, table, "Ask a question.");
 
 	if (code < 0) {
@@ -457,14 +458,15 @@
 		struct buf body =
 			question_body(customer, id, terms, index, deadline);
 		int status = client_call(str_of(addr->sval[0]), "/v1/questions",
-					 buf_str(&body), ASK_MS, &answer, &err);
+					 buf_str(&body), ASK_TIMEOUT_MS,
+					 &answer, &err);
 
 		if (status < 0) {
 			print_error(&err);
 			code = EXIT_FAILED;
 		} else {
 			print_body(&answer, json->count > 0);
-			code = ask_exit(status, &answer);
+			code = ask_exit_code(status, &answer);
 		}
 		buf_free(&body);
 		buf_free(&answer);
@@ -512,10 +514,12 @@
 	struct arg_str *id = arg_str1(NULL, NULL, "ID", "id of the request");
 	struct arg_file *files =
 		arg_filen(NULL, NULL, "LOG", 0, 1000,
-			  "logs of nodes; standard input when there is none");
-	void *table[] = { help_arg(), id, files, arg_end(MAX_ERRORS) };
-	int code = parse_args(argc, argv, table,
-			      "Gather a request's lines and say its cause.");
+			  "logs of nodes; standard input if none is given");
+	void *table[] = { help_arg(), id, files, arg_end(ARG_ERRORS_MAX) };
+	int code =
+		parse_args(argc, argv, table,
+			   "Print a request's log lines and the cause of its "
+			   "failure.");
 
 	if (code < 0) {
 		struct explain *explain = explain_create(str_of(id->sval[0]));
@@ -543,13 +547,13 @@
 static const struct command commands[] = {
 	{ "serve", "run a node", run_serve },
 	{ "tier", "serve the targets that a platform publishes", run_tier },
-	{ "check", "judge settings, lists and fleet files", run_check },
+	{ "check", "check settings, lists and fleet files", run_check },
 	{ "ask", "ask a question", run_ask },
 	{ "status", "show a node's state", run_status },
 	{ "audit", "show a node's audit trail", run_audit },
 	{ "counters", "show a node's counters", run_counters },
 	{ "drain", "begin the planned stop of a node", run_drain },
-	{ "explain", "say the cause of a request's failure", run_explain },
+	{ "explain", "print the cause of a request's failure", run_explain },
 	{ "version", "show the version", run_version },
 };
 
@@ -559,7 +563,7 @@
 	for (size_t i = 0; i < sizeof(commands) / sizeof(*commands); i++)
 		fprintf(out, "  %-10s %s\n", commands[i].name,
 			commands[i].summary);
-	fprintf(out, "\nEach takes --help. %s", exit_codes);
+	fprintf(out, "\nEach command accepts --help. %s", exit_codes);
 }
 
 int command_run(int argc, char **argv)
@@ -575,6 +579,7 @@
 	for (size_t i = 0; i < sizeof(commands) / sizeof(*commands); i++)
 		if (!strcmp(argv[1], commands[i].name))
 			return commands[i].run(argc - 1, argv + 1);
-	fprintf(stderr, "wasabimoor: no command \"%s\"; see --help\n", argv[1]);
+	fprintf(stderr, "wasabimoor: unknown command \"%s\"; see --help\n",
+		argv[1]);
 	return EXIT_USAGE;
 }
--- a/decision_log.c
+++ b/decision_log.c
@@ -159,8 +159,9 @@
 {
 	struct metrics *metrics = &decision_log->metrics;
 
-	metric_latency(metrics,
-		       final->merged ? LATENCY_MERGED : LATENCY_FORWARDED, us);
+	metric_observe_latency(
+		metrics, final->merged ? LATENCY_MERGED : LATENCY_FORWARDED,
+		us);
 	if (final->status == 503) {
 		metric_add(metrics, METRIC_REFUSED);
 	} else if (final->status / 100 != 2) {
--- a/directory.c
+++ b/directory.c
@@ -63,7 +63,7 @@
 	if (cached)
 		return cached;
 	cached = xcalloc(1, sizeof(*cached));
-	cached->key = str_keep(key);
+	cached->key = str_heap_dup(key);
 	cached->deleted = true;
 	apr_hash_set(dir->keys, cached->key.ptr, (apr_ssize_t)cached->key.len,
 		     cached);
@@ -260,7 +260,7 @@
 	}
 	cached->deleted = false;
 	str_free(cached->value);
-	cached->value = str_keep(item->value);
+	cached->value = str_heap_dup(item->value);
 	apply_record(dir, cached, now);
 }
 
--- a/doc.c
+++ b/doc.c
@@ -35,10 +35,10 @@
 	"soft_ms", "deadline_ms", "coverage_floor", "extra_load", NULL
 };
 
-static void parse_allowance(struct json_in *in, const char *path,
+static void parse_allowance(struct json_input *in, const char *path,
 			    struct lists *lists, json_t *obj, struct plan *plan)
 {
-	json_keys(in, path, obj, allowance_keys);
+	json_check_keys(in, path, obj, allowance_keys);
 	plan->name = str_dup(lists->pool,
 			     json_text(in, path, obj, "plan", DOC_NAME_MAX));
 	plan->indexes = json_strings(in, path, obj, "indexes", lists->pool,
@@ -60,7 +60,7 @@
 	plan->extra_load =
 		json_real_or(in, path, obj, "extra_load", 0, 1, 0.05);
 	if (plan->soft_us > plan->deadline_us)
-		json_fault(in, path, "soft_ms exceeds deadline_ms");
+		json_error_set(in, path, "soft_ms exceeds deadline_ms");
 }
 
 static struct plan *find_plan(apr_hash_t *names, struct str name)
@@ -68,10 +68,11 @@
 	return apr_hash_get(names, name.ptr, (apr_ssize_t)name.len);
 }
 
-static void parse_allowances(struct json_in *in, struct lists *lists,
+static void parse_allowances(struct json_input *in, struct lists *lists,
 			     json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "allowances", doc, "allowances", JSON_ANY);
+	json_t *list =
+		json_list(in, "allowances", doc, "allowances", JSON_UNBOUNDED);
 
 	lists->nplans = list ? json_array_size(list) : 0;
 	lists->plans = apr_pcalloc(lists->pool,
@@ -83,19 +84,20 @@
 		snprintf(path, sizeof(path), "allowances[%zu]", i);
 		parse_allowance(in, path, lists, json_array_get(list, i), plan);
 		if (find_plan(names, plan->name))
-			json_fault(in, path, "plan \"%.*s\" is listed twice",
-				   STR_ARG(plan->name));
+			json_error_set(in, path,
+				       "plan \"%.*s\" is listed twice",
+				       STR_ARG(plan->name));
 		apr_hash_set(names, plan->name.ptr, (apr_ssize_t)plan->name.len,
 			     plan);
 	}
 }
 
-static void parse_customer(struct json_in *in, const char *path,
+static void parse_customer(struct json_input *in, const char *path,
 			   struct lists *lists, json_t *obj, apr_hash_t *names)
 {
 	static const char *const keys[] = { "customer", "plan", NULL };
 
-	json_keys(in, path, obj, keys);
+	json_check_keys(in, path, obj, keys);
 
 	struct str customer =
 		json_text(in, path, obj, "customer", DOC_NAME_MAX);
@@ -107,23 +109,23 @@
 	struct plan *plan = find_plan(names, name);
 
 	if (!plan) {
-		json_fault(in, path, "no allowance for plan \"%.*s\"",
-			   STR_ARG(name));
+		json_error_set(in, path, "no allowance for plan \"%.*s\"",
+			       STR_ARG(name));
 		return;
 	}
 	customer = str_dup(lists->pool, customer);
 	if (apr_hash_get(lists->customers, customer.ptr,
 			 (apr_ssize_t)customer.len))
-		json_fault(in, path, "customer \"%.*s\" is listed twice",
-			   STR_ARG(customer));
+		json_error_set(in, path, "customer \"%.*s\" is listed twice",
+			       STR_ARG(customer));
 	apr_hash_set(lists->customers, customer.ptr, (apr_ssize_t)customer.len,
 		     plan);
 }
 
-static void parse_customers(struct json_in *in, struct lists *lists,
+static void parse_customers(struct json_input *in, struct lists *lists,
 			    json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "plans", doc, "plans", JSON_ANY);
+	json_t *list = json_list(in, "plans", doc, "plans", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	for (size_t i = 0; i < count && !in->err.code; i++) {
@@ -138,21 +140,21 @@
 {
 	static const char *const keys[] = { "version", "plans", "allowances",
 					    NULL };
-	struct json_in in = { .file = "lists", .code = ERR_LIST };
+	struct json_input in = { .file = "lists", .code = ERR_LIST };
 	json_t *doc = body.len > DOC_MAX_BYTES ? NULL : json_parse(&in, body);
 	struct lists *lists = NULL;
 	apr_hash_t *names;
 	apr_pool_t *pool;
 
 	if (body.len > DOC_MAX_BYTES)
-		json_fault(&in, "size", "over %d bytes", DOC_MAX_BYTES);
+		json_error_set(&in, "size", "over %d bytes", DOC_MAX_BYTES);
 	if (doc) {
 		apr_pool_create(&pool, NULL);
 		lists = apr_pcalloc(pool, sizeof(*lists));
 		lists->pool = pool;
 		lists->customers = hash_make(pool);
 		lists->hash = str_hash(body);
-		json_keys(&in, "top", doc, keys);
+		json_check_keys(&in, "top", doc, keys);
 		lists->version = (uint64_t)json_int(&in, "top", doc, "version",
 						    1, INT64_MAX);
 		names = hash_make(pool);
@@ -187,7 +189,7 @@
 }
 
 /* Returns whether "state" is @other; it must be @ordinary or @other. */
-static bool parse_state(struct json_in *in, const char *path, json_t *obj,
+static bool parse_state(struct json_input *in, const char *path, json_t *obj,
 			const char *ordinary, const char *other)
 {
 	struct str state = json_text(in, path, obj, "state", DOC_NAME_MAX);
@@ -195,15 +197,16 @@
 	if (str_eq(state, str_of(other)))
 		return true;
 	if (!str_eq(state, str_of(ordinary)))
-		json_fault(in, path, "state must be \"%s\" or \"%s\"", ordinary,
-			   other);
+		json_error_set(in, path, "state must be \"%s\" or \"%s\"",
+			       ordinary, other);
 	return false;
 }
 
-static void parse_domains(struct json_in *in, struct fleet *fleet, json_t *doc)
+static void parse_domains(struct json_input *in, struct fleet *fleet,
+			  json_t *doc)
 {
 	static const char *const keys[] = { "name", "state", NULL };
-	json_t *list = json_list(in, "domains", doc, "domains", JSON_ANY);
+	json_t *list = json_list(in, "domains", doc, "domains", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	fleet->domains =
@@ -214,14 +217,14 @@
 		char path[JSON_PATH_SIZE];
 
 		snprintf(path, sizeof(path), "domains[%zu]", i);
-		json_keys(in, path, obj, keys);
+		json_check_keys(in, path, obj, keys);
 
 		struct str name =
 			json_text(in, path, obj, "name", DOC_NAME_MAX);
 
 		if (fleet_domain(fleet, name))
-			json_fault(in, path, "\"%.*s\" is listed twice",
-				   STR_ARG(name));
+			json_error_set(in, path, "\"%.*s\" is listed twice",
+				       STR_ARG(name));
 		domain->name = str_dup(fleet->pool, name);
 		domain->out = parse_state(in, path, obj, "in", "out");
 		apr_hash_set(fleet->by_name, domain->name.ptr,
@@ -230,45 +233,47 @@
 	}
 }
 
-static struct domain *parse_domain(struct json_in *in, const char *path,
+static struct domain *parse_domain(struct json_input *in, const char *path,
 				   struct fleet *fleet, json_t *obj)
 {
 	struct str name = json_text(in, path, obj, "domain", DOC_NAME_MAX);
 	struct domain *domain = fleet_domain(fleet, name);
 
 	if (!domain)
-		json_fault(in, path, "failure domain \"%.*s\" is not listed",
-			   STR_ARG(name));
+		json_error_set(in, path,
+			       "failure domain \"%.*s\" is not listed",
+			       STR_ARG(name));
 	return domain;
 }
 
-static struct str parse_addr(struct json_in *in, const char *path,
+static struct str parse_addr(struct json_input *in, const char *path,
 			     struct fleet *fleet, json_t *obj)
 {
 	struct str addr = json_text(in, path, obj, "address", DOC_NAME_MAX);
 	const char *colon = addr.len ? memchr(addr.ptr, ':', addr.len) : NULL;
 
 	if (!colon || strspn(addr.ptr, "0123456789.:") < addr.len)
-		json_fault(in, path, "address must be \"ip:port\"");
+		json_error_set(in, path, "address must be \"ip:port\"");
 	return str_dup(fleet->pool, addr);
 }
 
 /* A duplicate name or address would give one VM or target two owners. */
-static void check_unique(struct json_in *in, const char *path, apr_hash_t *seen,
-			 struct str name, void *value)
+static void check_unique(struct json_input *in, const char *path,
+			 apr_hash_t *seen, struct str name, void *value)
 {
 	if (in->err.code)
 		return;
 	if (apr_hash_get(seen, name.ptr, (apr_ssize_t)name.len))
-		json_fault(in, path, "\"%.*s\" is listed twice", STR_ARG(name));
+		json_error_set(in, path, "\"%.*s\" is listed twice",
+			       STR_ARG(name));
 	apr_hash_set(seen, name.ptr, (apr_ssize_t)name.len, value);
 }
 
-static void parse_vms(struct json_in *in, struct fleet *fleet, json_t *doc)
+static void parse_vms(struct json_input *in, struct fleet *fleet, json_t *doc)
 {
 	static const char *const keys[] = { "address", "domain", "state",
 					    NULL };
-	json_t *list = json_list(in, "vms", doc, "vms", JSON_ANY);
+	json_t *list = json_list(in, "vms", doc, "vms", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 	apr_hash_t *seen = hash_make(fleet->pool);
 
@@ -281,7 +286,7 @@
 		char path[JSON_PATH_SIZE];
 
 		snprintf(path, sizeof(path), "vms[%zu]", i);
-		json_keys(in, path, obj, keys);
+		json_check_keys(in, path, obj, keys);
 		vm->addr = parse_addr(in, path, fleet, obj);
 		vm->key = str_hash(vm->addr);
 		vm->domain = parse_domain(in, path, fleet, obj);
@@ -290,13 +295,13 @@
 	}
 }
 
-static void parse_targets(struct json_in *in, struct fleet *fleet, json_t *doc,
-			  apr_hash_t *names)
+static void parse_targets(struct json_input *in, struct fleet *fleet,
+			  json_t *doc, apr_hash_t *names)
 {
 	static const char *const keys[] = { "name",  "address", "domain",
 					    "state", "slots",	"connections",
 					    NULL };
-	json_t *list = json_list(in, "targets", doc, "targets", JSON_ANY);
+	json_t *list = json_list(in, "targets", doc, "targets", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 	apr_hash_t *addrs = hash_make(fleet->pool);
 
@@ -309,7 +314,7 @@
 		char path[JSON_PATH_SIZE];
 
 		snprintf(path, sizeof(path), "targets[%zu]", i);
-		json_keys(in, path, obj, keys);
+		json_check_keys(in, path, obj, keys);
 		target->name =
 			str_dup(fleet->pool,
 				json_text(in, path, obj, "name", DOC_NAME_MAX));
@@ -326,7 +331,7 @@
 	}
 }
 
-static void parse_replicas(struct json_in *in, const char *path, json_t *obj,
+static void parse_replicas(struct json_input *in, const char *path, json_t *obj,
 			   apr_hash_t *names, struct shard *shard)
 {
 	json_t *list = json_list(in, path, obj, "replicas", DOC_MAX_REPLICAS);
@@ -339,14 +344,15 @@
 			     : NULL;
 
 		if (!target) {
-			json_fault(in, path, "replica %zu is not a target", i);
+			json_error_set(in, path, "replica %zu is not a target",
+				       i);
 			return;
 		}
 		for (size_t j = 0; j < i; j++)
 			if (shard->replicas[j] == target)
-				json_fault(in, path,
-					   "replica \"%s\" is listed twice",
-					   name);
+				json_error_set(in, path,
+					       "replica \"%s\" is listed twice",
+					       name);
 		shard->replicas[i] = target;
 	}
 	shard->nreplicas = count;
@@ -370,7 +376,7 @@
  * Two shards that share a key would count its records twice, and an answer
  * would report more coverage than it has, so the whole document is refused.
  */
-static void check_map(struct json_in *in, const char *path,
+static void check_map(struct json_input *in, const char *path,
 		      struct snapshot *snap, apr_pool_t *pool)
 {
 	apr_hash_t *ids = hash_make(pool);
@@ -382,45 +388,45 @@
 
 		if (prev && str_eq(prev->index, shard->index) &&
 		    prev->to > shard->from)
-			json_fault(in, path, "shards %u and %u overlap",
-				   prev->id, shard->id);
+			json_error_set(in, path, "shards %u and %u overlap",
+				       prev->id, shard->id);
 		if (apr_hash_get(ids, &shard->id, sizeof(shard->id)))
-			json_fault(in, path, "shard id %u is listed twice",
-				   shard->id);
+			json_error_set(in, path, "shard id %u is listed twice",
+				       shard->id);
 		apr_hash_set(ids, &shard->id, sizeof(shard->id), shard);
 	}
 }
 
-static void parse_shard(struct json_in *in, const char *path,
+static void parse_shard(struct json_input *in, const char *path,
 			struct fleet *fleet, json_t *obj, apr_hash_t *names,
 			struct shard *shard)
 {
 	static const char *const keys[] = { "id",     "index",	  "from", "to",
 					    "weight", "replicas", NULL };
 
-	json_keys(in, path, obj, keys);
+	json_check_keys(in, path, obj, keys);
 	shard->id = (uint32_t)json_int(in, path, obj, "id", 1, UINT32_MAX);
 	shard->index = str_dup(fleet->pool,
 			       json_text(in, path, obj, "index", DOC_NAME_MAX));
 	shard->from = json_int(in, path, obj, "from", INT64_MIN, INT64_MAX);
 	shard->to = json_int(in, path, obj, "to", INT64_MIN, INT64_MAX);
 	if (shard->to <= shard->from)
-		json_fault(in, path, "\"to\" must be above \"from\"");
+		json_error_set(in, path, "\"to\" must be above \"from\"");
 	shard->weight = json_real_or(in, path, obj, "weight", 1e-9, 1e12, 1);
 	parse_replicas(in, path, obj, names, shard);
 }
 
-static void parse_snapshot(struct json_in *in, const char *path,
+static void parse_snapshot(struct json_input *in, const char *path,
 			   struct fleet *fleet, json_t *obj, apr_hash_t *names,
 			   struct snapshot *snap)
 {
 	static const char *const keys[] = { "version", "shards", NULL };
 
-	json_keys(in, path, obj, keys);
+	json_check_keys(in, path, obj, keys);
 	snap->version =
 		(uint64_t)json_int(in, path, obj, "version", 1, INT64_MAX);
 
-	json_t *list = json_list(in, path, obj, "shards", JSON_ANY);
+	json_t *list = json_list(in, path, obj, "shards", JSON_UNBOUNDED);
 
 	snap->nshards = list ? json_array_size(list) : 0;
 	snap->shards = apr_pcalloc(fleet->pool,
@@ -437,10 +443,11 @@
 		check_map(in, path, snap, fleet->pool);
 }
 
-static void parse_snapshots(struct json_in *in, struct fleet *fleet,
+static void parse_snapshots(struct json_input *in, struct fleet *fleet,
 			    json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "snapshots", doc, "snapshots", JSON_ANY);
+	json_t *list =
+		json_list(in, "snapshots", doc, "snapshots", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	fleet->nsnapshots = count;
@@ -454,7 +461,7 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_fault(in, path, "versions must go down");
+			json_error_set(in, path, "versions must go down");
 	}
 }
 
@@ -462,13 +469,13 @@
 {
 	static const char *const keys[] = { "version", "domains",   "vms",
 					    "targets", "snapshots", NULL };
-	struct json_in in = { .file = "fleet", .code = ERR_LIST };
+	struct json_input in = { .file = "fleet", .code = ERR_LIST };
 	json_t *doc = body.len > DOC_MAX_BYTES ? NULL : json_parse(&in, body);
 	struct fleet *fleet = NULL;
 	apr_pool_t *pool;
 
 	if (body.len > DOC_MAX_BYTES)
-		json_fault(&in, "size", "over %d bytes", DOC_MAX_BYTES);
+		json_error_set(&in, "size", "over %d bytes", DOC_MAX_BYTES);
 	if (doc) {
 		apr_pool_create(&pool, NULL);
 		fleet = apr_pcalloc(pool, sizeof(*fleet));
@@ -479,7 +486,7 @@
 
 		apr_hash_t *names = hash_make(pool);
 
-		json_keys(&in, "top", doc, keys);
+		json_check_keys(&in, "top", doc, keys);
 		fleet->version = (uint64_t)json_int(&in, "top", doc, "version",
 						    1, INT64_MAX);
 		parse_domains(&in, fleet, doc);
--- a/http.c
+++ b/http.c
@@ -12,19 +12,19 @@
 #include "xmalloc.h"
 
 enum {
-	CONNECTION_MEMORY = 32 * 1024,
+	CONNECTION_MEMORY_BYTES = 32 * 1024,
 	CONNECTIONS_MAX = 8192,
-	IDLE_SECONDS = 120,
+	IDLE_TIMEOUT_S = 120,
 };
 
-/** struct pending - a request and what MHD needs for it */
+/** struct pending - a request and its state in MHD */
 struct pending {
 	struct http_request req;
 	struct MHD_Connection *conn;
 	struct buf body;
 	struct watch *watch;
 	int dup_fd;
-	bool handed;
+	bool delivered;
 	bool suspended;
 	bool answered;
 	bool aborted;
@@ -42,15 +42,15 @@
 	struct watch *watch;
 	size_t max_body;
 	struct http_handler handler;
-	size_t open;
-	bool ready;
+	size_t open_requests;
+	bool needs_run;
 	bool closing;
 	int quiesced_fd;
 };
 
 static uint64_t last_id;
 
-static void stop_watching(struct pending *p)
+static void unwatch_client(struct pending *p)
 {
 	if (!p->watch)
 		return;
@@ -59,13 +59,13 @@
 	p->watch = NULL;
 }
 
-static void resume(struct pending *p)
+static void resume_connection(struct pending *p)
 {
-	stop_watching(p);
+	unwatch_client(p);
 	if (!p->suspended)
 		return;
 	p->suspended = false;
-	p->req.server->ready = true;
+	p->req.server->needs_run = true;
 	MHD_resume_connection(p->conn);
 }
 
@@ -80,10 +80,10 @@
 	p->status = status;
 	buf_str_add(&p->reply_headers, headers);
 	buf_str_add(&p->reply, body);
-	resume(p);
+	resume_connection(p);
 }
 
-void http_reply(struct http_request *req, int status, struct str body)
+void http_respond_json(struct http_request *req, int status, struct str body)
 {
 	http_respond(req, status, STR("Content-Type: application/json\r\n"),
 		     body);
@@ -95,14 +95,14 @@
 
 	p->answered = true;
 	p->aborted = true;
-	resume(p);
+	resume_connection(p);
 }
 
 /*
- * A suspended connection is not polled by MHD, so a caller that went away
- * would go unnoticed and its leaf work would run on for nobody.
+ * MHD does not poll suspended connections. Without this watch a client that
+ * closes would go unnoticed, and its requests to targets would run on unneeded.
  */
-static void on_caller(void *ctx, int events)
+static void on_client_readable(void *ctx, int events)
 {
 	struct pending *p = ctx;
 	char byte;
@@ -110,7 +110,7 @@
 
 	(void)events;
 	if (got > 0) {
-		stop_watching(p);
+		unwatch_client(p);
 		return;
 	}
 	if (got < 0 && (errno == EAGAIN || errno == EINTR))
@@ -122,23 +122,23 @@
 	p->aborted = true;
 	if (server->handler.gone)
 		server->handler.gone(server->handler.ctx, &p->req);
-	resume(p);
+	resume_connection(p);
 }
 
-static void watch_caller(struct pending *p)
+static void watch_client(struct pending *p)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 
-	/* A descriptor of our own: MHD has its socket in a set already. */
+	/* Duplicated, as MHD has its own descriptor in an epoll set already. */
 	p->dup_fd = info ? dup(info->connect_fd) : -1;
 	if (p->dup_fd < 0)
 		return;
 	p->watch = loop_add(p->req.server->loop, p->dup_fd, APR_POLLIN,
-			    on_caller, p);
+			    on_client_readable, p);
 }
 
-/* Lines of "Name: value"; their ends become the ends of strings. */
+/* Parses "Name: value" lines in place, writing NULs over the separators. */
 static void add_headers(struct MHD_Response *response, struct buf *lines)
 {
 	char *at = lines->ptr;
@@ -174,7 +174,7 @@
 	return result;
 }
 
-/* MHD keeps one pointer for us per connection: set once it has been used. */
+/* The socket context of a connection is a flag, set by its first request. */
 static bool is_first(struct MHD_Connection *conn)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -200,7 +200,7 @@
 	*state = NULL;
 }
 
-/* The request line has come; MHD passes what is returned on as the state. */
+/* Called with the request line; MHD stores the return value as state. */
 static void *on_request_line(void *ctx, const char *uri,
 			     struct MHD_Connection *conn)
 {
@@ -211,11 +211,12 @@
 	p->req.id = ++last_id;
 	p->req.server = server;
 	buf_str_add(&p->uri, str_of(uri));
-	server->open++;
+	server->open_requests++;
 	return p;
 }
 
-static void note_head(struct pending *p, const char *method, const char *path)
+static void fill_request(struct pending *p, const char *method,
+			 const char *path)
 {
 	const char *remaining = MHD_lookup_connection_value(
 		p->conn, MHD_HEADER_KIND, "X-Remaining-Ms");
@@ -227,7 +228,7 @@
 	p->req.remaining_ms = remaining ? strtoll(remaining, NULL, 10) : -1;
 }
 
-struct str http_caller(struct http_request *req)
+struct str http_client_ip(struct http_request *req)
 {
 	struct pending *p = (struct pending *)req;
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -249,7 +250,7 @@
 						  name.ptr));
 }
 
-/** struct header_copy - what http_headers() carries through MHD's walk */
+/** struct header_copy - context of copy_header() */
 struct header_copy {
 	bool (*keep)(struct str name);
 	struct buf *out;
@@ -266,8 +267,8 @@
 	return MHD_YES;
 }
 
-void http_headers(struct http_request *req, bool (*keep)(struct str name),
-		  struct buf *out)
+void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
+		       struct buf *out)
 {
 	struct pending *p = (struct pending *)req;
 	struct header_copy copy = { keep, out };
@@ -275,22 +276,22 @@
 	MHD_get_connection_values(p->conn, MHD_HEADER_KIND, copy_header, &copy);
 }
 
-void http_max_body(struct http_server *server, size_t max_body)
+void http_set_max_body(struct http_server *server, size_t max_body)
 {
 	server->max_body = max_body;
 }
 
-static void hand_over(struct pending *p)
+static void deliver(struct pending *p)
 {
 	struct http_server *server = p->req.server;
 
-	p->handed = true;
+	p->delivered = true;
 	if (p->too_large) {
 		struct buf out = { 0 };
 
 		error_json(&out, ERR_TOO_LARGE, "body", 0);
-		http_reply(&p->req, error_info(ERR_TOO_LARGE)->status,
-			   buf_str(&out));
+		http_respond_json(&p->req, error_info(ERR_TOO_LARGE)->status,
+				  buf_str(&out));
 		buf_free(&out);
 		return;
 	}
@@ -308,7 +309,7 @@
 
 	(void)version;
 	if (!p->req.method.len) {
-		note_head(p, method, path);
+		fill_request(p, method, path);
 		return MHD_YES;
 	}
 	if (*size) {
@@ -319,14 +320,14 @@
 		*size = 0;
 		return MHD_YES;
 	}
-	if (!p->handed)
-		hand_over(p);
+	if (!p->delivered)
+		deliver(p);
 	if (p->answered)
 		return queue_reply(p);
 	if (!p->suspended) {
 		p->suspended = true;
 		MHD_suspend_connection(conn);
-		watch_caller(p);
+		watch_client(p);
 	}
 	return MHD_YES;
 }
@@ -341,15 +342,15 @@
 	(void)code;
 	if (!p)
 		return;
-	stop_watching(p);
-	if (p->handed && !p->answered && server->handler.gone)
+	unwatch_client(p);
+	if (p->delivered && !p->answered && server->handler.gone)
 		server->handler.gone(server->handler.ctx, &p->req);
 	buf_free(&p->body);
 	buf_free(&p->uri);
 	buf_free(&p->reply_headers);
 	buf_free(&p->reply);
 	free(p);
-	server->open--;
+	server->open_requests--;
 	*state = NULL;
 }
 
@@ -359,10 +360,10 @@
 	MHD_UNSIGNED_LONG_LONG ms = 1;
 
 	MHD_get_timeout(server->daemon, &ms);
-	if (!server->ready && ms)
+	if (!server->needs_run && ms)
 		return;
-	/* Before the call: what is resumed within it needs one more run. */
-	server->ready = false;
+	/* Cleared first: connections resumed by MHD_run() need another run. */
+	server->needs_run = false;
 	MHD_run(server->daemon);
 }
 
@@ -371,7 +372,7 @@
 	struct http_server *server = ctx;
 
 	(void)events;
-	server->ready = true;
+	server->needs_run = true;
 }
 
 static int64_t wait_us(void *ctx)
@@ -379,7 +380,7 @@
 	struct http_server *server = ctx;
 	MHD_UNSIGNED_LONG_LONG ms;
 
-	if (server->ready)
+	if (server->needs_run)
 		return 0;
 	if (MHD_get_timeout(server->daemon, &ms) != MHD_YES)
 		return -1;
@@ -396,7 +397,8 @@
 	uint16_t port;
 
 	if (addr_split(addr, ip, sizeof(ip), &port)) {
-		error_set(err, ERR_IO, "%.*s is no \"ip:port\"", STR_ARG(addr));
+		error_set(err, ERR_IO, "%.*s is not an \"ip:port\" address",
+			  STR_ARG(addr));
 		return NULL;
 	}
 	inet_pton(AF_INET, ip, &sin.sin_addr);
@@ -412,9 +414,10 @@
 		MHD_OPTION_URI_LOG_CALLBACK, on_request_line, server,
 		MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
 		MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
-		MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
-		MHD_OPTION_CONNECTION_LIMIT, (unsigned int)CONNECTIONS_MAX,
-		MHD_OPTION_CONNECTION_TIMEOUT, (unsigned int)IDLE_SECONDS,
+		MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+		(size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_LIMIT,
+		(unsigned int)CONNECTIONS_MAX, MHD_OPTION_CONNECTION_TIMEOUT,
+		(unsigned int)IDLE_TIMEOUT_S,
 		MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
 	if (!server->daemon) {
 		error_set(err, ERR_IO, "cannot listen on %.*s: %s",
@@ -440,7 +443,7 @@
 						  MHD_GET_ARGUMENT_KIND, key));
 }
 
-void http_closing(struct http_server *server, bool closing)
+void http_set_closing(struct http_server *server, bool closing)
 {
 	server->closing = closing;
 }
@@ -451,9 +454,9 @@
 		server->quiesced_fd = MHD_quiesce_daemon(server->daemon);
 }
 
-size_t http_open(const struct http_server *server)
+size_t http_open_requests(const struct http_server *server)
 {
-	return server->open;
+	return server->open_requests;
 }
 
 void http_destroy(struct http_server *server)
--- a/metric.c
+++ b/metric.c
@@ -1,6 +1,6 @@
 #include "metric.h"
 
-/** struct metric_text - name without its prefix, and what it counts */
+/** struct metric_text - name without prefix and suffix, and help text */
 struct metric_text {
 	const char *name;
 	const char *help;
@@ -43,19 +43,20 @@
 	[LATENCY_TARGET] = "target",
 };
 
-/* Milliseconds; goals lie between 50 and 500. */
+/* Bucket bounds; the goals of routes lie between 50 and 500 ms. */
 static const int bounds_ms[LATENCY_BOUNDS] = {
 	1, 2, 5, 10, 20, 35, 50, 75, 100, 150, 250, 500, 1000, 5000,
 };
 
-void metric_latency(struct metrics *metrics, enum latency_kind kind, int64_t us)
+void metric_observe_latency(struct metrics *metrics, enum latency_kind kind,
+			    int64_t us)
 {
 	struct histogram *histogram = &metrics->latencies[kind];
 	int i = 0;
 
 	while (i < LATENCY_BOUNDS && us > bounds_ms[i] * 1000LL)
 		i++;
-	histogram->below[i]++;
+	histogram->buckets[i]++;
 	histogram->count++;
 	histogram->sum_us += us > 0 ? (uint64_t)us : 0;
 }
@@ -63,14 +64,15 @@
 static void histogram_text(const struct histogram *histogram, const char *name,
 			   struct buf *out)
 {
-	uint64_t below = 0;
+	uint64_t cumulative = 0;
 
 	for (int i = 0; i < LATENCY_BOUNDS; i++) {
-		below += histogram->below[i];
+		cumulative += histogram->buckets[i];
 		buf_printf(out,
 			   "wasabimoor_latency_seconds_bucket{kind=\"%s\","
 			   "le=\"%.3f\"} %llu\n",
-			   name, bounds_ms[i] / 1e3, (unsigned long long)below);
+			   name, bounds_ms[i] / 1e3,
+			   (unsigned long long)cumulative);
 	}
 	buf_printf(out,
 		   "wasabimoor_latency_seconds_bucket{kind=\"%s\","
--- a/serve.c
+++ b/serve.c
@@ -168,7 +168,7 @@
 	if (!req)
 		return;
 	apr_hash_set(s->requests, &req->id, sizeof(req->id), NULL);
-	http_reply(req, fx->status, fx->body);
+	http_respond_json(req, fx->status, fx->body);
 }
 
 static void perform_effect(struct server *s, const struct effect *fx)
@@ -258,7 +258,7 @@
 	struct buf out = { 0 };
 
 	error_json(&out, code, text, 0);
-	http_reply(req, error_info(code)->status, buf_str(&out));
+	http_respond_json(req, error_info(code)->status, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -267,9 +267,9 @@
 	bool live =
 		member_state(s->node) == VM_LIVE && !member_isolated(s->node);
 
-	http_reply(req, live ? 200 : 503,
-		   live ? STR("{\"state\":\"live\"}")
-			: STR("{\"state\":\"not ready\"}"));
+	http_respond_json(req, live ? 200 : 503,
+			  live ? STR("{\"state\":\"live\"}")
+			       : STR("{\"state\":\"not ready\"}"));
 }
 
 /** struct route - a path of the callers' HTTP interface */
@@ -323,7 +323,7 @@
 
 static void begin_drain(struct server *s)
 {
-	http_closing(s->callers, true);
+	http_set_closing(s->callers, true);
 	dispatch(s, (struct event){ .type = EV_LEAVE });
 }
 
@@ -347,14 +347,14 @@
 			    "GET /status, /audit, /counters or POST /drain");
 		return;
 	}
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
 static void on_signal(void *ctx, int events)
 {
 	struct server *s = ctx;
-	int number = os_signal(s->signal_fd);
+	int number = os_signal_read(s->signal_fd);
 
 	(void)events;
 	if (!number)
@@ -368,7 +368,7 @@
 {
 	static const int numbers[] = { SIGTERM, SIGINT };
 
-	s->signal_fd = os_signals(numbers, sizeof(numbers) / sizeof(*numbers));
+	s->signal_fd = os_signalfd(numbers, sizeof(numbers) / sizeof(*numbers));
 	s->signals = loop_add(s->loop, s->signal_fd, APR_POLLIN, on_signal, s);
 }
 
@@ -421,7 +421,7 @@
 	http_quiesce(s->callers);
 	for (int i = 0; i < FLUSH_ROUNDS; i++)
 		loop_step(s->loop);
-	while (http_open(s->callers) && loop_now() < until)
+	while (http_open_requests(s->callers) && loop_now() < until)
 		loop_step(s->loop);
 }
 
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -91,7 +91,8 @@
 	int byte_interval_us; /* between two bytes */
 	int count; /* Content-Length */
 	int stop_after; /* bytes sent, 0: all */
-	bool slow_allowed; /* the request sets pause_us and whole_us */
+	bool slow_allowed; /* the request sets read_timeout_us and
+			      total_timeout_us */
 	enum fetch_result result;
 };
 
@@ -318,7 +319,7 @@
 		.head = STR("GET / HTTP/1.1\r\nHost: h\r\n\r\n"),
 		.echo_name = STR("Request-Id"),
 		.echo = echo,
-		.connect_us = TIMEOUT_US,
+		.connect_timeout_us = TIMEOUT_US,
 		.timeout_us = TIMEOUT_US,
 	};
 }
@@ -375,8 +376,8 @@
 	setup(&server);
 	request = request_of(server.addr, 1, (struct str){ 0 });
 	if (slow_reply->slow_allowed) {
-		request.pause_us = PAUSE_US;
-		request.whole_us = WHOLE_US;
+		request.read_timeout_us = PAUSE_US;
+		request.total_timeout_us = WHOLE_US;
 	}
 	send_and_wait(&server, &request);
 	ck_assert_int_eq(outcomes[1].result, slow_reply->result);
@@ -424,15 +425,15 @@
 	ck_assert_int_eq(write(ends[1], "x", 1), 1);
 	watch = loop_add(loop, ends[0], APR_POLLIN, ignore_events, NULL);
 	loop_step(loop);
-	ck_assert_int_eq(loop_held_us(loop), 0);
+	ck_assert_int_eq(loop_pause_us(loop), 0);
 	usleep(700000);
 	loop_step(loop);
-	ck_assert_int_ge(loop_held_us(loop), 500000);
+	ck_assert_int_ge(loop_pause_us(loop), 500000);
 	loop_step(loop);
-	ck_assert_int_ge(loop_held_us(loop), 500000);
+	ck_assert_int_ge(loop_pause_us(loop), 500000);
 	usleep(150000);
 	loop_step(loop);
-	ck_assert_int_eq(loop_held_us(loop), 0);
+	ck_assert_int_eq(loop_pause_us(loop), 0);
 	loop_del(watch);
 	close(ends[0]);
 	close(ends[1]);
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -251,7 +251,7 @@
 
 	add_reply_head(target, &out);
 	buf_printf(&out, ",%s}", field);
-	http_reply(req, status, buf_str(&out));
+	http_respond_json(req, status, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -282,7 +282,7 @@
 	}
 	if (target->options.truncate)
 		out.len /= 2;
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
@@ -500,7 +500,7 @@
 	if (str_eq(req->path, STR("/reset")))
 		reset_counters(host);
 	print_counters(host, &out);
-	http_reply(req, 200, buf_str(&out));
+	http_respond_json(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -111,9 +111,9 @@
 	event->to_incarnation = fx->incarnation;
 	event->sent_us = sim->now;
 	event->msg = fx->msg;
-	event->msg.body = str_keep(fx->msg.body);
-	event->msg.name = str_keep(fx->msg.name);
-	event->msg.text = str_keep(fx->msg.text);
+	event->msg.body = str_heap_dup(fx->msg.body);
+	event->msg.name = str_heap_dup(fx->msg.name);
+	event->msg.text = str_heap_dup(fx->msg.text);
 }
 
 static void send_request(struct sim *sim, int node,
@@ -124,9 +124,9 @@
 
 	event->id = fx->id;
 	event->incarnation = sim->nodes[node].incarnation;
-	event->request_id = str_keep(fx->request->request_id);
-	event->uri = str_keep(fx->request->uri);
-	event->expected = str_keep(fx->expected);
+	event->request_id = str_heap_dup(fx->request->request_id);
+	event->uri = str_heap_dup(fx->request->uri);
+	event->expected = str_heap_dup(fx->expected);
 	event->target = -1;
 	for (int i = 0; i < sim->ntargets; i++)
 		if (sim->targets[i].up &&
--- a/tests/sim_targets.c
+++ b/tests/sim_targets.c
@@ -222,7 +222,7 @@
 	if (t->keeps_id)
 		return;
 	expiry = sim_schedule(sim, ENTRY_EXPIRY_US, SIM_EVENT_ENTRY_EXPIRED, 0);
-	expiry->expected = str_keep(str_of(t->id));
+	expiry->expected = str_heap_dup(str_of(t->id));
 }
 
 void sim_deadly_run_ended(struct sim *sim, const struct sim_event *event)
@@ -337,7 +337,7 @@
 	snprintf(signature, sizeof(signature), "%d.%d.%s", call_id, shard_of(t),
 		 t->id);
 	reply.status = 200;
-	reply.signature = str_keep(str_of(signature));
+	reply.signature = str_heap_dup(str_of(signature));
 	reply.body = make_records(sim);
 	schedule_reply(sim, event, run_us, reply);
 }
