--- a/edge.c
+++ b/edge.c
@@ -176,8 +176,8 @@
 			VALUE_ENCODING_FACTOR * edge->settings.store_value_max,
 		.connect_timeout_us = fx->timeout_us,
 		.timeout_us = fx->timeout_us,
-		.read_timeout_us = fx->stall_us,
-		.total_timeout_us = fx->transfer_us,
+		.read_timeout_us = fx->read_timeout_us,
+		.total_timeout_us = fx->total_timeout_us,
 	};
 
 	buf_str_add(&head, STR("GET "));
--- a/flow.h
+++ b/flow.h
@@ -135,8 +135,8 @@
  *                FLOW_STORE_CALL: how long the store may hold the call
  * @timeout_us: FLOW_SEND: timeout of the transfer; FLOW_STORE_CALL: timeout
  *              until the reply begins
- * @stall_us: FLOW_STORE_CALL: longest pause in a reply that has begun
- * @transfer_us: FLOW_STORE_CALL: timeout of the whole reply
+ * @read_timeout_us: FLOW_STORE_CALL: longest pause in a reply that has begun
+ * @total_timeout_us: FLOW_STORE_CALL: timeout of the whole reply
  * @status, @headers, @body: FLOW_ANSWER; live until tier_reap()
  * @signatures: FLOW_ANSWER: signatures of the parts of a merged answer
  * @missing: FLOW_ANSWER: number of shards left out of a merged answer
@@ -155,8 +155,8 @@
 	struct str expected;
 	int64_t time_left_us;
 	int64_t timeout_us;
-	int64_t stall_us;
-	int64_t transfer_us;
+	int64_t read_timeout_us;
+	int64_t total_timeout_us;
 	int status;
 	struct str headers;
 	struct str body;
--- a/reader.c
+++ b/reader.c
@@ -51,8 +51,8 @@
 
 	metric_add(&reader->dir->decision_log->metrics, METRIC_STORE_CALLS);
 	fx->call = call;
-	fx->stall_us = REPLY_STALL_US;
-	fx->transfer_us = REPLY_TIMEOUT_US;
+	fx->read_timeout_us = REPLY_STALL_US;
+	fx->total_timeout_us = REPLY_TIMEOUT_US;
 	return fx;
 }
 
