--- a/front_admit.c
+++ b/front_admit.c
@@ -97,8 +97,7 @@
 	if (!q->snapshot) {
 		refuse_caller(
 			node, q->caller, ERR_NO_SNAPSHOT,
-			"no snapshot has all of the requested indexes and "
-			"shards",
+			"no snapshot has all of the indexes and shards asked for",
 			STARTING_RETRY_AFTER_US);
 		question_destroy(node, q);
 		return;
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -196,8 +196,7 @@
 	target->domain_out = listed->domain->out;
 	/* Targets of a returning domain have lost their caches and are cold. */
 	if (was_out && !target->domain_out && target->owned)
-		health_set_cold(node, target,
-				"its failure domain is back in service");
+		health_set_cold(node, target, "its failure domain returned");
 }
 
 static void for_each_target(struct node *node,
--- a/health.c
+++ b/health.c
@@ -86,8 +86,7 @@
 {
 	if (target->draining)
 		return;
-	audit_target(node, target, "draining",
-		     "the target reports that it is draining");
+	audit_target(node, target, "draining", "the target says so");
 	target->draining = true;
 	target->probe_interval_us = PROBE_INTERVAL_MAX_US;
 	if (!node->opt.off.no_leaving_check)
@@ -188,9 +187,7 @@
 	if (target->baseline_us && service > SLOW_MIN_US &&
 	    service > target->baseline_us * SLOW_FACTOR) {
 		if (++target->slow_streak >= SLOW_STREAK)
-			health_set_cold(
-				node, target,
-				"its latency rose far above the baseline");
+			health_set_cold(node, target, "latency jumped");
 		return;
 	}
 	target->slow_streak = 0;
@@ -215,16 +212,14 @@
 		set_down(node, target, "it refused a connection");
 		return;
 	case FETCH_BROKEN:
-		health_set_cold(node, target,
-				"it closed the connection without a reply");
+		health_set_cold(node, target, "it closed without a reply");
 		if (++target->failure_streak >= FAILURE_STREAK)
-			set_down(node, target,
-				 "it closes connections without a reply");
+			set_down(node, target, "it closes without a reply");
 		return;
 	case FETCH_TIMEOUT:
 		if (++target->failure_streak < FAILURE_STREAK)
 			return;
-		health_set_cold(node, target, "it does not reply in time");
+		health_set_cold(node, target, "it does not answer");
 		set_down(node, target, "it does not reply in time");
 		return;
 	case FETCH_MALFORMED:
@@ -236,8 +231,7 @@
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
 		if (++target->shed_streak >= SHED_STREAK)
-			health_set_cold(node, target,
-					"it shed several requests in a row");
+			health_set_cold(node, target, "it sheds in a row");
 		else if (target->limit > TARGET_LIMIT_MIN)
 			target->limit--;
 		target->limit_changed_at = node->now;
@@ -267,7 +261,7 @@
 
 	if (!answers && target->draining && !target->down) {
 		target->draining = false;
-		set_down(node, target, "it stopped answering while draining");
+		set_down(node, target, "it left");
 		return;
 	}
 	if (!answers || fetch_response->draining) {
@@ -278,7 +272,7 @@
 	target->down = false;
 	target->draining = false;
 	target->failure_streak = 0;
-	health_set_cold(node, target, "it answers probes again");
+	health_set_cold(node, target, "it answers again");
 }
 
 void health_timer(struct node *node, uint64_t key)
--- a/log.c
+++ b/log.c
@@ -58,7 +58,7 @@
 	return (int)line.len;
 }
 
-static const log4c_appender_type_t buffer_appender = { "buffer", NULL,
+static const log4c_appender_type_t buffer_appender = { "kept", NULL,
 						       buffer_line, NULL };
 
 /* Return: false if standard output accepts nothing now, or is closed. */
@@ -110,7 +110,7 @@
 	log4c_appender_type_set(&buffer_appender);
 
 	log4c_layout_t *layout = log4c_layout_get("json lines");
-	log4c_appender_t *appender = log4c_appender_get("buffered lines");
+	log4c_appender_t *appender = log4c_appender_get("kept lines");
 
 	log4c_layout_set_type(layout, &json_layout);
 	log4c_appender_set_type(appender, &buffer_appender);
--- a/once.c
+++ b/once.c
@@ -91,9 +91,9 @@
 	}
 
 	bool not_run = record->state == RECORD_NOT_RUN;
-	const char *text = not_run ? "the entry did not run and will not run "
-				     "under this ticket"
-				   : "it may have run";
+	const char *text =
+		not_run ? "it did not run and never will under this ticket"
+			: "it may have run";
 	struct buf error = { 0 };
 
 	error_json(&error, record->code, text,
--- a/once_entry.c
+++ b/once_entry.c
@@ -88,8 +88,8 @@
 		once_reply_outcome(
 			node, waiter, entry->request_id, "not_run",
 			ERR_TICKET_INVALID,
-			"the ticket does not match the request id and customer",
-			0, (struct str){ 0 });
+			"the ticket does not fit request id and customer", 0,
+			(struct str){ 0 });
 		return;
 	}
 	if (record) {
@@ -106,9 +106,8 @@
 		once_reply_outcome(
 			node, waiter, entry->request_id,
 			code == ERR_ISSUER_GONE ? "unknown" : "not_run", code,
-			code == ERR_NOT_FOUND
-				? "the ticket has not been used yet"
-				: "",
+			code == ERR_NOT_FOUND ? "the ticket was not used yet"
+					      : "",
 			0, (struct str){ 0 });
 		return;
 	}
@@ -145,7 +144,7 @@
 		return;
 	}
 	once_reply_outcome(node, waiter, entry->request_id, "not_run",
-			   ERR_TICKET_REQUIRED, "an entry requires a ticket", 0,
+			   ERR_TICKET_REQUIRED, "an entry needs a ticket", 0,
 			   issued);
 }
 
@@ -226,8 +225,8 @@
 	}
 	if (!ticket_parse(entry->ticket, &ticket)) {
 		once_reply_outcome(node, waiter, entry->request_id, "not_run",
-				   ERR_TICKET_INVALID, "invalid ticket format",
-				   0, (struct str){ 0 });
+				   ERR_TICKET_INVALID, "not a ticket", 0,
+				   (struct str){ 0 });
 		return;
 	}
 	issuer = member_find(node, str_hash(ticket.addr));
@@ -246,8 +245,8 @@
 		once_reply_outcome(
 			node, waiter, entry->request_id, "unknown",
 			ERR_ISSUER_GONE,
-			"the VM that issued the ticket is gone or unreachable",
-			0, (struct str){ 0 });
+			"the VM that issued the ticket is gone or cut off", 0,
+			(struct str){ 0 });
 	}
 }
 
--- a/request.c
+++ b/request.c
@@ -66,14 +66,14 @@
 		json_int_t id = json_integer_value(item);
 
 		if (!json_is_integer(item) || id < 1 || id > UINT32_MAX)
-			json_error_set(in, "shards",
-				       "item %zu is not a shard id", i);
+			json_error_set(in, "shards", "item %zu is no shard id",
+				       i);
 		query->shards[i] = (uint32_t)id;
 	}
 	qsort(query->shards, count, sizeof(*query->shards), id_order);
 	for (size_t i = 1; i < count; i++)
 		if (query->shards[i] == query->shards[i - 1])
-			json_error_set(in, "shards", "%u is listed twice",
+			json_error_set(in, "shards", "%u stands twice",
 				       query->shards[i]);
 }
 
