--- a/doc.c
+++ b/doc.c
@@ -60,7 +60,7 @@
 	plan->extra_load =
 		json_real_or(in, path, obj, "extra_load", 0, 1, 0.05);
 	if (plan->soft_us > plan->deadline_us)
-		json_error_set(in, path, "soft_ms exceeds deadline_ms");
+		json_error_set(in, path, "soft_ms is over deadline_ms");
 }
 
 static struct plan *find_plan(apr_hash_t *names, struct str name)
@@ -84,8 +84,7 @@
 		snprintf(path, sizeof(path), "allowances[%zu]", i);
 		parse_allowance(in, path, lists, json_array_get(list, i), plan);
 		if (find_plan(names, plan->name))
-			json_error_set(in, path,
-				       "plan \"%.*s\" is listed twice",
+			json_error_set(in, path, "plan \"%.*s\" stands twice",
 				       STR_ARG(plan->name));
 		apr_hash_set(names, plan->name.ptr, (apr_ssize_t)plan->name.len,
 			     plan);
@@ -116,7 +115,7 @@
 	customer = str_dup(lists->pool, customer);
 	if (apr_hash_get(lists->customers, customer.ptr,
 			 (apr_ssize_t)customer.len))
-		json_error_set(in, path, "customer \"%.*s\" is listed twice",
+		json_error_set(in, path, "customer \"%.*s\" stands twice",
 			       STR_ARG(customer));
 	apr_hash_set(lists->customers, customer.ptr, (apr_ssize_t)customer.len,
 		     plan);
@@ -223,7 +222,7 @@
 			json_text(in, path, obj, "name", DOC_NAME_MAX);
 
 		if (fleet_domain(fleet, name))
-			json_error_set(in, path, "\"%.*s\" is listed twice",
+			json_error_set(in, path, "\"%.*s\" stands twice",
 				       STR_ARG(name));
 		domain->name = str_dup(fleet->pool, name);
 		domain->out = parse_state(in, path, obj, "in", "out");
@@ -344,14 +343,12 @@
 			     : NULL;
 
 		if (!target) {
-			json_error_set(in, path, "replica %zu is not a target",
-				       i);
+			json_error_set(in, path, "replica %zu is no target", i);
 			return;
 		}
 		for (size_t j = 0; j < i; j++)
 			if (shard->replicas[j] == target)
-				json_error_set(in, path,
-					       "replica \"%s\" is listed twice",
+				json_error_set(in, path, "replica \"%s\" twice",
 					       name);
 		shard->replicas[i] = target;
 	}
@@ -391,7 +388,7 @@
 			json_error_set(in, path, "shards %u and %u overlap",
 				       prev->id, shard->id);
 		if (apr_hash_get(ids, &shard->id, sizeof(shard->id)))
-			json_error_set(in, path, "shard id %u is listed twice",
+			json_error_set(in, path, "shard id %u stands twice",
 				       shard->id);
 		apr_hash_set(ids, &shard->id, sizeof(shard->id), shard);
 	}
--- a/health.c
+++ b/health.c
@@ -220,7 +220,7 @@
 		if (++target->failure_streak < FAILURE_STREAK)
 			return;
 		health_set_cold(node, target, "it does not answer");
-		set_down(node, target, "it does not reply in time");
+		set_down(node, target, "it does not answer");
 		return;
 	case FETCH_MALFORMED:
 		return;
