--- a/doc.c
+++ b/doc.c
@@ -263,7 +263,7 @@
 	if (in->err.code)
 		return;
 	if (apr_hash_get(seen, name.ptr, (apr_ssize_t)name.len))
-		json_error_set(in, path, "\"%.*s\" is listed twice",
+		json_error_set(in, path, "\"%.*s\" stands twice",
 			       STR_ARG(name));
 	apr_hash_set(seen, name.ptr, (apr_ssize_t)name.len, value);
 }
