--- a/bench/policy.c
+++ b/bench/policy.c
@@ -115,7 +115,8 @@
 		double u =
 			(double)(rng_next(&rng) >> 11) / (double)(1ULL << 53);
 
-		mesh_call(mesh, (int)rng_below(&rng, (uint64_t)senders), EV_ASK,
+		mesh_call(mesh, (int)rng_below(&rng, (uint64_t)senders),
+			  EV_QUESTION,
 			  "{\"customer\":\"mill\",\"request_id\":\"r\","
 			  "\"indexes\":[\"orders\"]}");
 		mesh_run(mesh, (int64_t)(-log(1 - u) / choice->rate * 1e6));
@@ -148,7 +149,7 @@
 	if (choice->kill)
 		mesh_kill(mesh, NODES - 1);
 	if (choice->stop)
-		mesh_feed(mesh, NODES - 1, (struct event){ .type = EV_LEAVE });
+		mesh_feed(mesh, NODES - 1, (struct event){ .type = EV_DRAIN });
 	if (choice->kill_owner)
 		mesh_kill(mesh, bucket_owner(mesh));
 }
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -187,7 +187,7 @@
 static void ask(struct rig *rig)
 {
 	feed(rig,
-	     (struct event){ .type = EV_ASK,
+	     (struct event){ .type = EV_QUESTION,
 			     .id = ++rig->caller,
 			     .body = STR("{\"customer\":\"c0\",\"request_id\":"
 					 "\"r\",\"indexes\":[\"asked\"]}") });
@@ -386,7 +386,7 @@
 			 "{\"customer\":\"c%d\",\"request_id\":\"r\","
 			 "\"indexes\":[\"asked\"]}",
 			 i);
-		feed(&rig, (struct event){ .type = EV_ASK,
+		feed(&rig, (struct event){ .type = EV_QUESTION,
 					   .id = ++rig.caller,
 					   .body = str_of(body) });
 		settle(&rig);
--- a/doc_sync.c
+++ b/doc_sync.c
@@ -18,7 +18,7 @@
 	PEER_FETCH_TIMEOUT_US = 500000,
 	JOIN_MIN_US = 600000,
 	JOIN_MAX_US = 3000000,
-	TIMER_JOIN = DOC_KINDS,
+	JOIN_TIMER_ID = DOC_KINDS,
 };
 
 static bool is_newer(uint64_t version, uint64_t hash,
@@ -87,16 +87,16 @@
 		timer_add(&node->timers,
 			  node->now + jitter(node, (int64_t)RETRY_BACKOFF_US
 							   << shift),
-			  TIMER_CONF, kind);
+			  TIMER_DOC, kind);
 	else if (!node->doc_sync->joined)
 		timer_add(&node->timers, node->now + RETRY_BACKOFF_US,
-			  TIMER_CONF, kind);
+			  TIMER_DOC, kind);
 	else if (is_watcher(node, kind))
 		read_doc(node, kind, WATCH_WAIT_US);
 	else
 		timer_add(&node->timers,
 			  node->now + jitter(node, poll_period(node)),
-			  TIMER_CONF, kind);
+			  TIMER_DOC, kind);
 }
 
 void doc_sync_read_now(struct node *node)
@@ -125,8 +125,8 @@
 	node->doc_sync->join_not_before = node->now + JOIN_MIN_US;
 	node->doc_sync->join_deadline = INT64_MAX;
 	doc_sync_read_now(node);
-	timer_add(&node->timers, node->doc_sync->join_not_before, TIMER_CONF,
-		  TIMER_JOIN);
+	timer_add(&node->timers, node->doc_sync->join_not_before, TIMER_DOC,
+		  JOIN_TIMER_ID);
 }
 
 void doc_sync_destroy(struct node *node)
@@ -241,7 +241,7 @@
 	store_doc(node, DOC_FLEET, fleet->version, fleet->hash, body, why);
 	fleet_unref(node->fleet);
 	node->fleet = fleet;
-	member_fleet_changed(node);
+	member_on_fleet_changed(node);
 	return true;
 }
 
@@ -259,7 +259,7 @@
 		node_view_changed(node);
 	if (accepted && kind == DOC_FLEET)
 		replica_remove_unlisted(node);
-	member_docs_updated(node);
+	member_on_docs_updated(node);
 }
 
 /* Probes the VMs of a fleet that is not yet in force for newer documents. */
@@ -288,8 +288,8 @@
 		probe_candidate_vms(node, body);
 		doc_sync->join_not_before = node->now + JOIN_MIN_US;
 		doc_sync->join_deadline = node->now + JOIN_MAX_US;
-		timer_add(&node->timers, doc_sync->join_not_before, TIMER_CONF,
-			  TIMER_JOIN);
+		timer_add(&node->timers, doc_sync->join_not_before, TIMER_DOC,
+			  JOIN_TIMER_ID);
 	}
 }
 
@@ -353,7 +353,7 @@
 		return;
 	}
 	if (current && kind == DOC_FLEET)
-		member_platform_read(node);
+		member_on_platform_read(node);
 	schedule_read(node, kind);
 }
 
@@ -402,8 +402,8 @@
 		return;
 	if (node->now < doc_sync->join_not_before ||
 	    (doc_sync_behind(node) && node->now < doc_sync->join_deadline)) {
-		timer_add(&node->timers, node->now + JOIN_MIN_US / 4,
-			  TIMER_CONF, TIMER_JOIN);
+		timer_add(&node->timers, node->now + JOIN_MIN_US / 4, TIMER_DOC,
+			  JOIN_TIMER_ID);
 		return;
 	}
 	for (int i = 0; i < DOC_KINDS; i++)
@@ -416,7 +416,7 @@
 			doc_sync->candidate[i].len = 0;
 		doc_sync_read_now(node);
 		timer_add(&node->timers, node->now + RETRY_BACKOFF_US,
-			  TIMER_CONF, TIMER_JOIN);
+			  TIMER_DOC, JOIN_TIMER_ID);
 		return;
 	}
 	doc_sync->joined = true;
@@ -427,7 +427,7 @@
 
 void doc_sync_on_timer(struct node *node, uint64_t kind)
 {
-	if (kind == TIMER_JOIN)
+	if (kind == JOIN_TIMER_ID)
 		try_join(node);
 	else
 		read_doc(node, (enum doc_kind)kind,
--- a/event.h
+++ b/event.h
@@ -13,7 +13,7 @@
 
 enum event_type {
 	EV_TICK, /* time has passed */
-	EV_ASK, /* a caller's question: id, body */
+	EV_QUESTION, /* a caller's question: id, body */
 	EV_TICKET, /* a caller requests a ticket: id, body */
 	EV_ENTRY, /* a caller's entry: id, body */
 	EV_LOOKUP, /* a caller requests the outcome of an entry: id, body */
@@ -24,7 +24,7 @@
 	EV_DOC, /* a document from the platform: doc, body */
 	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
 	EV_DOC_FAILED, /* the platform did not answer: doc */
-	EV_LEAVE, /* planned stop */
+	EV_DRAIN, /* planned stop */
 };
 
 /** enum fetch_result - outcome of a request to a target */
--- a/front.c
+++ b/front.c
@@ -447,8 +447,8 @@
 	front_cancel_attempts(node, q, leaf);
 }
 
-void front_reply(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg)
+void front_on_leaf_reply(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg)
 {
 	uint64_t id = msg->id;
 	struct question *q =
@@ -522,7 +522,7 @@
 	}
 }
 
-void front_timer(struct node *node, uint64_t id)
+void front_on_question_timer(struct node *node, uint64_t id)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
@@ -570,7 +570,7 @@
 	return true;
 }
 
-void front_hedge_timer(struct node *node, uint64_t id)
+void front_on_hedge_timer(struct node *node, uint64_t id)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
@@ -606,7 +606,7 @@
 	}
 }
 
-void front_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation)
+void front_on_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation)
 {
 	struct front *front = node->front;
 	apr_hash_index_t *it;
--- a/front.h
+++ b/front.h
@@ -133,16 +133,16 @@
 
 void front_init(struct node *node);
 void front_destroy(struct node *node);
-void front_ask(struct node *node, uint64_t caller, struct str body);
-void front_caller_gone(struct node *node, uint64_t caller);
-void front_quota_result(struct node *node, uint64_t id, bool taken,
-			int64_t retry_us);
-void front_reply(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg);
-/** front_gate_lost() - fail over the open attempts of a lost gate. */
-void front_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
-void front_timer(struct node *node, uint64_t id);
-void front_hedge_timer(struct node *node, uint64_t id);
+void front_on_question(struct node *node, uint64_t caller, struct str body);
+void front_on_caller_gone(struct node *node, uint64_t caller);
+void front_on_quota_result(struct node *node, uint64_t id, bool taken,
+			   int64_t retry_us);
+void front_on_leaf_reply(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
+/** front_on_gate_lost() - fail over the open attempts of a lost gate. */
+void front_on_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
+void front_on_question_timer(struct node *node, uint64_t id);
+void front_on_hedge_timer(struct node *node, uint64_t id);
 size_t front_open(const struct node *node);
 
 /* Shared with front_admit.c. */
--- a/front_admit.c
+++ b/front_admit.c
@@ -174,7 +174,7 @@
 	return 0;
 }
 
-void front_ask(struct node *node, uint64_t caller, struct str body)
+void front_on_question(struct node *node, uint64_t caller, struct str body)
 {
 	struct error err = { 0 };
 	const struct plan *plan = NULL;
@@ -221,8 +221,8 @@
 	}
 }
 
-void front_quota_result(struct node *node, uint64_t id, bool taken,
-			int64_t retry_us)
+void front_on_quota_result(struct node *node, uint64_t id, bool taken,
+			   int64_t retry_us)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
@@ -273,7 +273,7 @@
 	question_destroy(node, q);
 }
 
-void front_caller_gone(struct node *node, uint64_t caller)
+void front_on_caller_gone(struct node *node, uint64_t caller)
 {
 	struct question *q =
 		apr_hash_get(node->front->callers, &caller, sizeof(caller));
--- a/front_poison.c
+++ b/front_poison.c
@@ -68,8 +68,7 @@
 	return node->front ? poison_digest(&node->front->poison, node->now) : 0;
 }
 
-void front_poison_handle_digest(struct node *node, struct str from,
-				uint64_t digest)
+void front_poison_on_digest(struct node *node, struct str from, uint64_t digest)
 {
 	if (node->front)
 		poison_sync_on_digest(&node->front->news, from, digest,
@@ -82,8 +81,8 @@
 		poison_sweep(&node->front->poison, true, node->now);
 }
 
-void front_poison_handle_msg(struct node *node, struct str from,
-			     uint64_t incarnation, const struct msg *msg)
+void front_poison_on_msg(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg)
 {
 	(void)incarnation;
 	poison_sync_on_msg(&node->front->news, from, msg, true, node->now);
--- a/front_poison.h
+++ b/front_poison.h
@@ -30,10 +30,10 @@
 void front_question_unserved(struct node *node, const struct question *q);
 /** front_poison_digest() - digest of the evidence, for heartbeats. */
 uint64_t front_poison_digest(const struct node *node);
-/** front_poison_handle_digest() - compare with the digest of @from. */
-void front_poison_handle_digest(struct node *node, struct str from,
-				uint64_t digest);
+/** front_poison_on_digest() - compare with the digest of @from. */
+void front_poison_on_digest(struct node *node, struct str from,
+			    uint64_t digest);
 /** front_poison_sweep() - drop refuted and expired evidence. */
 void front_poison_sweep(struct node *node);
-void front_poison_handle_msg(struct node *node, struct str from,
-			     uint64_t incarnation, const struct msg *msg);
+void front_poison_on_msg(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
--- a/gate.c
+++ b/gate.c
@@ -440,14 +440,14 @@
 	gate_start_queued(node, target);
 }
 
-void gate_leaf(struct node *node, struct str from, uint64_t incarnation,
-	       const struct msg *msg)
+void gate_on_leaf(struct node *node, struct str from, uint64_t incarnation,
+		  const struct msg *msg)
 {
 	accept_job(node, from, incarnation, msg);
 }
 
-void gate_reserve(struct node *node, struct str from, uint64_t incarnation,
-		  const struct msg *msg)
+void gate_on_reserve(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg)
 {
 	accept_job(node, from, incarnation, msg);
 }
@@ -472,8 +472,8 @@
 	job->deadline = INT64_MAX;
 }
 
-void gate_go(struct node *node, struct str from, uint64_t incarnation,
-	     const struct msg *msg)
+void gate_on_go(struct node *node, struct str from, uint64_t incarnation,
+		const struct msg *msg)
 {
 	struct job *job = job_find(node, str_hash(from), incarnation, msg);
 
@@ -562,8 +562,8 @@
 	}
 }
 
-void gate_cancel(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg)
+void gate_on_cancel(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg)
 {
 	struct job *job = job_find(node, str_hash(from), incarnation, msg);
 
@@ -571,7 +571,8 @@
 		cancel_job(node, job);
 }
 
-void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation)
+void gate_on_origin_lost(struct node *node, uint64_t origin,
+			 uint64_t incarnation)
 {
 	apr_pool_t *pool;
 	apr_hash_index_t *it;
@@ -632,8 +633,8 @@
 	return 0;
 }
 
-void gate_fetch_done(struct node *node, uint64_t number,
-		     const struct fetch_response *fetch_response)
+void gate_on_fetch_done(struct node *node, uint64_t number,
+			const struct fetch_response *fetch_response)
 {
 	struct gate *gate = node->gate;
 	struct job *job =
@@ -665,7 +666,7 @@
 	release_slot(node, target);
 }
 
-void gate_job_timer(struct node *node, uint64_t number)
+void gate_on_job_timer(struct node *node, uint64_t number)
 {
 	struct job *job = apr_hash_get(node->gate->jobs_by_number, &number,
 				       sizeof(number));
--- a/gate.h
+++ b/gate.h
@@ -141,25 +141,27 @@
 
 void gate_init(struct node *node);
 void gate_destroy(struct node *node);
-void gate_view_changed(struct node *node);
-void gate_leaf(struct node *node, struct str from, uint64_t incarnation,
-	       const struct msg *msg);
-void gate_reserve(struct node *node, struct str from, uint64_t incarnation,
+void gate_on_view_changed(struct node *node);
+void gate_on_leaf(struct node *node, struct str from, uint64_t incarnation,
 		  const struct msg *msg);
-void gate_go(struct node *node, struct str from, uint64_t incarnation,
-	     const struct msg *msg);
-/** gate_cancel() - handle CANCEL (leaf requests) and RELEASE (reservations). */
-void gate_cancel(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg);
-/** gate_handover() - handle HANDOVER from the previous gate of a target. */
-void gate_handover(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg);
-void gate_handover_timer(struct node *node, uint64_t key);
-void gate_fetch_done(struct node *node, uint64_t number,
-		     const struct fetch_response *fetch_response);
-void gate_job_timer(struct node *node, uint64_t number);
-/** gate_origin_lost() - cancel the jobs of a node that is gone. */
-void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation);
+void gate_on_reserve(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg);
+void gate_on_go(struct node *node, struct str from, uint64_t incarnation,
+		const struct msg *msg);
+/** gate_on_cancel() - handle CANCEL (leaf requests) and RELEASE (reservations).
+ */
+void gate_on_cancel(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg);
+/** gate_on_handover() - handle HANDOVER from the previous gate of a target. */
+void gate_on_handover(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg);
+void gate_on_handover_timer(struct node *node, uint64_t key);
+void gate_on_fetch_done(struct node *node, uint64_t number,
+			const struct fetch_response *fetch_response);
+void gate_on_job_timer(struct node *node, uint64_t number);
+/** gate_on_origin_lost() - cancel the jobs of a node that is gone. */
+void gate_on_origin_lost(struct node *node, uint64_t origin,
+			 uint64_t incarnation);
 /** gate_resume() - start queued jobs after the view is confirmed again. */
 void gate_resume(struct node *node);
 /**
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -55,7 +55,7 @@
 		  target->key);
 }
 
-void gate_handover_timer(struct node *node, uint64_t key)
+void gate_on_handover_timer(struct node *node, uint64_t key)
 {
 	struct target *target =
 		apr_hash_get(node->gate->targets, &key, sizeof(key));
@@ -64,8 +64,8 @@
 		gate_start_queued(node, target);
 }
 
-void gate_handover(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg)
+void gate_on_handover(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg)
 {
 	uint64_t key = msg->target;
 	struct target *target =
@@ -233,7 +233,7 @@
 	gate_target_free(target);
 }
 
-void gate_view_changed(struct node *node)
+void gate_on_view_changed(struct node *node)
 {
 	for_each_target(node, unlist);
 	for (size_t i = 0; node->fleet && i < node->fleet->ntargets; i++)
--- a/health.c
+++ b/health.c
@@ -26,7 +26,7 @@
 		return;
 	target->probing = true;
 	timer_add(&node->timers, node->now + target->probe_interval_us,
-		  TIMER_TARGET, target->key);
+		  TIMER_PROBE, target->key);
 	if (target->probe_interval_us < PROBE_INTERVAL_MAX_US)
 		target->probe_interval_us *= 2;
 }
@@ -281,7 +281,7 @@
 	health_set_cold(node, target, "it answers probes again");
 }
 
-void health_timer(struct node *node, uint64_t key)
+void health_on_probe_timer(struct node *node, uint64_t key)
 {
 	struct target *target =
 		apr_hash_get(node->gate->targets, &key, sizeof(key));
--- a/health.h
+++ b/health.h
@@ -28,5 +28,6 @@
 /** health_record_probe() - update the state with the result of a probe. */
 void health_record_probe(struct node *node, struct target *target,
 			 const struct fetch_response *fetch_response);
-/** health_timer() - send the probe that is due to the target with @key. */
-void health_timer(struct node *node, uint64_t key);
+/** health_on_probe_timer() - send the probe that is due to the target with
+ * @key. */
+void health_on_probe_timer(struct node *node, uint64_t key);
--- a/member.c
+++ b/member.c
@@ -236,9 +236,9 @@
 	vm->departed = vm->state == VM_LEAVING;
 	node_audit(node, "vm", vm->addr, STR("lost"),
 		   vm->departed ? "left" : "no heartbeat", incarnation);
-	front_gate_lost(node, vm->key, incarnation);
-	once_peer_lost(node, vm->key, incarnation);
-	gate_origin_lost(node, vm->key, incarnation);
+	front_on_gate_lost(node, vm->key, incarnation);
+	once_on_peer_lost(node, vm->key, incarnation);
+	gate_on_origin_lost(node, vm->key, incarnation);
 }
 
 static void expire_vms(struct node *node)
@@ -298,7 +298,7 @@
 		gate_resume(node);
 }
 
-void member_heartbeat(struct node *node)
+void member_on_heartbeat_timer(struct node *node)
 {
 	send_heartbeats(node);
 	expire_vms(node);
@@ -331,7 +331,7 @@
 		end_recovery(node, why);
 }
 
-void member_docs_updated(struct node *node)
+void member_on_docs_updated(struct node *node)
 {
 	if (!node->member->view_confirmed && node->member->view_answered &&
 	    !doc_sync_behind(node))
@@ -377,7 +377,7 @@
 	}
 	doc_sync_on_offer(node, vm, DOC_LISTS, msg->version, msg->hash);
 	doc_sync_on_offer(node, vm, DOC_FLEET, msg->version2, msg->hash2);
-	front_poison_handle_digest(node, from, msg->key);
+	front_poison_on_digest(node, from, msg->key);
 	/*
 	 * After a pause the socket still holds heartbeats from before it; only
 	 * the answer to a probe sent after it confirms the view.
@@ -407,7 +407,7 @@
 	node_send(node, addr, 0, &msg);
 }
 
-void member_lost(struct node *node, struct str addr)
+void member_on_peer_lost(struct node *node, struct str addr)
 {
 	struct vm *vm = member_find(node, str_hash(addr));
 
@@ -417,7 +417,7 @@
 	node_vms_changed(node);
 }
 
-void member_fleet_changed(struct node *node)
+void member_on_fleet_changed(struct node *node)
 {
 	const struct fleet *fleet = node->fleet;
 	struct member *member = node->member;
@@ -462,7 +462,7 @@
 	return node->member->vms[0]->state;
 }
 
-void member_paused(struct node *node, int64_t gap)
+void member_on_pause(struct node *node, int64_t gap)
 {
 	struct member *member = node->member;
 
@@ -474,7 +474,7 @@
 	member->view_answered = false;
 	member->paused_at = node->now;
 	timer_add(&node->timers, node->now + VIEW_CONFIRM_TIMEOUT_US,
-		  TIMER_VIEW, member->nonce);
+		  TIMER_VIEW_TIMEOUT, member->nonce);
 	for (size_t i = 1; i < member->count; i++)
 		member_probe(node, member->vms[i]->addr);
 	/* Heartbeats could not be read during the pause: restart timeouts. */
@@ -484,7 +484,7 @@
 	doc_sync_read_now(node);
 }
 
-void member_view_timeout(struct node *node, uint64_t nonce)
+void member_on_view_timeout(struct node *node, uint64_t nonce)
 {
 	/*
 	 * No answer: this node is either the only one or partitioned. From here
@@ -494,7 +494,7 @@
 		end_recovery(node, "nobody answered in time");
 }
 
-void member_platform_read(struct node *node)
+void member_on_platform_read(struct node *node)
 {
 	update_platform_read_at(node, node->now);
 	confirm_view(node, "the platform answered");
--- a/member.h
+++ b/member.h
@@ -68,24 +68,24 @@
 
 void member_init(struct node *node);
 void member_destroy(struct node *node);
-void member_heartbeat(struct node *node);
+void member_on_heartbeat_timer(struct node *node);
 void member_on_heartbeat(struct node *node, struct str from,
 			 uint64_t incarnation, const struct msg *msg);
 /** member_on_probe() - answer a PROBE with a heartbeat. */
 void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
 		     const struct msg *msg);
-void member_lost(struct node *node, struct str addr);
-void member_fleet_changed(struct node *node);
+void member_on_peer_lost(struct node *node, struct str addr);
+void member_on_fleet_changed(struct node *node);
 void member_set_state(struct node *node, enum vm_state state);
 enum vm_state member_state(const struct node *node);
-/** member_paused() - mark the view as unconfirmed after a process pause. */
-void member_paused(struct node *node, int64_t gap);
-/** member_platform_read() - record that the platform sent current data. */
-void member_platform_read(struct node *node);
-/** member_view_timeout() - end the wait for a confirmation of the view. */
-void member_view_timeout(struct node *node, uint64_t nonce);
-/** member_docs_updated() - confirm an answered view once documents match. */
-void member_docs_updated(struct node *node);
+/** member_on_pause() - mark the view as unconfirmed after a process pause. */
+void member_on_pause(struct node *node, int64_t gap);
+/** member_on_platform_read() - record that the platform sent current data. */
+void member_on_platform_read(struct node *node);
+/** member_on_view_timeout() - end the wait for a confirmation of the view. */
+void member_on_view_timeout(struct node *node, uint64_t nonce);
+/** member_on_docs_updated() - confirm an answered view once documents match. */
+void member_on_docs_updated(struct node *node);
 bool member_view_confirmed(const struct node *node);
 /** member_isolated() - whether this node may have missed a change. */
 bool member_isolated(const struct node *node);
--- a/node.c
+++ b/node.c
@@ -13,7 +13,7 @@
 #include "xmalloc.h"
 
 enum {
-	REVIEW_INTERVAL_US = 50000,
+	VIEW_CHANGE_INTERVAL_US = 50000,
 	DRAIN_MIN_US = 1500000,
 	DRAIN_IDLE_US = 500000,
 	DRAIN_CHECK_PERIOD_US = 50000,
@@ -163,27 +163,28 @@
 void node_view_changed(struct node *node)
 {
 	node->member->epoch++;
-	node->reviewed_at = node->now;
-	gate_view_changed(node);
+	node->view_applied_at = node->now;
+	gate_on_view_changed(node);
 }
 
 void node_vms_changed(struct node *node)
 {
 	node->member->epoch++;
-	if (node->now - node->reviewed_at >= REVIEW_INTERVAL_US) {
+	if (node->now - node->view_applied_at >= VIEW_CHANGE_INTERVAL_US) {
 		node_view_changed(node);
 		return;
 	}
-	if (node->review_due)
+	if (node->view_change_due)
 		return;
-	node->review_due = true;
-	timer_add(&node->timers, node->reviewed_at + REVIEW_INTERVAL_US,
-		  TIMER_REVIEW, 0);
+	node->view_change_due = true;
+	timer_add(&node->timers,
+		  node->view_applied_at + VIEW_CHANGE_INTERVAL_US,
+		  TIMER_VIEW_CHANGE, 0);
 }
 
-static void review_due(struct node *node)
+static void apply_view_change(struct node *node)
 {
-	node->review_due = false;
+	node->view_change_due = false;
 	node_view_changed(node);
 }
 
@@ -213,7 +214,7 @@
 		return;
 	if (!is_idle(node) && !timed_out && !node->opt.off.no_drain) {
 		timer_add(&node->timers, node->now + DRAIN_CHECK_PERIOD_US,
-			  TIMER_LEAVE, 0);
+			  TIMER_DRAIN, 0);
 		return;
 	}
 	drain->done = true;
@@ -255,7 +256,7 @@
 {
 	(void)from;
 	(void)incarnation;
-	quota_lease_reply(node, msg);
+	quota_on_lease_reply(node, msg);
 }
 
 static const struct handler handlers[MSG_KINDS] = {
@@ -263,20 +264,20 @@
 	[MSG_PROBE] = { member_on_probe },
 	[MSG_DOC_GET] = { doc_sync_on_request },
 	[MSG_DOC] = { on_doc },
-	[MSG_LEAF] = { gate_leaf },
-	[MSG_LEAF_REPLY] = { front_reply },
-	[MSG_CANCEL] = { gate_cancel },
-	[MSG_RESERVE] = { gate_reserve },
-	[MSG_GRANT] = { once_grant },
-	[MSG_GO] = { gate_go },
-	[MSG_GO_REPLY] = { once_go_reply },
-	[MSG_RELEASE] = { gate_cancel },
-	[MSG_FORWARD] = { once_handle_forward },
-	[MSG_FORWARD_REPLY] = { once_forward_reply },
-	[MSG_LEASE] = { quota_lease },
+	[MSG_LEAF] = { gate_on_leaf },
+	[MSG_LEAF_REPLY] = { front_on_leaf_reply },
+	[MSG_CANCEL] = { gate_on_cancel },
+	[MSG_RESERVE] = { gate_on_reserve },
+	[MSG_GRANT] = { once_on_grant },
+	[MSG_GO] = { gate_on_go },
+	[MSG_GO_REPLY] = { once_on_go_reply },
+	[MSG_RELEASE] = { gate_on_cancel },
+	[MSG_FORWARD] = { once_on_forward },
+	[MSG_FORWARD_REPLY] = { once_on_forward_reply },
+	[MSG_LEASE] = { quota_on_lease },
 	[MSG_LEASE_REPLY] = { on_lease_reply },
-	[MSG_HANDOVER] = { gate_handover },
-	[MSG_SUSPECTS] = { front_poison_handle_msg },
+	[MSG_HANDOVER] = { gate_on_handover },
+	[MSG_SUSPECTS] = { front_poison_on_msg },
 };
 
 static void on_msg(struct node *node, struct str from, uint64_t incarnation,
@@ -293,21 +294,21 @@
 {
 	drain_of(node)->last_request_at = node->now;
 	switch (event->type) {
-	case EV_ASK:
-		front_ask(node, event->id, event->body);
+	case EV_QUESTION:
+		front_on_question(node, event->id, event->body);
 		break;
 	case EV_TICKET:
-		once_ticket(node, event->id, event->body);
+		once_on_ticket(node, event->id, event->body);
 		break;
 	case EV_ENTRY:
-		once_entry(node, event->id, event->body);
+		once_on_entry(node, event->id, event->body);
 		break;
 	case EV_LOOKUP:
-		once_lookup(node, event->id, event->body);
+		once_on_lookup(node, event->id, event->body);
 		break;
 	default:
-		front_caller_gone(node, event->id);
-		once_caller_gone(node, event->id);
+		front_on_caller_gone(node, event->id);
+		once_on_caller_gone(node, event->id);
 	}
 }
 
@@ -316,7 +317,7 @@
 	switch (event->type) {
 	case EV_TICK:
 		break;
-	case EV_ASK:
+	case EV_QUESTION:
 	case EV_TICKET:
 	case EV_ENTRY:
 	case EV_LOOKUP:
@@ -327,10 +328,10 @@
 		on_msg(node, event->from, event->incarnation, event->msg);
 		break;
 	case EV_PEER_LOST:
-		member_lost(node, event->from);
+		member_on_peer_lost(node, event->from);
 		break;
 	case EV_FETCHED:
-		gate_fetch_done(node, event->id, event->fetch_response);
+		gate_on_fetch_done(node, event->id, event->fetch_response);
 		break;
 	case EV_DOC:
 		doc_sync_on_platform_doc(node, event->doc, event->body);
@@ -341,7 +342,7 @@
 	case EV_DOC_FAILED:
 		doc_sync_on_failure(node, event->doc);
 		break;
-	case EV_LEAVE:
+	case EV_DRAIN:
 		drain_begin(node);
 		break;
 	}
@@ -351,43 +352,43 @@
 {
 	switch (timer->kind) {
 	case TIMER_HEARTBEAT:
-		member_heartbeat(node);
+		member_on_heartbeat_timer(node);
 		break;
-	case TIMER_VIEW:
-		member_view_timeout(node, timer->id);
+	case TIMER_VIEW_TIMEOUT:
+		member_on_view_timeout(node, timer->id);
 		break;
-	case TIMER_CONF:
+	case TIMER_DOC:
 		doc_sync_on_timer(node, timer->id);
 		break;
 	case TIMER_QUESTION:
-		front_timer(node, timer->id);
+		front_on_question_timer(node, timer->id);
 		break;
 	case TIMER_HEDGE:
-		front_hedge_timer(node, timer->id);
+		front_on_hedge_timer(node, timer->id);
 		break;
-	case TIMER_LEASE:
-		quota_timer(node, timer->id);
+	case TIMER_ACCOUNT:
+		quota_on_account_timer(node, timer->id);
 		break;
-	case TIMER_TARGET:
-		health_timer(node, timer->id);
+	case TIMER_PROBE:
+		health_on_probe_timer(node, timer->id);
 		break;
 	case TIMER_JOB:
-		gate_job_timer(node, timer->id);
+		gate_on_job_timer(node, timer->id);
 		break;
 	case TIMER_RECORD:
-		once_timer(node, timer->id);
+		once_on_record_timer(node, timer->id);
 		break;
 	case TIMER_FORWARD:
-		once_forward_timer(node, timer->id);
+		once_on_forward_timer(node, timer->id);
 		break;
-	case TIMER_LEAVE:
+	case TIMER_DRAIN:
 		drain_check(node);
 		break;
-	case TIMER_REVIEW:
-		review_due(node);
+	case TIMER_VIEW_CHANGE:
+		apply_view_change(node);
 		break;
 	case TIMER_HANDOVER:
-		gate_handover_timer(node, timer->id);
+		gate_on_handover_timer(node, timer->id);
 		break;
 	}
 }
@@ -413,7 +414,7 @@
 	if (gap > 0)
 		node->now = event->now;
 	if (gap > PAUSE_THRESHOLD_US && !node->opt.off.no_pause_check)
-		member_paused(node, gap);
+		member_on_pause(node, gap);
 	on_event(node, event);
 	dispatch_local(node);
 	while (timer_pop(&node->timers, node->now, &timer)) {
--- a/node.h
+++ b/node.h
@@ -68,8 +68,8 @@
  * @key: hash of opt.addr
  * @now: time of the current event, monotonic microseconds
  * @fx: effects of the current event
- * @reviewed_at: time of the last review of the gates
- * @review_due: a review is scheduled
+ * @view_applied_at: time of the last review of the gates
+ * @view_change_due: a review is scheduled
  * @lists: accepted lists, NULL before the first
  * @fleet: accepted fleet, NULL before the first
  * @local: messages of this node to itself, handled before node_reduce()
@@ -84,8 +84,8 @@
 	struct timers timers;
 	struct effects *fx;
 	uint64_t next_id;
-	int64_t reviewed_at;
-	bool review_due;
+	int64_t view_applied_at;
+	bool view_change_due;
 	struct lists *lists;
 	struct fleet *fleet;
 	struct msg *local;
--- a/once.c
+++ b/once.c
@@ -394,8 +394,8 @@
 	node_send(node, addr, record->gate_incarnation, &msg);
 }
 
-void once_grant(struct node *node, struct str from, uint64_t incarnation,
-		const struct msg *msg)
+void once_on_grant(struct node *node, struct str from, uint64_t incarnation,
+		   const struct msg *msg)
 {
 	struct record *record = once_record_find(node, msg->id);
 
@@ -421,8 +421,8 @@
 	node_send(node, from, incarnation, &go);
 }
 
-void once_go_reply(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg)
+void once_on_go_reply(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg)
 {
 	struct record *record = once_record_find(node, msg->id);
 
@@ -447,7 +447,7 @@
 			    msg->status, (struct str){ 0 });
 }
 
-void once_timer(struct node *node, uint64_t seq)
+void once_on_record_timer(struct node *node, uint64_t seq)
 {
 	struct record *record = once_record_find(node, seq);
 
@@ -534,7 +534,7 @@
 		  TIMER_FORWARD, forward->id);
 }
 
-void once_forward_timer(struct node *node, uint64_t id)
+void once_on_forward_timer(struct node *node, uint64_t id)
 {
 	struct forward *forward =
 		apr_hash_get(node->once->forwards, &id, sizeof(id));
@@ -543,8 +543,8 @@
 		forward_fail(node, forward);
 }
 
-void once_forward_reply(struct node *node, struct str from,
-			uint64_t incarnation, const struct msg *msg)
+void once_on_forward_reply(struct node *node, struct str from,
+			   uint64_t incarnation, const struct msg *msg)
 {
 	uint64_t id = msg->id;
 	struct forward *forward =
@@ -556,7 +556,7 @@
 	forward_finish(node, forward, msg->status, msg->body);
 }
 
-void once_caller_gone(struct node *node, uint64_t caller)
+void once_on_caller_gone(struct node *node, uint64_t caller)
 {
 	if (!node->once->open)
 		return;
@@ -596,7 +596,7 @@
 	}
 }
 
-void once_peer_lost(struct node *node, uint64_t key, uint64_t incarnation)
+void once_on_peer_lost(struct node *node, uint64_t key, uint64_t incarnation)
 {
 	if (!node->once)
 		return;
--- a/once.h
+++ b/once.h
@@ -80,23 +80,23 @@
 
 void once_init(struct node *node);
 void once_destroy(struct node *node);
-void once_ticket(struct node *node, uint64_t caller, struct str body);
-void once_entry(struct node *node, uint64_t caller, struct str body);
-void once_lookup(struct node *node, uint64_t caller, struct str body);
-void once_caller_gone(struct node *node, uint64_t caller);
-void once_handle_forward(struct node *node, struct str from,
-			 uint64_t incarnation, const struct msg *msg);
-void once_forward_reply(struct node *node, struct str from,
-			uint64_t incarnation, const struct msg *msg);
-void once_grant(struct node *node, struct str from, uint64_t incarnation,
-		const struct msg *msg);
-void once_go_reply(struct node *node, struct str from, uint64_t incarnation,
+void once_on_ticket(struct node *node, uint64_t caller, struct str body);
+void once_on_entry(struct node *node, uint64_t caller, struct str body);
+void once_on_lookup(struct node *node, uint64_t caller, struct str body);
+void once_on_caller_gone(struct node *node, uint64_t caller);
+void once_on_forward(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg);
+void once_on_forward_reply(struct node *node, struct str from,
+			   uint64_t incarnation, const struct msg *msg);
+void once_on_grant(struct node *node, struct str from, uint64_t incarnation,
 		   const struct msg *msg);
-void once_peer_lost(struct node *node, uint64_t key, uint64_t incarnation);
-void once_quota_result(struct node *node, uint64_t seq, bool taken,
-		       int64_t retry_us);
-void once_timer(struct node *node, uint64_t seq);
-void once_forward_timer(struct node *node, uint64_t id);
+void once_on_go_reply(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg);
+void once_on_peer_lost(struct node *node, uint64_t key, uint64_t incarnation);
+void once_on_quota_result(struct node *node, uint64_t seq, bool taken,
+			  int64_t retry_us);
+void once_on_record_timer(struct node *node, uint64_t seq);
+void once_on_forward_timer(struct node *node, uint64_t id);
 /** once_open() - records, forwards and tickets that delay a planned stop. */
 size_t once_open(const struct node *node);
 
--- a/once_entry.c
+++ b/once_entry.c
@@ -39,8 +39,8 @@
 	}
 }
 
-void once_quota_result(struct node *node, uint64_t seq, bool taken,
-		       int64_t retry_us)
+void once_on_quota_result(struct node *node, uint64_t seq, bool taken,
+			  int64_t retry_us)
 {
 	struct record *record = once_record_find(node, seq);
 
@@ -203,7 +203,7 @@
 	return true;
 }
 
-void once_ticket(struct node *node, uint64_t caller, struct str body)
+void once_on_ticket(struct node *node, uint64_t caller, struct str body)
 {
 	struct waiter waiter = { .caller = caller };
 
@@ -271,22 +271,22 @@
 	apr_pool_destroy(pool);
 }
 
-void once_entry(struct node *node, uint64_t caller, struct str body)
+void once_on_entry(struct node *node, uint64_t caller, struct str body)
 {
 	struct waiter waiter = { .caller = caller };
 
 	handle_request(node, body, false, &waiter);
 }
 
-void once_lookup(struct node *node, uint64_t caller, struct str body)
+void once_on_lookup(struct node *node, uint64_t caller, struct str body)
 {
 	struct waiter waiter = { .caller = caller };
 
 	handle_request(node, body, true, &waiter);
 }
 
-void once_handle_forward(struct node *node, struct str from,
-			 uint64_t incarnation, const struct msg *msg)
+void once_on_forward(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg)
 {
 	struct waiter waiter = { .addr = from,
 				 .incarnation = incarnation,
--- a/quota.c
+++ b/quota.c
@@ -93,7 +93,7 @@
 static void schedule_idle_check(struct node *node, struct account *account)
 {
 	account->idle_check_at = node->now + IDLE_US;
-	timer_add(&node->timers, account->idle_check_at, TIMER_LEASE,
+	timer_add(&node->timers, account->idle_check_at, TIMER_ACCOUNT,
 		  account->key);
 }
 
@@ -193,7 +193,7 @@
 	account->lease_requested_at = node->now;
 	node->counters[CNT_LEASES]++;
 	node_send(node, owner->addr, owner->incarnation, &msg);
-	timer_add(&node->timers, node->now + LEASE_TIMEOUT_US, TIMER_LEASE,
+	timer_add(&node->timers, node->now + LEASE_TIMEOUT_US, TIMER_ACCOUNT,
 		  account->key);
 }
 
@@ -259,8 +259,8 @@
 	return result;
 }
 
-void quota_lease(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg)
+void quota_on_lease(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg)
 {
 	const struct plan *plan = lists_plan(node->lists, msg->name);
 	struct msg reply = {
@@ -296,8 +296,8 @@
 		account->taken++;
 	else
 		account->refused++;
-	front_quota_result(node, waiter, taken, retry_us);
-	once_quota_result(node, waiter, taken, retry_us);
+	front_on_quota_result(node, waiter, taken, retry_us);
+	once_on_quota_result(node, waiter, taken, retry_us);
 }
 
 static uint64_t *detach_waiters(struct account *account, size_t *count)
@@ -330,7 +330,7 @@
 	free(waiters);
 }
 
-void quota_lease_reply(struct node *node, const struct msg *msg)
+void quota_on_lease_reply(struct node *node, const struct msg *msg)
 {
 	uint64_t key = msg->id;
 	struct account *account =
@@ -371,7 +371,7 @@
 		fall_back(node, account);
 }
 
-void quota_timer(struct node *node, uint64_t key)
+void quota_on_account_timer(struct node *node, uint64_t key)
 {
 	struct account *account =
 		apr_hash_get(node->quota->customers, &key, sizeof(key));
--- a/quota.h
+++ b/quota.h
@@ -14,7 +14,8 @@
 
 enum quota_result {
 	QUOTA_TAKEN,
-	QUOTA_WAIT, /* front_quota_result() or once_quota_result() follows */
+	QUOTA_WAIT, /* front_on_quota_result() or once_on_quota_result() follows
+		     */
 	QUOTA_REFUSED,
 };
 
@@ -40,9 +41,9 @@
 enum quota_result quota_take(struct node *node, struct str customer,
 			     const struct plan *plan, uint64_t waiter,
 			     int64_t *retry_us);
-void quota_lease(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg);
-void quota_lease_reply(struct node *node, const struct msg *msg);
-void quota_timer(struct node *node, uint64_t key);
+void quota_on_lease(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg);
+void quota_on_lease_reply(struct node *node, const struct msg *msg);
+void quota_on_account_timer(struct node *node, uint64_t key);
 /** quota_json() - append an array with the recently active customers. */
 void quota_json(const struct node *node, struct buf *out);
--- a/serve.c
+++ b/serve.c
@@ -279,7 +279,7 @@
 };
 
 static const struct route routes[] = {
-	{ "/v1/questions", EV_ASK },
+	{ "/v1/questions", EV_QUESTION },
 	{ "/v1/tickets", EV_TICKET },
 	{ "/v1/entries", EV_ENTRY },
 	{ "/v1/lookups", EV_LOOKUP },
@@ -324,7 +324,7 @@
 static void begin_drain(struct server *s)
 {
 	http_closing(s->callers, true);
-	dispatch(s, (struct event){ .type = EV_LEAVE });
+	dispatch(s, (struct event){ .type = EV_DRAIN });
 }
 
 static void on_operator(void *ctx, struct http_request *req)
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -43,7 +43,7 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"%s\",\"indexes\":[\"orders\"]}",
 		 terms);
-	return mesh_call(mesh, node, EV_ASK, body);
+	return mesh_call(mesh, node, EV_QUESTION, body);
 }
 
 static bool is_whole(const struct mesh *mesh, size_t id)
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -64,7 +64,7 @@
 
 static size_t ask(struct mesh *mesh, int i)
 {
-	return mesh_call(mesh, i, EV_ASK,
+	return mesh_call(mesh, i, EV_QUESTION,
 			 "{\"customer\":\"mill\",\"request_id\":\"same\","
 			 "\"terms\":\"t\",\"indexes\":[\"orders\"]}");
 }
@@ -333,8 +333,8 @@
 	for (int i = 0; i < 60; i++) {
 		if (i == 20)
 			mesh_feed(mesh, gate,
-				  (struct event){ .type = EV_LEAVE });
-		mesh_call(mesh, (gate + 1) % 3, EV_ASK,
+				  (struct event){ .type = EV_DRAIN });
+		mesh_call(mesh, (gate + 1) % 3, EV_QUESTION,
 			  "{\"customer\":\"mill\",\"request_id\":\"r\","
 			  "\"indexes\":[\"orders\"],\"shards\":[1]}");
 		mesh_run(mesh, 5 * MS);
@@ -476,7 +476,7 @@
 			 "{\"customer\":\"mill\",\"request_id\":\"same\","
 			 "\"terms\":\"own-%d-\",\"indexes\":[\"orders\"]}",
 			 i);
-		ids[i] = mesh_call(mesh, i % 3, EV_ASK, body);
+		ids[i] = mesh_call(mesh, i % 3, EV_QUESTION, body);
 		mesh_run(mesh, 4 * MS);
 	}
 	mesh_run(mesh, 2 * SECOND);
@@ -718,8 +718,8 @@
 {
 	for (int i = 0; i < 3; i++) {
 		load(mesh, 500 * MS);
-		mesh_feed(mesh, i, (struct event){ .type = EV_LEAVE });
-		mesh_feed(mesh, i, (struct event){ .type = EV_LEAVE });
+		mesh_feed(mesh, i, (struct event){ .type = EV_DRAIN });
+		mesh_feed(mesh, i, (struct event){ .type = EV_DRAIN });
 		load(mesh, SECOND);
 		load_but(mesh, 3 * SECOND, i);
 		ck_assert(!mesh->nodes[i].up);
@@ -748,8 +748,8 @@
 	for (int i = 0; i < 12; i++)
 		ask(mesh, i % 2);
 	entry = enter(mesh, 1, ticket);
-	mesh_feed(mesh, 0, (struct event){ .type = EV_LEAVE });
-	mesh_feed(mesh, 1, (struct event){ .type = EV_LEAVE });
+	mesh_feed(mesh, 0, (struct event){ .type = EV_DRAIN });
+	mesh_feed(mesh, 1, (struct event){ .type = EV_DRAIN });
 	for (int i = 0; i < 300; i++) {
 		ask(mesh, 2);
 		mesh_run(mesh, 10 * MS);
@@ -768,7 +768,7 @@
 	char ticket[160];
 	size_t id;
 
-	mesh_feed(mesh, 0, (struct event){ .type = EV_LEAVE });
+	mesh_feed(mesh, 0, (struct event){ .type = EV_DRAIN });
 	take_ticket(mesh, 0, ticket, sizeof(ticket));
 	ck_assert(strncmp(ticket, "127.0.0.1:7000/", 15));
 	mesh_run(mesh, 4 * SECOND);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -82,7 +82,7 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"q%zu\",\"indexes\":[\"orders\"]}",
 		 f->mesh->nanswers);
-	mesh_call(f->mesh, some_node(f), EV_ASK, body);
+	mesh_call(f->mesh, some_node(f), EV_QUESTION, body);
 	f->asks++;
 }
 
@@ -196,7 +196,7 @@
 	int i = some_node(f);
 
 	f->disturbed[i] = true;
-	mesh_feed(f->mesh, i, (struct event){ .type = EV_LEAVE });
+	mesh_feed(f->mesh, i, (struct event){ .type = EV_DRAIN });
 }
 
 static void publish_fleet(struct fuzz *f)
@@ -485,7 +485,7 @@
 
 	for (int i = 0; i < STOP_BURST; i++)
 		do_ask(f);
-	mesh_feed(f->mesh, 0, (struct event){ .type = EV_LEAVE });
+	mesh_feed(f->mesh, 0, (struct event){ .type = EV_DRAIN });
 	load(f, OUT_US);
 	to = f->mesh->nanswers;
 	mesh_run(f->mesh, 2000000);
