--- a/answer.c
+++ b/answer.c
@@ -78,7 +78,8 @@
 		   (unsigned long long)q->snapshot->version, covered);
 	buf_printf(&out, ",\"complete\":%s", complete ? "true" : "false");
 	buf_printf(&out, ",\"elapsed_ms\":%.3f,\"requests\":%u,\"hedges\":%u",
-		   (double)(node->now - q->start) / 1000, q->sent, q->hedges);
+		   (double)(node->now - q->started_at) / 1000, q->sent,
+		   q->hedges);
 	add_missing(q, &out);
 	add_rows(q, &out);
 	node->counters[CNT_ANSWERED]++;
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -115,19 +115,19 @@
 
 static void answer_leaf(struct rig *rig, const struct effect *fx)
 {
-	struct fetch_response got = { .result = FETCH_OK,
-				      .status = 200,
-				      .boot = 1,
-				      .job = fx->job,
-				      .shard = fx->shard,
-				      .version = fx->version,
-				      .load = -1,
-				      .body = STR("[{\"a\":1}]") };
+	struct parsed_reply got = { .result = FETCH_OK,
+				    .status = 200,
+				    .boot = 1,
+				    .job = fx->job,
+				    .shard = fx->shard,
+				    .version = fx->version,
+				    .load = -1,
+				    .body = STR("[{\"a\":1}]") };
 
 	rig->leafs++;
 	feed(rig, (struct event){ .type = EV_FETCHED,
 				  .id = fx->id,
-				  .fetch_response = &got });
+				  .parsed_reply = &got });
 }
 
 static void settle(struct rig *rig)
--- a/doc.c
+++ b/doc.c
@@ -352,7 +352,7 @@
 	shard->nreplicas = count;
 }
 
-static int shard_order(const void *left, const void *right)
+static int compare_shards(const void *left, const void *right)
 {
 	const struct shard *a = left;
 	const struct shard *b = right;
@@ -375,7 +375,8 @@
 {
 	apr_hash_t *ids = hash_make(pool);
 
-	qsort(snap->shards, snap->nshards, sizeof(struct shard), shard_order);
+	qsort(snap->shards, snap->nshards, sizeof(struct shard),
+	      compare_shards);
 	for (size_t i = 0; i < snap->nshards && !in->err.code; i++) {
 		struct shard *shard = &snap->shards[i];
 		struct shard *prev = i ? shard - 1 : NULL;
@@ -508,8 +509,8 @@
 		apr_pool_destroy(fleet->pool);
 }
 
-const struct shard *snapshot_range(const struct snapshot *snap,
-				   struct str index, size_t *count)
+const struct shard *snapshot_index_shards(const struct snapshot *snap,
+					  struct str index, size_t *count)
 {
 	struct shard wanted = { .index = index, .from = INT64_MIN };
 	size_t low = 0;
@@ -518,7 +519,7 @@
 	while (low < high) {
 		size_t mid = (low + high) / 2;
 
-		if (shard_order(&snap->shards[mid], &wanted) < 0)
+		if (compare_shards(&snap->shards[mid], &wanted) < 0)
 			low = mid + 1;
 		else
 			high = mid;
--- a/doc.h
+++ b/doc.h
@@ -164,13 +164,13 @@
 void fleet_unref(struct fleet *fleet);
 struct domain *fleet_domain(const struct fleet *fleet, struct str name);
 /**
- * snapshot_range() - find the shards of @index, which are contiguous
+ * snapshot_index_shards() - find the shards of @index, which are contiguous
  * @count: receives their number
  *
  * Return: the first one, or NULL when there is none.
  */
-const struct shard *snapshot_range(const struct snapshot *snap,
-				   struct str index, size_t *count);
+const struct shard *snapshot_index_shards(const struct snapshot *snap,
+					  struct str index, size_t *count);
 /**
  * plan_allows() - whether the plan grants a right on @index
  * @entry: the right to write entries, else the right to read
--- a/doc_sync.c
+++ b/doc_sync.c
@@ -72,7 +72,7 @@
 
 static int64_t poll_period(const struct node *node)
 {
-	int64_t period = (int64_t)member_count(node) * POLL_PER_VM_US;
+	int64_t period = (int64_t)member_usable_count(node) * POLL_PER_VM_US;
 
 	return period > POLL_MIN_US ? period : POLL_MIN_US;
 }
@@ -114,7 +114,7 @@
 void doc_sync_read_if_stale(struct node *node, int64_t platform_age)
 {
 	if (!node->doc_sync->joined || platform_age < EXTRA_READ_AGE_US ||
-	    rng_below(&node->rng, member_count(node)) >= EXTRA_READERS)
+	    rng_below(&node->rng, member_usable_count(node)) >= EXTRA_READERS)
 		return;
 	doc_sync_read_now(node);
 }
@@ -348,7 +348,7 @@
 			      bool current)
 {
 	if (node->doc_sync->docs[kind].read_started_at <
-	    node->member->paused_at) {
+	    node->membership->paused_at) {
 		read_doc(node, kind, 0);
 		return;
 	}
--- a/event.h
+++ b/event.h
@@ -20,7 +20,7 @@
 	EV_CALLER_GONE, /* the caller closed: id */
 	EV_MSG, /* a message from another node: from, incarnation, msg */
 	EV_PEER_LOST, /* the connection to a node failed: from */
-	EV_FETCHED, /* a target's reply: id, fetch_response */
+	EV_FETCHED, /* a target's reply: id, parsed_reply */
 	EV_DOC, /* a document from the platform: doc, body */
 	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
 	EV_DOC_FAILED, /* the platform did not answer: doc */
@@ -40,7 +40,7 @@
 const char *fetch_result_text(enum fetch_result result);
 
 /**
- * struct fetch_response - a target's reply, parsed by the I/O layer
+ * struct parsed_reply - a target's reply, parsed by the I/O layer
  * @result: outcome of the transfer
  * @status: HTTP status
  * @boot: hash of the target's boot id, 0 if not given
@@ -52,7 +52,7 @@
  * @resent: number of times that the HTTP library resent the request itself
  * @body: rows (a JSON array) or the entry's result
  */
-struct fetch_response {
+struct parsed_reply {
 	enum fetch_result result;
 	int status;
 	uint64_t boot;
@@ -76,7 +76,7 @@
 	struct str from;
 	uint64_t incarnation;
 	const struct msg *msg;
-	const struct fetch_response *fetch_response;
+	const struct parsed_reply *parsed_reply;
 	enum doc_kind doc;
 	struct str body;
 };
--- a/fetch.c
+++ b/fetch.c
@@ -39,9 +39,9 @@
 	size_t nidle;
 };
 
-static void check_done(struct fetcher *fetcher);
+static void finish_transfers(struct fetcher *fetcher);
 
-static void on_socket(void *ctx, int events, int fd)
+static void handle_socket_events(void *ctx, int events, int fd)
 {
 	struct fetcher *fetcher = ctx;
 	int flags = 0;
@@ -63,11 +63,11 @@
 	int fd;
 };
 
-static void on_watch(void *ctx, int events)
+static void on_socket_event(void *ctx, int events)
 {
 	struct socket *sock = ctx;
 
-	on_socket(sock->fetcher, events, sock->fd);
+	handle_socket_events(sock->fetcher, events, sock->fd);
 }
 
 static int socket_cb(CURL *easy, curl_socket_t fd, int what, void *ctx,
@@ -97,7 +97,8 @@
 	sock = xcalloc(1, sizeof(*sock));
 	sock->fetcher = fetcher;
 	sock->fd = fd;
-	sock->watch = loop_add(fetcher->loop, fd, events, on_watch, sock);
+	sock->watch =
+		loop_add(fetcher->loop, fd, events, on_socket_event, sock);
 	curl_multi_assign(fetcher->multi, fd, sock);
 	return 0;
 }
@@ -133,7 +134,7 @@
 		curl_multi_socket_action(fetcher->multi, CURL_SOCKET_TIMEOUT, 0,
 					 &running);
 	}
-	check_done(fetcher);
+	finish_transfers(fetcher);
 }
 
 struct fetcher *fetcher_create(struct loop *loop, size_t max_body)
@@ -194,13 +195,13 @@
 	(void)local_ip;
 	(void)port;
 	(void)local_port;
-	if (t->request.once && t->sent)
+	if (t->request.at_most_once && t->sent)
 		return CURL_PREREQFUNC_ABORT;
 	t->sent++;
 	return CURL_PREREQFUNC_OK;
 }
 
-static struct transfer *transfer_get(struct fetcher *fetcher)
+static struct transfer *transfer_acquire(struct fetcher *fetcher)
 {
 	struct transfer *t = fetcher->idle;
 
@@ -234,7 +235,7 @@
 	free(t);
 }
 
-static void transfer_put(struct transfer *t)
+static void transfer_release(struct transfer *t)
 {
 	struct fetcher *fetcher = t->fetcher;
 
@@ -274,7 +275,7 @@
 
 void fetch_start(struct fetcher *fetcher, const struct fetch_request *request)
 {
-	struct transfer *t = transfer_get(fetcher);
+	struct transfer *t = transfer_acquire(fetcher);
 	CURL *easy = t->easy;
 	char url[URL_MAX];
 
@@ -295,7 +296,7 @@
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, t);
 	curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, prereq_cb);
 	curl_easy_setopt(easy, CURLOPT_PREREQDATA, t);
-	if (request->once) {
+	if (request->at_most_once) {
 		curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
 	}
@@ -311,7 +312,8 @@
 	curl_multi_add_handle(fetcher->multi, easy);
 }
 
-static enum fetch_result result_of(const struct transfer *t, CURLcode code)
+static enum fetch_result transfer_result(const struct transfer *t,
+					 CURLcode code)
 {
 	if (code == CURLE_OK)
 		return FETCH_OK;
@@ -324,7 +326,7 @@
 	return FETCH_BROKEN;
 }
 
-static void check_done(struct fetcher *fetcher)
+static void finish_transfers(struct fetcher *fetcher)
 {
 	CURLMsg *msg;
 	int left;
@@ -344,14 +346,14 @@
 		curl_multi_remove_handle(fetcher->multi, t->easy);
 
 		struct fetch_reply reply = {
-			.result = result_of(t, code),
+			.result = transfer_result(t, code),
 			.status = (int)status,
 			.resent = t->sent > 1 ? t->sent - 1 : 0,
 			.body = buf_str(&t->body),
 		};
 
 		t->request.done(t->request.ctx, t->request.id, &reply);
-		transfer_put(t);
+		transfer_release(t);
 	}
 }
 
--- a/front.c
+++ b/front.c
@@ -72,9 +72,9 @@
 	free(front);
 }
 
-size_t front_open(const struct node *node)
+size_t front_open_count(const struct node *node)
 {
-	return node->front->open;
+	return node->front->open_questions;
 }
 
 /* Attempts. */
@@ -184,7 +184,7 @@
 	       q->plan.coverage_floor - EPSILON;
 }
 
-bool front_is_done(const struct question *q)
+bool front_question_done(const struct question *q)
 {
 	return !q->open_leaves || (q->soft_passed && floor_reached(q));
 }
@@ -194,13 +194,13 @@
  * The whole question restarts on another snapshot, at most once; an answer
  * never mixes snapshots.
  */
-static bool restart(struct node *node, struct question *q)
+static bool restart_question(struct node *node, struct question *q)
 {
 	size_t count;
 	double total_weight;
 	const struct snapshot *other;
 
-	if (q->restarted || q->deadline - node->now < node->now - q->start)
+	if (q->restarted || q->deadline - node->now < node->now - q->started_at)
 		return false;
 	other = snapshot_choose(node, &q->query, q->fleet,
 				q->plan.coverage_floor, q->snapshot, &count,
@@ -241,7 +241,7 @@
 	q->open_leaves--;
 	node->counters[CNT_LEAF_MISSING]++;
 	if (error_code == ERR_WRONG_VERSION && !can_reach_floor(q))
-		return !restart(node, q);
+		return !restart_question(node, q);
 	return true;
 }
 
@@ -256,7 +256,7 @@
 /* Finishes a blocked question; its open shards are reported missing. */
 static bool stop_if_blocked(struct node *node, struct question *q)
 {
-	if (!front_question_blocked(node, q))
+	if (!front_poison_is_blocked(node, q))
 		return false;
 	for (size_t i = 0; i < q->nleaves; i++) {
 		struct leaf *leaf = &q->leaves[i];
@@ -266,7 +266,7 @@
 		front_cancel_attempts(node, q, leaf);
 		set_missing(node, q, leaf, ERR_BLOCKED);
 	}
-	front_finish(node, q, 0);
+	front_finish_question(node, q, 0);
 	return true;
 }
 
@@ -311,7 +311,7 @@
 	leaf->error_code = error_code;
 	if (has_open_attempt(leaf) || leaf->retry_at)
 		return true;
-	if (front_question_suspect(node, q)) {
+	if (front_poison_is_suspect(node, q)) {
 		defer_leaf(node, q, leaf);
 		return true;
 	}
@@ -336,11 +336,11 @@
 	q->leaves = apr_pcalloc(q->pool, q->nleaves * sizeof(struct leaf));
 	for (size_t i = 0; i < q->query.nindexes; i++) {
 		size_t count;
-		const struct shard *shards = snapshot_range(
+		const struct shard *shards = snapshot_index_shards(
 			q->snapshot, q->query.indexes[i], &count);
 
 		for (size_t j = 0; j < count; j++)
-			if (snapshot_selects(&q->query, shards[j].id))
+			if (snapshot_shard_requested(&q->query, shards[j].id))
 				q->leaves[n++].shard = &shards[j];
 	}
 	q->open_leaves = q->nleaves;
@@ -349,7 +349,7 @@
 		struct fleet_target *target =
 			replica_choose(node, q, leaf, true);
 
-		if (target && !front_may_send(node, q)) {
+		if (target && !front_poison_may_send(node, q)) {
 			defer_leaf(node, q, leaf);
 			continue;
 		}
@@ -477,7 +477,7 @@
 		q->max_queue_wait = msg->wait_us;
 	if (!status) {
 		replica_record_reply(node, attempt);
-		front_target_served(node, q, attempt, msg);
+		front_poison_on_target_reply(node, q, attempt, msg);
 		merge_leaf(node, q, leaf, attempt, msg);
 	} else if (status == ERR_TOO_LARGE) {
 		front_cancel_attempts(node, q, leaf);
@@ -487,13 +487,13 @@
 			q->max_queue_wait = q->plan.soft_us;
 		replica_record_failure(node, q, attempt, status);
 		if (status == ERR_BROKEN)
-			front_connection_broke(node, q, attempt, msg);
+			front_poison_on_connection_broke(node, q, attempt, msg);
 		if (stop_if_blocked(node, q))
 			return;
 		fail_over(node, q, leaf, status, msg->ran);
 	}
-	if (front_is_done(q))
-		front_finish(node, q, 0);
+	if (front_question_done(q))
+		front_finish_question(node, q, 0);
 }
 
 /* Timers. */
@@ -506,7 +506,7 @@
 		if (leaf->state != LEAF_OPEN || !leaf->retry_at ||
 		    node->now < leaf->retry_at)
 			continue;
-		if (!front_may_send(node, q)) {
+		if (!front_poison_may_send(node, q)) {
 			defer_leaf(node, q, leaf);
 			continue;
 		}
@@ -535,8 +535,8 @@
 		q->soft_passed = true;
 	if (node->now < q->deadline)
 		send_due_retries(node, q);
-	if (node->now >= q->deadline || front_is_done(q))
-		front_finish(node, q, 0);
+	if (node->now >= q->deadline || front_question_done(q))
+		front_finish_question(node, q, 0);
 }
 
 /* Return: false when the budget is exhausted. */
@@ -544,7 +544,7 @@
 		       int64_t delay)
 {
 	if (leaf->state != LEAF_OPEN || !leaf->nattempts ||
-	    front_question_suspect(node, q))
+	    front_poison_is_suspect(node, q))
 		return true;
 
 	const struct attempt *last = &leaf->attempts[leaf->nattempts - 1];
@@ -628,11 +628,11 @@
 		if (q->awaiting_lease)
 			continue;
 		question_gate_lost(node, q, gate, incarnation);
-		if (front_is_done(q))
+		if (front_question_done(q))
 			APR_ARRAY_PUSH(done, struct question *) = q;
 	}
 	for (int i = 0; i < done->nelts; i++)
-		front_finish(node, APR_ARRAY_IDX(done, i, struct question *),
-			     0);
+		front_finish_question(
+			node, APR_ARRAY_IDX(done, i, struct question *), 0);
 	apr_pool_destroy(pool);
 }
--- a/front.h
+++ b/front.h
@@ -90,7 +90,7 @@
 	struct leaf *leaves;
 	size_t nleaves;
 	size_t open_leaves;
-	int64_t start;
+	int64_t started_at;
 	int64_t soft_deadline;
 	int64_t deadline;
 	double merged_weight;
@@ -121,8 +121,8 @@
 	apr_hash_t *callers; /* caller -> struct question */
 	apr_hash_t *replicas; /* key -> struct replica */
 	struct poison poison;
-	struct poison_sync news;
-	size_t open;
+	struct poison_sync poison_sync;
+	size_t open_questions;
 	double limit; /* adaptive limit on open questions */
 	int64_t limit_lowered_at;
 	double budget; /* hedges and retries that may be sent */
@@ -143,7 +143,7 @@
 void front_on_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
 void front_on_question_timer(struct node *node, uint64_t id);
 void front_on_hedge_timer(struct node *node, uint64_t id);
-size_t front_open(const struct node *node);
+size_t front_open_count(const struct node *node);
 
 /* Shared with front_admit.c. */
 
@@ -152,9 +152,9 @@
 	FRONT_HEDGE_MIN_US = 1000,
 };
 
-bool front_is_done(const struct question *q);
+bool front_question_done(const struct question *q);
 void front_send_leaves(struct node *node, struct question *q);
 void front_cancel_attempts(struct node *node, struct question *q,
 			   struct leaf *leaf);
-void front_finish(struct node *node, struct question *q, int code);
+void front_finish_question(struct node *node, struct question *q, int code);
 int64_t front_hedge_delay(const struct node *node);
--- a/front_admit.c
+++ b/front_admit.c
@@ -66,7 +66,7 @@
 
 	apr_hash_set(front->questions, &q->id, sizeof(q->id), NULL);
 	apr_hash_set(front->callers, &q->caller, sizeof(q->caller), NULL);
-	front->open--;
+	front->open_questions--;
 	fleet_unref(q->fleet);
 	apr_pool_destroy(q->pool);
 }
@@ -106,8 +106,8 @@
 	q->nleaves = count;
 	q->total_weight = total_weight;
 	front_send_leaves(node, q);
-	if (front_is_done(q)) {
-		front_finish(node, q, 0);
+	if (front_question_done(q)) {
+		front_finish_question(node, q, 0);
 		return;
 	}
 	timer_add(&node->timers, q->soft_deadline, TIMER_QUESTION, q->id);
@@ -144,7 +144,7 @@
 	q->caller = caller;
 	q->query = *query;
 	q->plan = *plan;
-	q->start = node->now;
+	q->started_at = node->now;
 	q->deadline = node->now + plan->deadline_us;
 	if (query->deadline_us && query->deadline_us < plan->deadline_us)
 		q->deadline = node->now + query->deadline_us;
@@ -154,7 +154,7 @@
 	q->fingerprint = question_fingerprint(query);
 	apr_hash_set(node->front->questions, &q->id, sizeof(q->id), q);
 	apr_hash_set(node->front->callers, &q->caller, sizeof(q->caller), q);
-	node->front->open++;
+	node->front->open_questions++;
 	return q;
 }
 
@@ -168,8 +168,9 @@
 		code = check_plan(node, query, plan, text, size);
 	if (code)
 		return code;
-	if (front->open >= (size_t)node->opt.max_open ||
-	    (front->config.admission && (double)front->open >= front->limit))
+	if (front->open_questions >= (size_t)node->opt.max_open ||
+	    (front->config.admission &&
+	     (double)front->open_questions >= front->limit))
 		return ERR_OVERLOADED;
 	return 0;
 }
@@ -201,7 +202,7 @@
 	struct question *q = question_create(node, caller, pool, &query, plan);
 
 	poison_touch(&node->front->poison, &q->fingerprint, node->now);
-	if (front_question_blocked(node, q)) {
+	if (front_poison_is_blocked(node, q)) {
 		refuse_caller(node, caller, ERR_BLOCKED,
 			      "it crashes the targets that run it", 0);
 		question_destroy(node, q);
@@ -251,23 +252,24 @@
 		if (node->now - front->limit_lowered_at < LIMIT_CUT_INTERVAL_US)
 			return;
 		front->limit_lowered_at = node->now;
-		if (front->limit > (double)front->open + LIMIT_MIN)
-			front->limit = (double)front->open + LIMIT_MIN;
+		if (front->limit > (double)front->open_questions + LIMIT_MIN)
+			front->limit =
+				(double)front->open_questions + LIMIT_MIN;
 		front->limit *= LIMIT_CUT_FACTOR;
 		if (front->limit < LIMIT_MIN)
 			front->limit = LIMIT_MIN;
 	} else if (front->limit < node->opt.max_open &&
-		   (double)front->open * 2 >= front->limit) {
+		   (double)front->open_questions * 2 >= front->limit) {
 		front->limit += 1 / front->limit;
 	}
 }
 
-void front_finish(struct node *node, struct question *q, int code)
+void front_finish_question(struct node *node, struct question *q, int code)
 {
 	for (size_t i = 0; i < q->nleaves; i++)
 		front_cancel_attempts(node, q, &q->leaves[i]);
 	adjust_limit(node, q);
-	front_question_unserved(node, q);
+	front_poison_on_question_end(node, q);
 	if (!code)
 		answer_send(node, q);
 	question_destroy(node, q);
@@ -281,5 +283,5 @@
 	if (!q)
 		return;
 	node->counters[CNT_CALLERS_GONE]++;
-	front_finish(node, q, ERR_CANCELLED);
+	front_finish_question(node, q, ERR_CANCELLED);
 }
--- a/front_poison.c
+++ b/front_poison.c
@@ -20,7 +20,7 @@
 static void send_to_nodes(void *ctx, const struct msg *msg, bool near)
 {
 	struct node *node = ctx;
-	size_t others = node->member->count - 1;
+	size_t others = node->membership->count - 1;
 	size_t first = others ? rng_below(&node->rng, others) : 0;
 	size_t send_count = others > BROADCAST_MAX ? RELAY_FANOUT : others;
 	struct msg copy = *msg;
@@ -29,13 +29,15 @@
 	(void)near;
 	copy.ran = others > BROADCAST_MAX;
 	for (size_t i = 0; i < send_count; i++)
-		send_to_node(node,
-			     node->member->vms[1 + (first + i) % others]->addr,
-			     &copy);
+		send_to_node(
+			node,
+			node->membership->vms[1 + (first + i) % others]->addr,
+			&copy);
 }
 
 /* Whether the same process has answered since its connection broke. */
-static bool has_answered(const void *ctx, const struct poison_crash *crash)
+static bool answered_since_crash(const void *ctx,
+				 const struct poison_crash *crash)
 {
 	const struct node *node = ctx;
 	const struct replica *replica = apr_hash_get(
@@ -50,8 +52,8 @@
 	struct front *front = node->front;
 
 	poison_init(&front->poison, front->pool,
-		    (struct poison_targets){ has_answered, node });
-	front->news = (struct poison_sync){
+		    (struct poison_targets){ answered_since_crash, node });
+	front->poison_sync = (struct poison_sync){
 		.poison = &front->poison,
 		.transport = { send_to_nodes, send_to_node, node },
 		.pool = front->pool,
@@ -71,7 +73,7 @@
 void front_poison_on_digest(struct node *node, struct str from, uint64_t digest)
 {
 	if (node->front)
-		poison_sync_on_digest(&node->front->news, from, digest,
+		poison_sync_on_digest(&node->front->poison_sync, from, digest,
 				      node->now);
 }
 
@@ -85,25 +87,26 @@
 			 uint64_t incarnation, const struct msg *msg)
 {
 	(void)incarnation;
-	poison_sync_on_msg(&node->front->news, from, msg, true, node->now);
+	poison_sync_on_msg(&node->front->poison_sync, from, msg, true,
+			   node->now);
 }
 
 /* Questions. */
 
-static enum poison_verdict verdict(const struct node *node,
-				   const struct question *q)
+static enum poison_verdict question_verdict(const struct node *node,
+					    const struct question *q)
 {
 	return poison_verdict(&node->front->poison, &q->fingerprint);
 }
 
-bool front_question_blocked(const struct node *node, const struct question *q)
+bool front_poison_is_blocked(const struct node *node, const struct question *q)
 {
-	return verdict(node, q) == POISON_BLOCKED;
+	return question_verdict(node, q) == POISON_BLOCKED;
 }
 
-bool front_question_suspect(const struct node *node, const struct question *q)
+bool front_poison_is_suspect(const struct node *node, const struct question *q)
 {
-	return verdict(node, q) != POISON_NONE;
+	return question_verdict(node, q) != POISON_NONE;
 }
 
 static bool any_attempt_open(const struct question *q)
@@ -115,9 +118,9 @@
 	return false;
 }
 
-bool front_may_send(const struct node *node, const struct question *q)
+bool front_poison_may_send(const struct node *node, const struct question *q)
 {
-	switch (verdict(node, q)) {
+	switch (question_verdict(node, q)) {
 	case POISON_NONE:
 		return true;
 	case POISON_SUSPECT:
@@ -128,28 +131,30 @@
 	return false;
 }
 
-void front_connection_broke(struct node *node, const struct question *q,
-			    const struct attempt *attempt,
-			    const struct msg *msg)
+void front_poison_on_connection_broke(struct node *node,
+				      const struct question *q,
+				      const struct attempt *attempt,
+				      const struct msg *msg)
 {
 	struct front *front = node->front;
 	struct poison_crash crash = { .key = attempt->target->key,
 				      .born_ms = (int64_t)msg->hash,
 				      .at = node->now };
-	bool was_blocked = front_question_blocked(node, q);
+	bool was_blocked = front_poison_is_blocked(node, q);
 
 	if (q->served)
 		return;
 	poison_crashed(&front->poison, &q->fingerprint, attempt->round, &crash);
-	poison_sync_send(&front->news, node->now);
-	if (!was_blocked && front_question_blocked(node, q))
+	poison_sync_send(&front->poison_sync, node->now);
+	if (!was_blocked && front_poison_is_blocked(node, q))
 		node_audit(node, "question", STR("suspect"), STR("blocked"),
 			   "it crashes the targets that run it",
 			   q->fingerprint.content[0]);
 }
 
-void front_target_served(struct node *node, struct question *q,
-			 const struct attempt *attempt, const struct msg *msg)
+void front_poison_on_target_reply(struct node *node, struct question *q,
+				  const struct attempt *attempt,
+				  const struct msg *msg)
 {
 	struct replica *replica = replica_get(node, attempt->target->key);
 
@@ -157,13 +162,13 @@
 	replica->boot = msg->hash;
 	replica->boot_seen_at = node->now;
 	poison_answered(&node->front->poison, &q->fingerprint, node->now);
-	poison_sync_send(&node->front->news, node->now);
+	poison_sync_send(&node->front->poison_sync, node->now);
 }
 
-void front_question_unserved(struct node *node, const struct question *q)
+void front_poison_on_question_end(struct node *node, const struct question *q)
 {
 	if (q->served)
 		return;
 	poison_unanswered(&node->front->poison, &q->fingerprint);
-	poison_sync_send(&node->front->news, node->now);
+	poison_sync_send(&node->front->poison_sync, node->now);
 }
--- a/front_poison.h
+++ b/front_poison.h
@@ -11,23 +11,28 @@
 
 void front_poison_init(struct node *node);
 void front_poison_destroy(struct node *node);
-/** front_question_blocked() - must not be sent to any target. */
-bool front_question_blocked(const struct node *node, const struct question *q);
+/** front_poison_is_blocked() - must not be sent to any target. */
+bool front_poison_is_blocked(const struct node *node, const struct question *q);
 /**
- * front_question_suspect() - blocked, or limited to one leaf request at a time
+ * front_poison_is_suspect() - blocked, or limited to one leaf request at a time
  */
-bool front_question_suspect(const struct node *node, const struct question *q);
-/** front_may_send() - a leaf request of the question may be sent now. */
-bool front_may_send(const struct node *node, const struct question *q);
-/** front_connection_broke() - record a connection lost during a request. */
-void front_connection_broke(struct node *node, const struct question *q,
-			    const struct attempt *attempt,
-			    const struct msg *msg);
-/** front_target_served() - record that a target answered a leaf request. */
-void front_target_served(struct node *node, struct question *q,
-			 const struct attempt *attempt, const struct msg *msg);
-/** front_question_unserved() - record an end without any target's answer. */
-void front_question_unserved(struct node *node, const struct question *q);
+bool front_poison_is_suspect(const struct node *node, const struct question *q);
+/** front_poison_may_send() - a leaf request of the question may be sent now. */
+bool front_poison_may_send(const struct node *node, const struct question *q);
+/** front_poison_on_connection_broke() - record a connection lost during a
+ * request. */
+void front_poison_on_connection_broke(struct node *node,
+				      const struct question *q,
+				      const struct attempt *attempt,
+				      const struct msg *msg);
+/** front_poison_on_target_reply() - record that a target answered a leaf
+ * request. */
+void front_poison_on_target_reply(struct node *node, struct question *q,
+				  const struct attempt *attempt,
+				  const struct msg *msg);
+/** front_poison_on_question_end() - record an end without any target's answer.
+ */
+void front_poison_on_question_end(struct node *node, const struct question *q);
 /** front_poison_digest() - digest of the evidence, for heartbeats. */
 uint64_t front_poison_digest(const struct node *node);
 /** front_poison_on_digest() - compare with the digest of @from. */
--- a/gate.c
+++ b/gate.c
@@ -61,7 +61,7 @@
 	str_free(job->terms);
 	job->target->jobs--;
 	if (job->state != JOB_TOMBSTONE)
-		gate->open--;
+		gate->open_jobs--;
 	free(key);
 }
 
@@ -93,9 +93,9 @@
 	free(gate);
 }
 
-size_t gate_open(const struct node *node)
+size_t gate_open_count(const struct node *node)
 {
-	return node->gate->open;
+	return node->gate->open_jobs;
 }
 
 bool gate_has_target(const struct node *node, uint64_t key)
@@ -120,8 +120,8 @@
 
 /* Replies. */
 
-static void reply(struct node *node, struct job *job, int status, bool ran,
-		  struct str body)
+static void send_reply(struct node *node, struct job *job, int status, bool ran,
+		       struct str body)
 {
 	if (job->replied)
 		return;
@@ -151,7 +151,7 @@
 static void refuse_job(struct node *node, struct job *job, int status)
 {
 	node->counters[CNT_JOBS_REFUSED]++;
-	reply(node, job, status, false, (struct str){ 0 });
+	send_reply(node, job, status, false, (struct str){ 0 });
 	job_free(node, job);
 }
 
@@ -234,8 +234,8 @@
 
 /* Dispatch. */
 
-static void fetch(struct node *node, struct job *job, enum fetch_kind kind,
-		  struct str body)
+static void send_request(struct node *node, struct job *job,
+			 enum fetch_kind kind, struct str body)
 {
 	struct target *target = job->target;
 	struct effect *fx = effects_add(node->fx, FX_FETCH);
@@ -271,7 +271,7 @@
 		job->state = JOB_RUNNING;
 		job->started_at = node->now;
 		job->boot = target->boot;
-		fetch(node, job, FETCH_LEAF, (struct str){ 0 });
+		send_request(node, job, FETCH_LEAF, (struct str){ 0 });
 		timer_add(&node->timers, job->deadline, TIMER_JOB, job->number);
 		return;
 	}
@@ -381,7 +381,7 @@
 	apr_hash_set(gate->jobs_by_number, &job->number, sizeof(job->number),
 		     job);
 	apr_hash_set(gate->jobs_by_key, &keyed->key, sizeof(keyed->key), job);
-	gate->open++;
+	gate->open_jobs++;
 	return job;
 }
 
@@ -453,11 +453,11 @@
 }
 
 /* A finished entry stays as a tombstone, so that a repeated GO finds it. */
-static void keep_tombstone(struct node *node, struct job *job)
+static void set_tombstone(struct node *node, struct job *job)
 {
 	job->state = JOB_TOMBSTONE;
 	job->deadline = node->now + TOMBSTONE_TTL_US;
-	node->gate->open--;
+	node->gate->open_jobs--;
 	timer_add(&node->timers, node->now + TOMBSTONE_TTL_US, TIMER_JOB,
 		  job->number);
 }
@@ -502,15 +502,15 @@
 	if (!reason && !member_view_confirmed(node) && !node->opt.off.no_grant)
 		reason = ERR_ISOLATED;
 	if (reason) {
-		reply(node, job, reason, false, (struct str){ 0 });
-		keep_tombstone(node, job);
+		send_reply(node, job, reason, false, (struct str){ 0 });
+		set_tombstone(node, job);
 		release_slot(node, target);
 		return;
 	}
 	job->state = JOB_RUNNING;
 	job->started_at = node->now;
 	job->deadline = node->now + msg->remaining_us;
-	fetch(node, job, FETCH_ENTRY, msg->body);
+	send_request(node, job, FETCH_ENTRY, msg->body);
 	timer_add(&node->timers, job->deadline, TIMER_JOB, job->number);
 }
 
@@ -547,7 +547,7 @@
 		return;
 	case JOB_GRANTED:
 		job->replied = true;
-		keep_tombstone(node, job);
+		set_tombstone(node, job);
 		release_slot(node, target);
 		return;
 	case JOB_RUNNING:
@@ -598,10 +598,10 @@
 /* Results. */
 
 static int fetch_status(const struct node *node, const struct job *job,
-			const struct fetch_response *fetch_response, bool *ran)
+			const struct parsed_reply *parsed_reply, bool *ran)
 {
 	*ran = true;
-	switch (fetch_response->result) {
+	switch (parsed_reply->result) {
 	case FETCH_REFUSED:
 		*ran = false;
 		return ERR_TARGET_DOWN;
@@ -614,40 +614,40 @@
 	case FETCH_OK:
 		break;
 	}
-	if (fetch_response->status == 503) {
+	if (parsed_reply->status == 503) {
 		*ran = false;
-		return fetch_response->draining ? ERR_TARGET_LEAVING
-						: ERR_TARGET_SHED;
+		return parsed_reply->draining ? ERR_TARGET_LEAVING
+					      : ERR_TARGET_SHED;
 	}
-	if (fetch_response->status == 409)
+	if (parsed_reply->status == 409)
 		return ERR_WRONG_VERSION;
-	if (fetch_response->status != 200 || fetch_response->job != job->number)
+	if (parsed_reply->status != 200 || parsed_reply->job != job->number)
 		return ERR_MALFORMED;
 	if (job->is_entry)
 		return 0;
-	if (fetch_response->shard != job->shard)
+	if (parsed_reply->shard != job->shard)
 		return ERR_MALFORMED;
-	if (fetch_response->version != job->version &&
+	if (parsed_reply->version != job->version &&
 	    !node->opt.off.no_version_check)
 		return ERR_WRONG_VERSION;
 	return 0;
 }
 
 void gate_on_fetch_done(struct node *node, uint64_t number,
-			const struct fetch_response *fetch_response)
+			const struct parsed_reply *parsed_reply)
 {
 	struct gate *gate = node->gate;
 	struct job *job =
 		apr_hash_get(gate->jobs_by_number, &number, sizeof(number));
 
-	node->counters[CNT_TARGET_RESENT] += (uint64_t)fetch_response->resent;
+	node->counters[CNT_TARGET_RESENT] += (uint64_t)parsed_reply->resent;
 	if (!job) {
 		/* The number of a probe is the key of its target. */
 		struct target *target =
 			apr_hash_get(gate->targets, &number, sizeof(number));
 
 		if (target && target->probing)
-			health_record_probe(node, target, fetch_response);
+			health_record_probe(node, target, parsed_reply);
 		return;
 	}
 	if (job->state != JOB_RUNNING)
@@ -655,12 +655,12 @@
 
 	struct target *target = job->target;
 	bool ran;
-	int status = fetch_status(node, job, fetch_response, &ran);
+	int status = fetch_status(node, job, parsed_reply, &ran);
 
-	health_record_reply(node, target, job, fetch_response, status);
-	reply(node, job, status, ran, fetch_response->body);
+	health_record_reply(node, target, job, parsed_reply, status);
+	send_reply(node, job, status, ran, parsed_reply->body);
 	if (job->is_entry)
-		keep_tombstone(node, job);
+		set_tombstone(node, job);
 	else
 		job_free(node, job);
 	release_slot(node, target);
@@ -679,11 +679,12 @@
 	if (job->state == JOB_TOMBSTONE) {
 		job_free(node, job);
 	} else if (job->state == JOB_GRANTED) {
-		reply(node, job, ERR_GRANT_EXPIRED, false, (struct str){ 0 });
-		keep_tombstone(node, job);
+		send_reply(node, job, ERR_GRANT_EXPIRED, false,
+			   (struct str){ 0 });
+		set_tombstone(node, job);
 		release_slot(node, target);
 	} else if (!job->cancelled && !job->is_entry) {
-		reply(node, job, ERR_DEADLINE, true, (struct str){ 0 });
+		send_reply(node, job, ERR_DEADLINE, true, (struct str){ 0 });
 		job->deadline = node->now + CANCEL_GRACE_US;
 		cancel_running(node, job);
 	}
--- a/gate.h
+++ b/gate.h
@@ -135,7 +135,7 @@
 	apr_hash_t *targets; /* key -> struct target */
 	apr_hash_t *jobs_by_number; /* number -> struct job */
 	apr_hash_t *jobs_by_key; /* origin, incarnation, id, attempt -> job */
-	size_t open;
+	size_t open_jobs;
 	apr_pool_t *pool;
 };
 
@@ -157,7 +157,7 @@
 		      const struct msg *msg);
 void gate_on_handover_timer(struct node *node, uint64_t key);
 void gate_on_fetch_done(struct node *node, uint64_t number,
-			const struct fetch_response *fetch_response);
+			const struct parsed_reply *parsed_reply);
 void gate_on_job_timer(struct node *node, uint64_t number);
 /** gate_on_origin_lost() - cancel the jobs of a node that is gone. */
 void gate_on_origin_lost(struct node *node, uint64_t origin,
@@ -175,7 +175,7 @@
 bool gate_has_target(const struct node *node, uint64_t key);
 /** gate_refuse_queued() - refuse all queued jobs of @target. */
 void gate_refuse_queued(struct node *node, struct target *target, int status);
-size_t gate_open(const struct node *node);
+size_t gate_open_count(const struct node *node);
 
 /* Shared with gate_owner.c. */
 
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -45,7 +45,7 @@
 		return vm && member_reachable(node, vm);
 	}
 	/* This node has just joined: another node was the gate. */
-	return member_count(node) > 1;
+	return member_usable_count(node) > 1;
 }
 
 static void await_handover(struct node *node, struct target *target)
@@ -187,8 +187,8 @@
 	target->domain = str_keep(listed->domain->name);
 	target->slots = listed->slots;
 	if (node->opt.direct)
-		target->slots =
-			slots_per_node(listed->slots, member_count(node));
+		target->slots = slots_per_node(listed->slots,
+					       member_usable_count(node));
 	if (target->limit > target->slots)
 		target->limit = target->slots;
 	target->listed = true;
@@ -218,13 +218,13 @@
 	apr_pool_destroy(pool);
 }
 
-static void unlist(struct node *node, struct target *target)
+static void mark_unlisted(struct node *node, struct target *target)
 {
 	(void)node;
 	target->listed = false;
 }
 
-static void drop_unlisted(struct node *node, struct target *target)
+static void remove_unlisted(struct node *node, struct target *target)
 {
 	if (target->listed || target->jobs)
 		return;
@@ -235,12 +235,12 @@
 
 void gate_on_view_changed(struct node *node)
 {
-	for_each_target(node, unlist);
+	for_each_target(node, mark_unlisted);
 	for (size_t i = 0; node->fleet && i < node->fleet->ntargets; i++)
 		update_listed_target(node, &node->fleet->targets[i]);
 	for_each_target(node, update_owner);
 	for_each_target(node, gate_start_queued);
-	for_each_target(node, drop_unlisted);
+	for_each_target(node, remove_unlisted);
 }
 
 void gate_resume(struct node *node)
--- a/health.c
+++ b/health.c
@@ -204,12 +204,11 @@
 
 void health_record_reply(struct node *node, struct target *target,
 			 const struct job *job,
-			 const struct fetch_response *fetch_response,
-			 int status)
+			 const struct parsed_reply *parsed_reply, int status)
 {
-	update_boot(node, target, fetch_response->boot);
-	update_foreign_load(target, fetch_response->load);
-	switch (fetch_response->result) {
+	update_boot(node, target, parsed_reply->boot);
+	update_foreign_load(target, parsed_reply->load);
+	switch (parsed_reply->result) {
 	case FETCH_REFUSED:
 		health_set_cold(node, target, "it refused a connection");
 		set_down(node, target, "it refused a connection");
@@ -232,7 +231,7 @@
 	case FETCH_OK:
 		break;
 	}
-	if (fetch_response->draining)
+	if (parsed_reply->draining)
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
 		if (++target->shed_streak >= SHED_STREAK)
@@ -256,25 +255,25 @@
 }
 
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetch_response *fetch_response)
+			 const struct parsed_reply *parsed_reply)
 {
 	target->probing = false;
 	if (!target->owned || (!target->down && !target->draining))
 		return;
 
-	bool answers = fetch_response->result == FETCH_OK &&
-		       fetch_response->status == 200;
+	bool answers =
+		parsed_reply->result == FETCH_OK && parsed_reply->status == 200;
 
 	if (!answers && target->draining && !target->down) {
 		target->draining = false;
 		set_down(node, target, "it stopped answering while draining");
 		return;
 	}
-	if (!answers || fetch_response->draining) {
+	if (!answers || parsed_reply->draining) {
 		schedule_probe(node, target);
 		return;
 	}
-	update_boot(node, target, fetch_response->boot);
+	update_boot(node, target, parsed_reply->boot);
 	target->down = false;
 	target->draining = false;
 	target->failure_streak = 0;
--- a/health.h
+++ b/health.h
@@ -23,11 +23,10 @@
 /** health_record_reply() - update the state with the result of @job. */
 void health_record_reply(struct node *node, struct target *target,
 			 const struct job *job,
-			 const struct fetch_response *fetch_response,
-			 int status);
+			 const struct parsed_reply *parsed_reply, int status);
 /** health_record_probe() - update the state with the result of a probe. */
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetch_response *fetch_response);
+			 const struct parsed_reply *parsed_reply);
 /** health_on_probe_timer() - send the probe that is due to the target with
  * @key. */
 void health_on_probe_timer(struct node *node, uint64_t key);
--- a/member.c
+++ b/member.c
@@ -18,20 +18,21 @@
 
 static struct vm *vm_add(struct node *node, struct str addr)
 {
-	struct member *member = node->member;
+	struct membership *membership = node->membership;
 	struct vm *vm = xcalloc(1, sizeof(*vm));
 
 	vm->addr = str_keep(addr);
 	vm->key = str_hash(addr);
 	vm->heartbeat_at = INT64_MIN;
 	vm->last_seen_at = node->now;
-	if (member->count == member->cap) {
-		member->cap = member->cap ? member->cap * 2 : 16;
-		member->vms = xrealloc(member->vms,
-				       member->cap * sizeof(*member->vms));
+	if (membership->count == membership->cap) {
+		membership->cap = membership->cap ? membership->cap * 2 : 16;
+		membership->vms =
+			xrealloc(membership->vms,
+				 membership->cap * sizeof(*membership->vms));
 	}
-	member->vms[member->count++] = vm;
-	apr_hash_set(member->by_key, &vm->key, sizeof(vm->key), vm);
+	membership->vms[membership->count++] = vm;
+	apr_hash_set(membership->by_key, &vm->key, sizeof(vm->key), vm);
 	return vm;
 }
 
@@ -53,7 +54,7 @@
 
 struct vm *member_find(const struct node *node, uint64_t key)
 {
-	return apr_hash_get(node->member->by_key, &key, sizeof(key));
+	return apr_hash_get(node->membership->by_key, &key, sizeof(key));
 }
 
 static struct vm *vm_get(struct node *node, struct str addr)
@@ -65,7 +66,7 @@
 
 bool member_reachable(const struct node *node, const struct vm *vm)
 {
-	return vm == node->member->vms[0] ||
+	return vm == node->membership->vms[0] ||
 	       (vm->heartbeat_at != INT64_MIN &&
 		node->now - vm->heartbeat_at <= HEARTBEAT_TIMEOUT_US);
 }
@@ -90,8 +91,8 @@
 	uint64_t best_weight = 0;
 	bool best_same_domain = false;
 
-	for (size_t i = 0; i < node->member->count; i++) {
-		struct vm *vm = node->member->vms[i];
+	for (size_t i = 0; i < node->membership->count; i++) {
+		struct vm *vm = node->membership->vms[i];
 		bool same_domain = domain.len && str_eq(vm->domain, domain);
 
 		if (!member_usable(node, vm) ||
@@ -115,33 +116,33 @@
 	uint64_t own = rendezvous_weight(key, node->key);
 	size_t rank = 0;
 
-	for (size_t i = 1; i < node->member->count; i++)
-		if (member_usable(node, node->member->vms[i]) &&
-		    rendezvous_weight(key, node->member->vms[i]->key) > own)
+	for (size_t i = 1; i < node->membership->count; i++)
+		if (member_usable(node, node->membership->vms[i]) &&
+		    rendezvous_weight(key, node->membership->vms[i]->key) > own)
 			rank++;
 	return rank;
 }
 
-size_t member_count(const struct node *node)
+size_t member_usable_count(const struct node *node)
 {
 	size_t count = 0;
 
-	for (size_t i = 0; i < node->member->count; i++)
-		if (member_usable(node, node->member->vms[i]))
+	for (size_t i = 0; i < node->membership->count; i++)
+		if (member_usable(node, node->membership->vms[i]))
 			count++;
 	return count ? count : 1;
 }
 
 void member_init(struct node *node)
 {
-	struct member *member = xcalloc(1, sizeof(*member));
+	struct membership *membership = xcalloc(1, sizeof(*membership));
 
-	node->member = member;
-	apr_pool_create(&member->pool, node->pool);
-	member->by_key = hash_make(member->pool);
-	member->view_confirmed = true;
-	member->platform_read_at = INT64_MIN;
-	member->paused_at = INT64_MIN;
+	node->membership = membership;
+	apr_pool_create(&membership->pool, node->pool);
+	membership->by_key = hash_make(membership->pool);
+	membership->view_confirmed = true;
+	membership->platform_read_at = INT64_MIN;
+	membership->paused_at = INT64_MIN;
 
 	struct vm *self = vm_add(node, node->opt.addr);
 
@@ -155,25 +156,25 @@
 
 void member_destroy(struct node *node)
 {
-	for (size_t i = 0; i < node->member->count; i++)
-		vm_free(node->member->vms[i]);
-	free(node->member->vms);
-	apr_pool_destroy(node->member->pool);
-	free(node->member);
+	for (size_t i = 0; i < node->membership->count; i++)
+		vm_free(node->membership->vms[i]);
+	free(node->membership->vms);
+	apr_pool_destroy(node->membership->pool);
+	free(node->membership);
 }
 
 static int64_t platform_age(const struct node *node)
 {
-	if (node->member->platform_read_at == INT64_MIN)
+	if (node->membership->platform_read_at == INT64_MIN)
 		return INT64_MAX / 2;
-	return node->now - node->member->platform_read_at;
+	return node->now - node->membership->platform_read_at;
 }
 
 static struct msg heartbeat_msg(const struct node *node)
 {
 	struct msg msg = {
 		.kind = MSG_HEARTBEAT,
-		.state = node->member->vms[0]->state,
+		.state = node->membership->vms[0]->state,
 		.fresh_us = platform_age(node),
 		.name = node->opt.domain,
 		.key = front_poison_digest(node),
@@ -194,12 +195,12 @@
 {
 	struct msg msg = heartbeat_msg(node);
 
-	for (size_t i = 1; i < node->member->count; i++)
-		node_send(node, node->member->vms[i]->addr, 0, &msg);
-	node->counters[CNT_HEARTBEATS] += node->member->count - 1;
+	for (size_t i = 1; i < node->membership->count; i++)
+		node_send(node, node->membership->vms[i]->addr, 0, &msg);
+	node->counters[CNT_HEARTBEATS] += node->membership->count - 1;
 }
 
-static bool is_seed(const struct node *node, const struct vm *vm)
+static bool is_configured_peer(const struct node *node, const struct vm *vm)
 {
 	for (size_t i = 0; i < node->opt.npeers; i++)
 		if (str_eq(node->opt.peers[i], vm->addr))
@@ -210,18 +211,19 @@
 /* Removes VMs that are neither listed, nor in the settings, nor reachable. */
 static void remove_stale_vms(struct node *node)
 {
-	struct member *member = node->member;
+	struct membership *membership = node->membership;
 
-	for (size_t i = member->count; i-- > 1;) {
-		struct vm *vm = member->vms[i];
+	for (size_t i = membership->count; i-- > 1;) {
+		struct vm *vm = membership->vms[i];
 
-		if (vm->listed || is_seed(node, vm) ||
+		if (vm->listed || is_configured_peer(node, vm) ||
 		    member_reachable(node, vm) ||
 		    node->now - vm->last_seen_at < VM_RETENTION_US)
 			continue;
-		apr_hash_set(member->by_key, &vm->key, sizeof(vm->key), NULL);
+		apr_hash_set(membership->by_key, &vm->key, sizeof(vm->key),
+			     NULL);
 		vm_free(vm);
-		member->vms[i] = member->vms[--member->count];
+		membership->vms[i] = membership->vms[--membership->count];
 	}
 }
 
@@ -232,7 +234,7 @@
 	if (vm->heartbeat_at == INT64_MIN)
 		return;
 	vm->heartbeat_at = INT64_MIN;
-	node->member->epoch++;
+	node->membership->epoch++;
 	vm->departed = vm->state == VM_LEAVING;
 	node_audit(node, "vm", vm->addr, STR("lost"),
 		   vm->departed ? "left" : "no heartbeat", incarnation);
@@ -245,8 +247,8 @@
 {
 	bool changed = false;
 
-	for (size_t i = 1; i < node->member->count; i++) {
-		struct vm *vm = node->member->vms[i];
+	for (size_t i = 1; i < node->membership->count; i++) {
+		struct vm *vm = node->membership->vms[i];
 
 		if (vm->heartbeat_at == INT64_MIN || member_reachable(node, vm))
 			continue;
@@ -271,8 +273,8 @@
 
 	if (platform_age(node) <= PLATFORM_STALE_US)
 		return false;
-	for (size_t i = 1; i < node->member->count; i++) {
-		const struct vm *vm = node->member->vms[i];
+	for (size_t i = 1; i < node->membership->count; i++) {
+		const struct vm *vm = node->membership->vms[i];
 
 		if (vm->departed ||
 		    (!vm->listed && !member_reachable(node, vm)))
@@ -288,9 +290,9 @@
 {
 	bool isolated = should_isolate(node);
 
-	if (isolated == node->member->isolated)
+	if (isolated == node->membership->isolated)
 		return;
-	node->member->isolated = isolated;
+	node->membership->isolated = isolated;
 	node_audit(node, "isolated", isolated ? STR("no") : STR("yes"),
 		   isolated ? STR("yes") : STR("no"),
 		   "platform silent and most VMs unheard", 0);
@@ -309,9 +311,9 @@
 		  TIMER_HEARTBEAT, 0);
 }
 
-static void end_recovery(struct node *node, const char *why)
+static void set_view_confirmed(struct node *node, const char *why)
 {
-	node->member->view_confirmed = true;
+	node->membership->view_confirmed = true;
 	update_isolation(node);
 	node_audit(node, "view", STR("old"), STR("confirmed"), why, 0);
 	gate_resume(node);
@@ -324,24 +326,24 @@
  */
 static void confirm_view(struct node *node, const char *why)
 {
-	if (node->member->view_confirmed)
+	if (node->membership->view_confirmed)
 		return;
-	node->member->view_answered = true;
+	node->membership->view_answered = true;
 	if (!doc_sync_behind(node))
-		end_recovery(node, why);
+		set_view_confirmed(node, why);
 }
 
 void member_on_docs_updated(struct node *node)
 {
-	if (!node->member->view_confirmed && node->member->view_answered &&
-	    !doc_sync_behind(node))
-		end_recovery(node, "documents are up to date");
+	if (!node->membership->view_confirmed &&
+	    node->membership->view_answered && !doc_sync_behind(node))
+		set_view_confirmed(node, "documents are up to date");
 }
 
 static void update_platform_read_at(struct node *node, int64_t at)
 {
-	if (at > node->member->platform_read_at)
-		node->member->platform_read_at = at;
+	if (at > node->membership->platform_read_at)
+		node->membership->platform_read_at = at;
 }
 
 void member_on_heartbeat(struct node *node, struct str from,
@@ -350,7 +352,7 @@
 	struct vm *vm = vm_get(node, from);
 	bool was_usable = member_usable(node, vm);
 
-	if (vm == node->member->vms[0])
+	if (vm == node->membership->vms[0])
 		return;
 	if (vm->incarnation && vm->incarnation != incarnation) {
 		vm_mark_lost(node, vm);
@@ -364,8 +366,8 @@
 	vm->departed = vm->state == VM_LEAVING;
 	vm_set_domain(vm, msg->name);
 	/* After a pause, only the answer to the probe is current. */
-	bool current = node->member->view_confirmed ||
-		       (msg->id && msg->id == node->member->nonce);
+	bool current = node->membership->view_confirmed ||
+		       (msg->id && msg->id == node->membership->nonce);
 
 	if (current && msg->fresh_us >= 0 && msg->fresh_us < INT64_MAX / 4)
 		update_platform_read_at(node, node->now - msg->fresh_us);
@@ -382,7 +384,7 @@
 	 * After a pause the socket still holds heartbeats from before it; only
 	 * the answer to a probe sent after it confirms the view.
 	 */
-	if (msg->id && msg->id == node->member->nonce)
+	if (msg->id && msg->id == node->membership->nonce)
 		confirm_view(node, "a peer answered");
 }
 
@@ -403,7 +405,7 @@
 	struct msg msg = heartbeat_msg(node);
 
 	msg.kind = MSG_PROBE;
-	msg.id = node->member->nonce;
+	msg.id = node->membership->nonce;
 	node_send(node, addr, 0, &msg);
 }
 
@@ -411,7 +413,8 @@
 {
 	struct vm *vm = member_find(node, str_hash(addr));
 
-	if (!vm || vm == node->member->vms[0] || vm->heartbeat_at == INT64_MIN)
+	if (!vm || vm == node->membership->vms[0] ||
+	    vm->heartbeat_at == INT64_MIN)
 		return;
 	vm_mark_lost(node, vm);
 	node_vms_changed(node);
@@ -420,23 +423,23 @@
 void member_on_fleet_changed(struct node *node)
 {
 	const struct fleet *fleet = node->fleet;
-	struct member *member = node->member;
+	struct membership *membership = node->membership;
 
-	for (size_t i = 0; i < member->count; i++) {
-		member->vms[i]->listed = false;
-		member->vms[i]->listed_leaving = false;
-		member->vms[i]->domain_out = false;
+	for (size_t i = 0; i < membership->count; i++) {
+		membership->vms[i]->listed = false;
+		membership->vms[i]->listed_leaving = false;
+		membership->vms[i]->domain_out = false;
 	}
 	for (size_t i = 0; i < fleet->nvms; i++) {
 		struct vm *vm = vm_get(node, fleet->vms[i].addr);
 
 		vm->listed = true;
 		vm->listed_leaving = fleet->vms[i].leaving;
-		if (vm != member->vms[0])
+		if (vm != membership->vms[0])
 			vm_set_domain(vm, fleet->vms[i].domain->name);
 	}
-	for (size_t i = 0; i < member->count; i++) {
-		struct vm *vm = member->vms[i];
+	for (size_t i = 0; i < membership->count; i++) {
+		struct vm *vm = membership->vms[i];
 		struct domain *domain = fleet_domain(fleet, vm->domain);
 
 		vm->domain_out = domain && domain->out;
@@ -446,7 +449,7 @@
 void member_set_state(struct node *node, enum vm_state state)
 {
 	static const char *const names[] = { "starting", "live", "leaving" };
-	struct vm *self = node->member->vms[0];
+	struct vm *self = node->membership->vms[0];
 
 	if (self->state == state)
 		return;
@@ -459,28 +462,28 @@
 
 enum vm_state member_state(const struct node *node)
 {
-	return node->member->vms[0]->state;
+	return node->membership->vms[0]->state;
 }
 
 void member_on_pause(struct node *node, int64_t gap)
 {
-	struct member *member = node->member;
+	struct membership *membership = node->membership;
 
 	node->counters[CNT_PAUSES]++;
 	node_audit(node, "pause", STR("running"), STR("woken"),
 		   "gap between events", (uint64_t)gap);
-	member->view_confirmed = false;
-	member->nonce = rng_next(&node->rng) | 1;
-	member->view_answered = false;
-	member->paused_at = node->now;
+	membership->view_confirmed = false;
+	membership->nonce = rng_next(&node->rng) | 1;
+	membership->view_answered = false;
+	membership->paused_at = node->now;
 	timer_add(&node->timers, node->now + VIEW_CONFIRM_TIMEOUT_US,
-		  TIMER_VIEW_TIMEOUT, member->nonce);
-	for (size_t i = 1; i < member->count; i++)
-		member_probe(node, member->vms[i]->addr);
+		  TIMER_VIEW_TIMEOUT, membership->nonce);
+	for (size_t i = 1; i < membership->count; i++)
+		member_probe(node, membership->vms[i]->addr);
 	/* Heartbeats could not be read during the pause: restart timeouts. */
-	for (size_t i = 1; i < member->count; i++)
-		if (member->vms[i]->heartbeat_at != INT64_MIN)
-			member->vms[i]->heartbeat_at = node->now;
+	for (size_t i = 1; i < membership->count; i++)
+		if (membership->vms[i]->heartbeat_at != INT64_MIN)
+			membership->vms[i]->heartbeat_at = node->now;
 	doc_sync_read_now(node);
 }
 
@@ -490,8 +493,9 @@
 	 * No answer: this node is either the only one or partitioned. From here
 	 * on the isolation rule applies, as on any other node.
 	 */
-	if (nonce == node->member->nonce && !node->member->view_confirmed)
-		end_recovery(node, "nobody answered in time");
+	if (nonce == node->membership->nonce &&
+	    !node->membership->view_confirmed)
+		set_view_confirmed(node, "nobody answered in time");
 }
 
 void member_on_platform_read(struct node *node)
@@ -502,10 +506,10 @@
 
 bool member_view_confirmed(const struct node *node)
 {
-	return node->member->view_confirmed;
+	return node->membership->view_confirmed;
 }
 
 bool member_isolated(const struct node *node)
 {
-	return node->member->isolated;
+	return node->membership->isolated;
 }
--- a/member.h
+++ b/member.h
@@ -51,7 +51,7 @@
 	bool departed;
 };
 
-struct member {
+struct membership {
 	apr_pool_t *pool;
 	apr_hash_t *by_key;
 	struct vm **vms; /* [0] is this node */
@@ -103,6 +103,6 @@
 			struct str domain);
 /** member_rank() - number of usable VMs that outweigh this one for @key. */
 size_t member_rank(const struct node *node, uint64_t key);
-size_t member_count(const struct node *node);
+size_t member_usable_count(const struct node *node);
 /** member_probe() - request an immediate heartbeat from the node at @addr. */
 void member_probe(struct node *node, struct str addr);
--- a/node.c
+++ b/node.c
@@ -162,14 +162,14 @@
 
 void node_view_changed(struct node *node)
 {
-	node->member->epoch++;
+	node->membership->epoch++;
 	node->view_applied_at = node->now;
 	gate_on_view_changed(node);
 }
 
 void node_vms_changed(struct node *node)
 {
-	node->member->epoch++;
+	node->membership->epoch++;
 	if (node->now - node->view_applied_at >= VIEW_CHANGE_INTERVAL_US) {
 		node_view_changed(node);
 		return;
@@ -194,7 +194,8 @@
 {
 	const struct drain *drain = drain_of(node);
 
-	return !front_open(node) && !gate_open(node) && !once_open(node) &&
+	return !front_open_count(node) && !gate_open_count(node) &&
+	       !once_open_count(node) &&
 	       node->now - drain->started_at >= DRAIN_MIN_US &&
 	       node->now - drain->last_request_at >= DRAIN_IDLE_US;
 }
@@ -290,7 +291,7 @@
 	handlers[msg->kind].fn(node, from, incarnation, msg);
 }
 
-static void on_caller(struct node *node, const struct event *event)
+static void on_caller_event(struct node *node, const struct event *event)
 {
 	drain_of(node)->last_request_at = node->now;
 	switch (event->type) {
@@ -322,7 +323,7 @@
 	case EV_ENTRY:
 	case EV_LOOKUP:
 	case EV_CALLER_GONE:
-		on_caller(node, event);
+		on_caller_event(node, event);
 		break;
 	case EV_MSG:
 		on_msg(node, event->from, event->incarnation, event->msg);
@@ -331,7 +332,7 @@
 		member_on_peer_lost(node, event->from);
 		break;
 	case EV_FETCHED:
-		gate_on_fetch_done(node, event->id, event->fetch_response);
+		gate_on_fetch_done(node, event->id, event->parsed_reply);
 		break;
 	case EV_DOC:
 		doc_sync_on_platform_doc(node, event->doc, event->body);
--- a/node.h
+++ b/node.h
@@ -14,7 +14,7 @@
  * node through struct node.
  */
 
-struct member;
+struct membership;
 struct doc_sync;
 struct quota;
 struct gate;
@@ -92,7 +92,7 @@
 	size_t nlocal;
 	size_t local_cap;
 	uint64_t counters[COUNTERS];
-	struct member *member;
+	struct membership *membership;
 	struct doc_sync *doc_sync;
 	struct quota *quota;
 	struct gate *gate;
--- a/once.c
+++ b/once.c
@@ -68,14 +68,14 @@
 	free(once);
 }
 
-size_t once_open(const struct node *node)
+size_t once_open_count(const struct node *node)
 {
 	const struct once *once = node->once;
 	size_t tickets = once->unused_tickets;
 
-	if (node->now - once->issued_at >= TICKET_US)
+	if (node->now - once->issued_at >= TICKET_VALID_US)
 		tickets = 0;
-	return once->open + apr_hash_count(once->forwards) + tickets;
+	return once->open_records + apr_hash_count(once->forwards) + tickets;
 }
 
 /* Answers. */
@@ -180,7 +180,7 @@
  * whose record may have been evicted is answered "unknown", since "not run"
  * could be false.
  */
-static void evict(struct node *node)
+static void evict_records(struct node *node)
 {
 	struct once *once = node->once;
 
@@ -233,10 +233,10 @@
 	once->newest = record;
 	apr_hash_set(once->records, &record->seq, sizeof(record->seq), record);
 	once->count++;
-	once->open++;
+	once->open_records++;
 	if (once->unused_tickets)
 		once->unused_tickets--;
-	evict(node);
+	evict_records(node);
 	return record;
 }
 
@@ -260,7 +260,7 @@
 	};
 
 	if (!once_is_final(record))
-		node->once->open--;
+		node->once->open_records--;
 	record->state = state;
 	record->code = code;
 	str_free(record->result);
@@ -294,7 +294,7 @@
 {
 	for (size_t i = 0; i < fleet->nsnapshots; i++) {
 		size_t count;
-		const struct shard *shards = snapshot_range(
+		const struct shard *shards = snapshot_index_shards(
 			&fleet->snapshots[i], entry->index, &count);
 
 		*version = fleet->snapshots[i].version;
@@ -558,7 +558,7 @@
 
 void once_on_caller_gone(struct node *node, uint64_t caller)
 {
-	if (!node->once->open)
+	if (!node->once->open_records)
 		return;
 	for (struct record *r = node->once->newest; r; r = r->older) {
 		if (once_is_final(r))
--- a/once.h
+++ b/once.h
@@ -70,7 +70,7 @@
 	struct record *oldest;
 	struct record *newest;
 	size_t count;
-	size_t open;
+	size_t open_records;
 	size_t unused_tickets; /* issued and not used yet */
 	int64_t issued_at; /* time of the last ticket */
 
@@ -97,8 +97,9 @@
 			  int64_t retry_us);
 void once_on_record_timer(struct node *node, uint64_t seq);
 void once_on_forward_timer(struct node *node, uint64_t id);
-/** once_open() - records, forwards and tickets that delay a planned stop. */
-size_t once_open(const struct node *node);
+/** once_open_count() - records, forwards and tickets that delay a planned stop.
+ */
+size_t once_open_count(const struct node *node);
 
 /* Shared with once_entry.c. */
 
--- a/once_entry.c
+++ b/once_entry.c
@@ -54,9 +54,9 @@
 	once_set_not_run(node, record, ERR_OVER_PLAN);
 }
 
-static void join_record(struct node *node, struct record *record,
-			const struct entry *entry, bool lookup,
-			const struct waiter *waiter)
+static void handle_repeated_request(struct node *node, struct record *record,
+				    const struct entry *entry, bool lookup,
+				    const struct waiter *waiter)
 {
 	bool same = record->customer == str_hash(entry->customer) &&
 		    str_eq(record->request_id, entry->request_id) &&
@@ -76,9 +76,9 @@
 		once_add_waiter(record, waiter);
 }
 
-static void run_locally(struct node *node, const struct ticket *ticket,
-			const struct entry *entry, struct str body, bool lookup,
-			const struct waiter *waiter)
+static void handle_at_issuer(struct node *node, const struct ticket *ticket,
+			     const struct entry *entry, struct str body,
+			     bool lookup, const struct waiter *waiter)
 {
 	struct record *record = once_record_find(node, ticket->seq);
 	int code = 0;
@@ -93,12 +93,12 @@
 		return;
 	}
 	if (record) {
-		join_record(node, record, entry, lookup, waiter);
+		handle_repeated_request(node, record, entry, lookup, waiter);
 		return;
 	}
 	if (ticket->seq <= node->once->evicted_seq)
 		code = ERR_ISSUER_GONE;
-	else if (node->now - ticket->issued_at >= TICKET_US)
+	else if (node->now - ticket->issued_at >= TICKET_VALID_US)
 		code = ERR_TICKET_EXPIRED;
 	else if (lookup)
 		code = ERR_NOT_FOUND;
@@ -120,14 +120,14 @@
 
 static struct vm *find_other_issuer(struct node *node)
 {
-	for (size_t i = 1; i < node->member->count; i++)
-		if (member_usable(node, node->member->vms[i]))
-			return node->member->vms[i];
+	for (size_t i = 1; i < node->membership->count; i++)
+		if (member_usable(node, node->membership->vms[i]))
+			return node->membership->vms[i];
 	return NULL;
 }
 
 /* A leaving node issues no tickets: they would outlive it. */
-static bool may_issue(const struct node *node)
+static bool may_issue_tickets(const struct node *node)
 {
 	return member_state(node) == VM_LIVE && !member_isolated(node);
 }
@@ -135,13 +135,13 @@
 static void reply_ticket_required(struct node *node, const struct entry *entry,
 				  struct str body, const struct waiter *waiter)
 {
-	char text[TICKET_MAX];
+	char text[TICKET_TEXT_MAX];
 	struct str issued = ticket_issue(node, entry->customer,
 					 entry->request_id, text, sizeof(text));
 	struct ticket ticket;
 
 	if (node->opt.off.no_ticket && ticket_parse(issued, &ticket)) {
-		run_locally(node, &ticket, entry, body, false, waiter);
+		handle_at_issuer(node, &ticket, entry, body, false, waiter);
 		return;
 	}
 	once_reply_outcome(node, waiter, entry->request_id, "not_run",
@@ -153,7 +153,7 @@
 			 const struct waiter *waiter)
 {
 	struct buf out = { 0 };
-	char text[TICKET_MAX];
+	char text[TICKET_TEXT_MAX];
 	struct error err;
 	struct entry entry;
 	apr_pool_t *pool;
@@ -172,7 +172,7 @@
 		ticket_issue(node, entry.customer, entry.request_id, text,
 			     sizeof(text));
 		buf_printf(&out, ",\"ticket\":\"%s\",\"valid_ms\":%d}", text,
-			   TICKET_US / 1000);
+			   TICKET_VALID_US / 1000);
 		once_reply(node, waiter, 200, buf_str(&out));
 	}
 	buf_free(&out);
@@ -184,7 +184,7 @@
 {
 	struct vm *other;
 
-	if (may_issue(node) || waiter->addr.len)
+	if (may_issue_tickets(node) || waiter->addr.len)
 		return false;
 	other = find_other_issuer(node);
 	if (!other)
@@ -193,7 +193,7 @@
 	return true;
 }
 
-static bool refuse_starting(struct node *node, const struct waiter *waiter)
+static bool refuse_if_starting(struct node *node, const struct waiter *waiter)
 {
 	if (node->lists && node->fleet && member_state(node) != VM_STARTING)
 		return false;
@@ -207,14 +207,15 @@
 {
 	struct waiter waiter = { .caller = caller };
 
-	if (refuse_starting(node, &waiter) ||
+	if (refuse_if_starting(node, &waiter) ||
 	    try_forward(node, &waiter, FORWARD_TICKET, body))
 		return;
 	reply_ticket(node, body, &waiter);
 }
 
-static void route(struct node *node, struct str body, bool lookup,
-		  const struct waiter *waiter, const struct entry *entry)
+static void route_request(struct node *node, struct str body, bool lookup,
+			  const struct waiter *waiter,
+			  const struct entry *entry)
 {
 	struct ticket ticket;
 	struct vm *issuer;
@@ -233,7 +234,7 @@
 	issuer = member_find(node, str_hash(ticket.addr));
 	if (str_eq(ticket.addr, node->opt.addr) &&
 	    ticket.incarnation == node->opt.incarnation) {
-		run_locally(node, &ticket, entry, body, lookup, waiter);
+		handle_at_issuer(node, &ticket, entry, body, lookup, waiter);
 	} else if (issuer && issuer->incarnation == ticket.incarnation &&
 		   issuer->heartbeat_at != INT64_MIN && !waiter->addr.len) {
 		once_forward_to(node, waiter->caller, issuer,
@@ -266,8 +267,8 @@
 	 * An entry with a ticket may already have run. A node that has just
 	 * started cannot answer "not run" for it; only the issuer can.
 	 */
-	else if (entry.ticket.len || !refuse_starting(node, waiter))
-		route(node, body, lookup, waiter, &entry);
+	else if (entry.ticket.len || !refuse_if_starting(node, waiter))
+		route_request(node, body, lookup, waiter, &entry);
 	apr_pool_destroy(pool);
 }
 
@@ -295,6 +296,6 @@
 	if (msg->attempt != FORWARD_TICKET)
 		handle_request(node, msg->body, msg->attempt == FORWARD_LOOKUP,
 			       &waiter);
-	else if (!refuse_starting(node, &waiter))
+	else if (!refuse_if_starting(node, &waiter))
 		reply_ticket(node, msg->body, &waiter);
 }
--- a/peer.c
+++ b/peer.c
@@ -38,7 +38,7 @@
  * struct link - outbound connection to a node
  * @retry_at: no new connection before this time
  * @queued_bytes: size of the strings in @queue
- * @to: incarnation that the messages in @queue are for
+ * @queue_incarnation: incarnation that the messages in @queue are for
  * @is_pending: in the list peers.pending
  */
 struct link {
@@ -55,7 +55,7 @@
 	size_t queued;
 	size_t queued_bytes;
 	size_t cap;
-	uint64_t to;
+	uint64_t queue_incarnation;
 	bool is_pending;
 	struct link *next_pending;
 };
@@ -210,7 +210,7 @@
 	struct frame frame = {
 		.from = link->peers->addr,
 		.from_incarnation = link->peers->incarnation,
-		.to_incarnation = link->to,
+		.to_incarnation = link->queue_incarnation,
 		.sent_us = loop_now(),
 		.msgs = link->queue,
 		.count = link->queued,
@@ -233,11 +233,11 @@
 	struct link *link = link_get(peers, addr);
 	size_t bytes = msg->name.len + msg->body.len + msg->text.len;
 
-	if (link->queued &&
-	    (link->to != incarnation || link->queued == WIRE_MAX_MSGS ||
-	     link->queued_bytes + bytes > FRAME_TARGET_BYTES))
+	if (link->queued && (link->queue_incarnation != incarnation ||
+			     link->queued == WIRE_MAX_MSGS ||
+			     link->queued_bytes + bytes > FRAME_TARGET_BYTES))
 		link_encode(link);
-	link->to = incarnation;
+	link->queue_incarnation = incarnation;
 	if (link->queued == link->cap) {
 		link->cap = link->cap ? link->cap * 2 : 16;
 		link->queue =
@@ -327,7 +327,7 @@
 		int used = frame_decode(rest, &frame, &err);
 
 		if (used < 0) {
-			peers->handler.bad(peers->handler.ctx, &err);
+			peers->handler.bad_frame(peers->handler.ctx, &err);
 			inbound_close(inbound);
 			return false;
 		}
--- a/peer.h
+++ b/peer.h
@@ -17,12 +17,12 @@
  * struct peer_handler - callbacks
  * @frame: a frame was received; its strings live until the call returns
  * @lost: the connection to @addr could not be opened, or failed
- * @bad: a connection was closed because of an invalid frame
+ * @bad_frame: a connection was closed because of an invalid frame
  */
 struct peer_handler {
 	void (*frame)(void *ctx, const struct frame *frame);
 	void (*lost)(void *ctx, struct str addr);
-	void (*bad)(void *ctx, const struct error *err);
+	void (*bad_frame)(void *ctx, const struct error *err);
 	void *ctx;
 };
 
--- a/quota.c
+++ b/quota.c
@@ -9,7 +9,7 @@
 enum {
 	LEASE_TIMEOUT_US = 25000,
 	LEASE_DURATION_US = 1000000,
-	IDLE_US = 60000000,
+	ACCOUNT_IDLE_US = 60000000,
 	US_PER_S = 1000000,
 	WAITERS_MAX = 4096,
 };
@@ -92,7 +92,7 @@
 
 static void schedule_idle_check(struct node *node, struct account *account)
 {
-	account->idle_check_at = node->now + IDLE_US;
+	account->idle_check_at = node->now + ACCOUNT_IDLE_US;
 	timer_add(&node->timers, account->idle_check_at, TIMER_ACCOUNT,
 		  account->key);
 }
@@ -116,8 +116,8 @@
 	return account;
 }
 
-static void refill(struct bucket *bucket, double rate, double burst,
-		   int64_t now)
+static void refill_bucket(struct bucket *bucket, double rate, double burst,
+			  int64_t now)
 {
 	bucket->tokens += rate * (double)(now - bucket->at) / US_PER_S;
 	if (bucket->tokens > burst)
@@ -143,14 +143,15 @@
 		account->owner_bucket.at = node->now;
 		account->owner_bucket.tokens = start < 1 ? 1 : start;
 	}
-	refill(&account->owner_bucket, plan->rate, plan->burst, node->now);
+	refill_bucket(&account->owner_bucket, plan->rate, plan->burst,
+		      node->now);
 	return &account->owner_bucket;
 }
 
 static bool take_fallback(struct node *node, struct account *account,
 			  const struct plan *plan, int64_t *retry_us)
 {
-	double n = (double)member_count(node);
+	double n = (double)member_usable_count(node);
 	double burst = plan->burst / n;
 
 	if (burst < 1)
@@ -159,7 +160,8 @@
 		account->fallback_bucket_started = true;
 		account->fallback_bucket = (struct bucket){ burst, node->now };
 	}
-	refill(&account->fallback_bucket, plan->rate / n, burst, node->now);
+	refill_bucket(&account->fallback_bucket, plan->rate / n, burst,
+		      node->now);
 	*retry_us = time_to_token(&account->fallback_bucket, plan->rate / n);
 	if (account->fallback_bucket.tokens < 1)
 		return false;
@@ -311,7 +313,7 @@
 	return waiters;
 }
 
-static void fall_back(struct node *node, struct account *account)
+static void resolve_from_fallback(struct node *node, struct account *account)
 {
 	const struct plan *plan = lists_plan(node->lists, account->name);
 	size_t count;
@@ -368,7 +370,7 @@
 	if (account->nwaiters && owner && !account->lease_pending)
 		request_lease(node, account, owner);
 	else if (account->nwaiters && !account->lease_pending)
-		fall_back(node, account);
+		resolve_from_fallback(node, account);
 }
 
 void quota_on_account_timer(struct node *node, uint64_t key)
@@ -380,10 +382,11 @@
 		return;
 	if (account->lease_pending &&
 	    node->now >= account->lease_requested_at + LEASE_TIMEOUT_US)
-		fall_back(node, account);
+		resolve_from_fallback(node, account);
 	if (node->now < account->idle_check_at)
 		return;
-	if (account->lease_pending || node->now - account->used_at < IDLE_US) {
+	if (account->lease_pending ||
+	    node->now - account->used_at < ACCOUNT_IDLE_US) {
 		schedule_idle_check(node, account);
 		return;
 	}
--- a/replica.c
+++ b/replica.c
@@ -35,11 +35,11 @@
 			const struct fleet_target *target)
 {
 	if (node->opt.direct)
-		return node->member->vms[0];
-	if (replica->epoch != node->member->epoch) {
+		return node->membership->vms[0];
+	if (replica->epoch != node->membership->epoch) {
 		replica->gate =
 			member_owner(node, target->key, target->domain->name);
-		replica->epoch = node->member->epoch;
+		replica->epoch = node->membership->epoch;
 	}
 	return replica->gate;
 }
--- a/request.c
+++ b/request.c
@@ -9,7 +9,7 @@
 	US_PER_MS = 1000
 };
 
-static json_t *parse(struct json_in *in, struct str body)
+static json_t *parse_object(struct json_in *in, struct str body)
 {
 	json_t *doc = json_parse(in, body);
 
@@ -21,28 +21,29 @@
 	return doc;
 }
 
-static struct str text(struct json_in *in, json_t *doc, const char *key,
-		       size_t max, apr_pool_t *pool)
+static struct str parse_text(struct json_in *in, json_t *doc, const char *key,
+			     size_t max, apr_pool_t *pool)
 {
 	return str_dup(pool, json_text(in, key, doc, key, max));
 }
 
-static struct str text_or_none(struct json_in *in, json_t *doc, const char *key,
-			       size_t max, apr_pool_t *pool)
+static struct str parse_optional_text(struct json_in *in, json_t *doc,
+				      const char *key, size_t max,
+				      apr_pool_t *pool)
 {
 	if (!json_object_get(doc, key))
 		return (struct str){ 0 };
-	return text(in, doc, key, max, pool);
+	return parse_text(in, doc, key, max, pool);
 }
 
-static int64_t deadline(struct json_in *in, json_t *doc)
+static int64_t parse_deadline(struct json_in *in, json_t *doc)
 {
 	return json_int_or(in, "deadline_ms", doc, "deadline_ms", 1,
 			   MAX_DEADLINE_MS, 0) *
 	       US_PER_MS;
 }
 
-static int id_order(const void *left, const void *right)
+static int compare_ids(const void *left, const void *right)
 {
 	uint32_t a = *(const uint32_t *)left;
 	uint32_t b = *(const uint32_t *)right;
@@ -70,7 +71,7 @@
 				   i);
 		query->shards[i] = (uint32_t)id;
 	}
-	qsort(query->shards, count, sizeof(*query->shards), id_order);
+	qsort(query->shards, count, sizeof(*query->shards), compare_ids);
 	for (size_t i = 1; i < count; i++)
 		if (query->shards[i] == query->shards[i - 1])
 			json_fault(in, "shards", "%u is listed twice",
@@ -85,24 +86,24 @@
 					    "shards",	"deadline_ms",
 					    NULL };
 	struct json_in in = { .file = "question", .code = ERR_BAD_REQUEST };
-	json_t *doc = parse(&in, body);
+	json_t *doc = parse_object(&in, body);
 
 	*query = (struct query){ 0 };
 	if (doc) {
 		json_keys(&in, "top", doc, keys);
-		query->customer =
-			text(&in, doc, "customer", REQUEST_NAME_MAX, pool);
-		query->request_id =
-			text(&in, doc, "request_id", REQUEST_NAME_MAX, pool);
-		query->terms =
-			text_or_none(&in, doc, "terms", QUERY_TERMS_MAX, pool);
+		query->customer = parse_text(&in, doc, "customer",
+					     REQUEST_NAME_MAX, pool);
+		query->request_id = parse_text(&in, doc, "request_id",
+					       REQUEST_NAME_MAX, pool);
+		query->terms = parse_optional_text(&in, doc, "terms",
+						   QUERY_TERMS_MAX, pool);
 		query->indexes = json_strings(&in, "indexes", doc, "indexes",
 					      pool, &query->nindexes);
 		if (!query->nindexes || query->nindexes > QUERY_MAX_INDEXES)
 			json_fault(&in, "indexes", "must name 1 to %d",
 				   QUERY_MAX_INDEXES);
 		parse_shards(&in, doc, pool, query);
-		query->deadline_us = deadline(&in, doc);
+		query->deadline_us = parse_deadline(&in, doc);
 		json_decref(doc);
 	}
 	*err = in.err;
@@ -114,9 +115,9 @@
 {
 	json_t *action = json_object_get(doc, "entry");
 
-	entry->index = text(in, doc, "index", REQUEST_NAME_MAX, pool);
+	entry->index = parse_text(in, doc, "index", REQUEST_NAME_MAX, pool);
 	entry->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
-	entry->deadline_us = deadline(in, doc);
+	entry->deadline_us = parse_deadline(in, doc);
 	if (!json_is_object(action)) {
 		json_fault(in, "entry", "must be an object");
 		return;
@@ -136,16 +137,17 @@
 					    "key",	   "entry",
 					    "deadline_ms", NULL };
 	struct json_in in = { .file = "entry", .code = ERR_BAD_REQUEST };
-	json_t *doc = parse(&in, body);
+	json_t *doc = parse_object(&in, body);
 
 	*entry = (struct entry){ 0 };
 	if (doc) {
 		json_keys(&in, "top", doc, keys);
-		entry->customer =
-			text(&in, doc, "customer", REQUEST_NAME_MAX, pool);
-		entry->request_id =
-			text(&in, doc, "request_id", REQUEST_NAME_MAX, pool);
-		entry->ticket = text_or_none(&in, doc, "ticket", 128, pool);
+		entry->customer = parse_text(&in, doc, "customer",
+					     REQUEST_NAME_MAX, pool);
+		entry->request_id = parse_text(&in, doc, "request_id",
+					       REQUEST_NAME_MAX, pool);
+		entry->ticket =
+			parse_optional_text(&in, doc, "ticket", 128, pool);
 		if (!lookup)
 			parse_action(&in, doc, pool, entry);
 		json_decref(doc);
--- a/serve.c
+++ b/serve.c
@@ -62,48 +62,48 @@
 
 /* Targets. */
 
-/** struct call - context of a request to a target */
-struct call {
+/** struct fetch_ctx - context of a request to a target */
+struct fetch_ctx {
 	struct server *server;
 	enum fetch_kind kind;
 };
 
 static void on_fetched(void *ctx, uint64_t id, const struct fetch_reply *reply)
 {
-	struct call *call = ctx;
-	struct fetch_response fetch_response = { .result = reply->result,
-						 .status = reply->status,
-						 .resent = reply->resent,
-						 .load = -1 };
+	struct fetch_ctx *fetch_ctx = ctx;
+	struct parsed_reply parsed_reply = { .result = reply->result,
+					     .status = reply->status,
+					     .resent = reply->resent,
+					     .load = -1 };
 	struct buf rows = { 0 };
 
 	if (reply->result == FETCH_OK)
-		target_parse_reply(reply->body, reply->status, &fetch_response,
+		target_parse_reply(reply->body, reply->status, &parsed_reply,
 				   &rows);
-	if (call->kind != FETCH_CANCEL)
-		dispatch(call->server,
+	if (fetch_ctx->kind != FETCH_CANCEL)
+		dispatch(fetch_ctx->server,
 			 (struct event){ .type = EV_FETCHED,
 					 .id = id,
-					 .fetch_response = &fetch_response });
+					 .parsed_reply = &parsed_reply });
 	buf_free(&rows);
-	free(call);
+	free(fetch_ctx);
 }
 
 static void start_fetch(struct server *s, const struct effect *fx)
 {
-	struct call *call = xmalloc(sizeof(*call));
+	struct fetch_ctx *fetch_ctx = xmalloc(sizeof(*fetch_ctx));
 	struct buf url = { 0 };
 	struct fetch_request request = {
 		.remaining_us = fx->wait_us,
 		.timeout_us = fx->wait_us + TARGET_TIMEOUT_SLACK_US,
 		.max_body = TARGET_REPLY_MAX,
-		.once = fx->fetch == FETCH_ENTRY,
+		.at_most_once = fx->fetch == FETCH_ENTRY,
 		.done = on_fetched,
-		.ctx = call,
+		.ctx = fetch_ctx,
 		.id = fx->id,
 	};
 
-	*call = (struct call){ s, fx->fetch };
+	*fetch_ctx = (struct fetch_ctx){ s, fx->fetch };
 	target_url(fx, &url);
 	request.url = buf_str(&url);
 	if (fx->fetch == FETCH_ENTRY)
@@ -133,7 +133,7 @@
 	dispatch(s, event);
 }
 
-static void start_read(struct server *s, const struct effect *fx)
+static void start_doc_read(struct server *s, const struct effect *fx)
 {
 	const struct config *config = s->config;
 	struct str addr = config->platforms[s->platform_index[fx->doc] %
@@ -160,7 +160,7 @@
 
 /* Effects. */
 
-static void send_reply(struct server *s, const struct effect *fx)
+static void send_answer(struct server *s, const struct effect *fx)
 {
 	uint64_t id = fx->id;
 	struct http_request *req = apr_hash_get(s->requests, &id, sizeof(id));
@@ -181,10 +181,10 @@
 		start_fetch(s, fx);
 		break;
 	case FX_READ_DOC:
-		start_read(s, fx);
+		start_doc_read(s, fx);
 		break;
 	case FX_ANSWER:
-		send_reply(s, fx);
+		send_answer(s, fx);
 		break;
 	case FX_AUDIT:
 		audit_add(&s->audit, fx->body);
@@ -285,7 +285,7 @@
 	{ "/v1/lookups", EV_LOOKUP },
 };
 
-static void on_caller(void *ctx, struct http_request *req)
+static void on_caller_request(void *ctx, struct http_request *req)
 {
 	struct server *s = ctx;
 
@@ -327,7 +327,7 @@
 	dispatch(s, (struct event){ .type = EV_DRAIN });
 }
 
-static void on_operator(void *ctx, struct http_request *req)
+static void on_operator_request(void *ctx, struct http_request *req)
 {
 	struct server *s = ctx;
 	struct buf out = { 0 };
@@ -337,7 +337,7 @@
 	} else if (str_eq(req->path, STR("/audit"))) {
 		audit_json(&s->audit, &out);
 	} else if (str_eq(req->path, STR("/counters"))) {
-		counters_all_json(s->node, &out);
+		status_counters_json(s->node, &out);
 	} else if (str_eq(req->path, STR("/drain")) &&
 		   str_eq(req->method, STR("POST"))) {
 		begin_drain(s);
@@ -386,12 +386,13 @@
 		return err->code;
 	s->callers = http_listen(
 		s->loop, config->callers, REQUEST_BODY_MAX,
-		(struct http_handler){ on_caller, on_caller_gone, s }, err);
+		(struct http_handler){ on_caller_request, on_caller_gone, s },
+		err);
 	if (!s->callers)
 		return err->code;
-	s->operators =
-		http_listen(s->loop, config->operators, REQUEST_BODY_MAX,
-			    (struct http_handler){ on_operator, NULL, s }, err);
+	s->operators = http_listen(
+		s->loop, config->operators, REQUEST_BODY_MAX,
+		(struct http_handler){ on_operator_request, NULL, s }, err);
 	return s->operators ? 0 : err->code;
 }
 
--- a/snapshot.c
+++ b/snapshot.c
@@ -13,7 +13,7 @@
 	return false;
 }
 
-bool snapshot_selects(const struct query *query, uint32_t id)
+bool snapshot_shard_requested(const struct query *query, uint32_t id)
 {
 	size_t low = 0;
 	size_t high = query->nshards;
@@ -43,12 +43,12 @@
 	for (size_t i = 0; i < query->nindexes; i++) {
 		size_t count;
 		const struct shard *shards =
-			snapshot_range(snap, query->indexes[i], &count);
+			snapshot_index_shards(snap, query->indexes[i], &count);
 
 		if (!count)
 			return 0;
 		for (size_t j = 0; j < count; j++) {
-			if (!snapshot_selects(query, shards[j].id))
+			if (!snapshot_shard_requested(query, shards[j].id))
 				continue;
 			found++;
 			*total_weight += shards[j].weight;
--- a/snapshot.h
+++ b/snapshot.h
@@ -5,8 +5,8 @@
 
 /** DOC: choice of the snapshot from which a question is answered */
 
-/** snapshot_selects() - whether the question includes the shard @id. */
-bool snapshot_selects(const struct query *query, uint32_t id);
+/** snapshot_shard_requested() - whether the question includes the shard @id. */
+bool snapshot_shard_requested(const struct query *query, uint32_t id);
 /**
  * snapshot_choose() - choose the snapshot for @query
  * @floor: coverage that the plan requires
--- a/status.c
+++ b/status.c
@@ -66,7 +66,7 @@
 
 	if (vm->heartbeat_at != INT64_MIN)
 		heartbeat_age_ms = (node->now - vm->heartbeat_at) / 1000;
-	if (vm == node->member->vms[0])
+	if (vm == node->membership->vms[0])
 		heartbeat_age_ms = 0;
 	buf_str_add(out, STR("{\"vm\":"));
 	buf_json_add(out, vm->addr);
@@ -108,13 +108,13 @@
 		   member_isolated(node) ? "true" : "false");
 	docs_json(node, out);
 	buf_printf(out, ",\"questions_open\":%zu,\"questions_limit\":%.0f",
-		   front_open(node), node->front->limit);
+		   front_open_count(node), node->front->limit);
 	buf_printf(out, ",\"jobs_open\":%zu,\"entries_open\":%zu,\"vms\":[",
-		   gate_open(node), once_open(node));
-	for (size_t i = 0; i < node->member->count; i++) {
+		   gate_open_count(node), once_open_count(node));
+	for (size_t i = 0; i < node->membership->count; i++) {
 		if (i)
 			buf_add(out, ",", 1);
-		vm_json(node, node->member->vms[i], out);
+		vm_json(node, node->membership->vms[i], out);
 	}
 	buf_str_add(out, STR("],\"targets\":"));
 	owned_targets_json(node, out);
@@ -165,7 +165,7 @@
 	buf_add(out, "]", 1);
 }
 
-void counters_all_json(const struct node *node, struct buf *out)
+void status_counters_json(const struct node *node, struct buf *out)
 {
 	buf_str_add(out, STR("{\"counters\":"));
 	counters_json(node->counters, out);
--- a/status.h
+++ b/status.h
@@ -5,7 +5,7 @@
 /** status_json() - append one JSON object: node, documents, VMs, targets. */
 void status_json(const struct node *node, struct buf *out);
 /**
- * counters_all_json() - append one JSON object: the node's counters, and
+ * status_counters_json() - append one JSON object: the node's counters, and
  * counters by target, failure domain and customer.
  */
-void counters_all_json(const struct node *node, struct buf *out);
+void status_counters_json(const struct node *node, struct buf *out);
--- a/target.c
+++ b/target.c
@@ -48,37 +48,35 @@
 	return (uint64_t)json_integer_value(json_object_get(doc, key));
 }
 
-static void parse_fields(json_t *doc, struct fetch_response *fetch_response)
+static void parse_fields(json_t *doc, struct parsed_reply *parsed_reply)
 {
 	json_t *boot = json_object_get(doc, "boot");
 	json_t *load = json_object_get(doc, "load");
 
 	if (json_is_string(boot))
-		fetch_response->boot =
-			str_hash(str_of(json_string_value(boot)));
+		parsed_reply->boot = str_hash(str_of(json_string_value(boot)));
 	if (json_is_integer(load))
-		fetch_response->load = (int)json_integer_value(load);
-	fetch_response->draining =
-		json_is_true(json_object_get(doc, "draining"));
-	fetch_response->job = get_integer(doc, "job");
-	fetch_response->shard = (uint32_t)get_integer(doc, "shard");
-	fetch_response->version = get_integer(doc, "version");
+		parsed_reply->load = (int)json_integer_value(load);
+	parsed_reply->draining = json_is_true(json_object_get(doc, "draining"));
+	parsed_reply->job = get_integer(doc, "job");
+	parsed_reply->shard = (uint32_t)get_integer(doc, "shard");
+	parsed_reply->version = get_integer(doc, "version");
 }
 
 void target_parse_reply(struct str body, int status,
-			struct fetch_response *fetch_response, struct buf *rows)
+			struct parsed_reply *parsed_reply, struct buf *rows)
 {
 	json_t *doc = json_loadb(body.ptr ? body.ptr : "", body.len,
 				 JSON_REJECT_DUPLICATES, NULL);
 
-	fetch_response->status = status;
-	fetch_response->load = -1;
+	parsed_reply->status = status;
+	parsed_reply->load = -1;
 	if (!json_is_object(doc)) {
-		fetch_response->result = FETCH_MALFORMED;
+		parsed_reply->result = FETCH_MALFORMED;
 		json_decref(doc);
 		return;
 	}
-	parse_fields(doc, fetch_response);
+	parse_fields(doc, parsed_reply);
 
 	json_t *list = json_object_get(doc, "rows");
 	json_t *entry = json_object_get(doc, "entry");
@@ -88,7 +86,7 @@
 	else if (json_is_object(entry))
 		append_json(entry, rows);
 	else if (status == 200 && !json_object_get(doc, "health"))
-		fetch_response->result = FETCH_MALFORMED;
-	fetch_response->body = buf_str(rows);
+		parsed_reply->result = FETCH_MALFORMED;
+	parsed_reply->body = buf_str(rows);
 	json_decref(doc);
 }
--- a/target.h
+++ b/target.h
@@ -18,5 +18,4 @@
  * @rows: receives the rows or the entry's result
  */
 void target_parse_reply(struct str body, int status,
-			struct fetch_response *fetch_response,
-			struct buf *rows);
+			struct parsed_reply *parsed_reply, struct buf *rows);
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -314,7 +314,7 @@
 START_TEST(test_target_reply)
 {
 	const struct reply_case *in = &replies[_i];
-	struct fetch_response got = { .result = FETCH_OK };
+	struct parsed_reply got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
 	target_parse_reply(str_of(in->body), in->status, &got, &rows);
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -157,9 +157,10 @@
 /* Until the gate has granted a slot; the go is on its way or to be sent. */
 static void run_to_grant(struct mesh *mesh, int gate)
 {
-	for (int i = 0; i < 200 && !gate_open(mesh->nodes[gate].node); i++)
+	for (int i = 0; i < 200 && !gate_open_count(mesh->nodes[gate].node);
+	     i++)
 		mesh_run(mesh, 50);
-	ck_assert(gate_open(mesh->nodes[gate].node));
+	ck_assert(gate_open_count(mesh->nodes[gate].node));
 }
 
 static bool work_since(struct mesh *mesh, int domain, int64_t since)
@@ -530,7 +531,7 @@
 	mesh_kill(mesh, issuer);
 	mesh_run(mesh, 3 * SECOND);
 	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
-	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
+	ck_assert_int_eq((int)gate_open_count(mesh->nodes[gate].node), 0);
 }
 
 /* 6. A target that sheds says that it did not run it: "not run" is true. */
@@ -588,7 +589,7 @@
 	ck_assert(says(mesh, id, "\"not_run\""));
 	mesh_run(mesh, 4 * SECOND);
 	ck_assert_int_eq((int)mesh_runs(mesh, ENTRY), 0);
-	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
+	ck_assert_int_eq((int)gate_open_count(mesh->nodes[gate].node), 0);
 }
 
 /* 7. One ticket, two nodes at once, and again later: one run, one outcome. */
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -59,7 +59,7 @@
 
 static void take_reply(struct str in)
 {
-	struct fetch_response got = { .result = FETCH_OK };
+	struct parsed_reply got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
 	target_parse_reply(in, 200, &got, &rows);
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -49,7 +49,7 @@
 	uint64_t boot; /* of the target when it was sent */
 	int64_t timeout_at; /* when the shell gives up */
 	bool running;
-	struct fetch_response got;
+	struct parsed_reply got;
 	struct buf rows;
 };
 
@@ -394,13 +394,13 @@
 
 static void replied(struct mesh *mesh, struct work *work)
 {
-	struct fetch_response got = work->got;
+	struct parsed_reply got = work->got;
 
 	got.body = buf_str(&work->rows);
 	mesh_feed(mesh, work->node,
 		  (struct event){ .type = EV_FETCHED,
 				  .id = work->fetch,
-				  .fetch_response = &got });
+				  .parsed_reply = &got });
 	work_free(mesh, work);
 }
 
--- a/ticket.c
+++ b/ticket.c
@@ -32,7 +32,7 @@
 		 "%.*s/%" PRIx64 "/%" PRIx64 "/%" PRIx64 "/%" PRIx64,
 		 STR_ARG(ticket.addr), ticket.incarnation, ticket.seq,
 		 (uint64_t)ticket.issued_at, ticket.check);
-	if (node->now - node->once->issued_at >= TICKET_US)
+	if (node->now - node->once->issued_at >= TICKET_VALID_US)
 		node->once->unused_tickets = 0;
 	node->once->unused_tickets++;
 	node->once->issued_at = node->now;
@@ -43,11 +43,11 @@
 bool ticket_parse(struct str text, struct ticket *ticket)
 {
 	const char *slash = text.len ? memchr(text.ptr, '/', text.len) : NULL;
-	char rest[TICKET_MAX + 1];
+	char rest[TICKET_TEXT_MAX + 1];
 	uint64_t issued;
 	int used = 0;
 
-	if (!slash || text.len > TICKET_MAX)
+	if (!slash || text.len > TICKET_TEXT_MAX)
 		return false;
 	ticket->addr.ptr = text.ptr;
 	ticket->addr.len = (size_t)(slash - text.ptr);
--- a/ticket.h
+++ b/ticket.h
@@ -10,8 +10,8 @@
  */
 
 enum {
-	TICKET_US = 10000000,
-	TICKET_MAX = 128,
+	TICKET_VALID_US = 10000000,
+	TICKET_TEXT_MAX = 128,
 };
 
 /** struct ticket - parsed form of a ticket's text */
