--- a/answer.c
+++ b/answer.c
@@ -73,7 +73,7 @@
 	if (node->opt.off.no_coverage_merge)
 		covered = 1;
 	buf_str_add(&out, STR("{\"request_id\":"));
-	buf_json_add(&out, q->query.request_id);
+	buf_json_add(&out, q->request.request_id);
 	buf_printf(&out, ",\"snapshot\":%llu,\"coverage\":%.6f",
 		   (unsigned long long)q->snapshot->version, covered);
 	buf_printf(&out, ",\"complete\":%s", complete ? "true" : "false");
--- a/fetch.c
+++ b/fetch.c
@@ -195,7 +195,7 @@
 	(void)local_ip;
 	(void)port;
 	(void)local_port;
-	if (t->request.at_most_once && t->sent)
+	if (t->request.once && t->sent)
 		return CURL_PREREQFUNC_ABORT;
 	t->sent++;
 	return CURL_PREREQFUNC_OK;
@@ -296,7 +296,7 @@
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, t);
 	curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, prereq_cb);
 	curl_easy_setopt(easy, CURLOPT_PREREQDATA, t);
-	if (request->at_most_once) {
+	if (request->once) {
 		curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
 	}
--- a/fetch.h
+++ b/fetch.h
@@ -33,7 +33,7 @@
  * @remaining_us: value of the X-Remaining-Ms header, -1 for none
  * @timeout_us: the transfer is aborted after this time
  * @max_body: larger replies are malformed; 0 for the fetcher's default
- * @at_most_once: at-most-once, sent on a new connection and never resent
+ * @once: at-most-once, sent on a new connection and never resent
  * @done: called once, unless the fetcher is destroyed before
  * @ctx: passed to @done
  * @id: passed to @done
@@ -44,7 +44,7 @@
 	int64_t remaining_us;
 	int64_t timeout_us;
 	size_t max_body;
-	bool at_most_once;
+	bool once;
 	void (*done)(void *ctx, uint64_t id, const struct fetch_reply *reply);
 	void *ctx;
 	uint64_t id;
--- a/front.c
+++ b/front.c
@@ -137,7 +137,7 @@
 		.remaining_us = q->deadline - node->now,
 		.state = leaf->nattempts > 0,
 		.name = leaf->shard->index,
-		.text = q->query.terms,
+		.text = q->request.terms,
 	};
 
 	*attempt = (struct attempt){
@@ -202,7 +202,7 @@
 
 	if (q->restarted || q->deadline - node->now < node->now - q->started_at)
 		return false;
-	other = snapshot_choose(node, &q->query, q->fleet,
+	other = snapshot_choose(node, &q->request, q->fleet,
 				q->plan.coverage_floor, q->snapshot, &count,
 				&total_weight);
 	if (!other || node->front->budget < (double)q->nleaves / 2)
@@ -334,13 +334,13 @@
 	size_t n = 0;
 
 	q->leaves = apr_pcalloc(q->pool, q->nleaves * sizeof(struct leaf));
-	for (size_t i = 0; i < q->query.nindexes; i++) {
+	for (size_t i = 0; i < q->request.nindexes; i++) {
 		size_t count;
 		const struct shard *shards = snapshot_index_shards(
-			q->snapshot, q->query.indexes[i], &count);
+			q->snapshot, q->request.indexes[i], &count);
 
 		for (size_t j = 0; j < count; j++)
-			if (snapshot_shard_requested(&q->query, shards[j].id))
+			if (snapshot_shard_requested(&q->request, shards[j].id))
 				q->leaves[n++].shard = &shards[j];
 	}
 	q->open_leaves = q->nleaves;
--- a/front.h
+++ b/front.h
@@ -82,7 +82,7 @@
 	apr_pool_t *pool;
 	uint64_t id;
 	uint64_t caller;
-	struct query query;
+	struct question_request request;
 	struct plan plan;
 	bool awaiting_lease;
 	struct fleet *fleet;
--- a/front_admit.c
+++ b/front_admit.c
@@ -32,20 +32,21 @@
 	return 0;
 }
 
-static int check_plan(const struct node *node, const struct query *query,
+static int check_plan(const struct node *node,
+		      const struct question_request *request,
 		      const struct plan **plan, char *text, size_t size)
 {
-	*plan = lists_plan(node->lists, query->customer);
+	*plan = lists_plan(node->lists, request->customer);
 	if (!*plan) {
 		snprintf(text, size, "customer \"%.*s\"",
-			 STR_ARG(query->customer));
+			 STR_ARG(request->customer));
 		return ERR_UNKNOWN_CUSTOMER;
 	}
-	for (size_t i = 0; i < query->nindexes; i++) {
-		if (plan_allows(*plan, query->indexes[i], false))
+	for (size_t i = 0; i < request->nindexes; i++) {
+		if (plan_allows(*plan, request->indexes[i], false))
 			continue;
 		snprintf(text, size, "index \"%.*s\"",
-			 STR_ARG(query->indexes[i]));
+			 STR_ARG(request->indexes[i]));
 		return ERR_NOT_ALLOWED;
 	}
 	return 0;
@@ -91,7 +92,7 @@
 
 	q->awaiting_lease = false;
 	q->fleet = fleet_ref(node->fleet);
-	q->snapshot = snapshot_choose(node, &q->query, q->fleet,
+	q->snapshot = snapshot_choose(node, &q->request, q->fleet,
 				      q->plan.coverage_floor, NULL, &count,
 				      &total_weight);
 	if (!q->snapshot) {
@@ -118,23 +119,24 @@
 }
 
 /* Covers the request to the targets and the customer, not the request id. */
-static struct fingerprint question_fingerprint(const struct query *query)
+static struct fingerprint
+question_fingerprint(const struct question_request *request)
 {
-	struct str parts[QUERY_MAX_INDEXES + 2];
+	struct str parts[QUESTION_MAX_INDEXES + 2];
 	size_t count = 0;
 
-	parts[count++] = query->terms;
+	parts[count++] = request->terms;
 	parts[count++] =
-		(struct str){ (const char *)query->shards,
-			      query->nshards * sizeof(*query->shards) };
-	for (size_t i = 0; i < query->nindexes; i++)
-		parts[count++] = query->indexes[i];
-	return fingerprint_of(parts, count, query->customer);
+		(struct str){ (const char *)request->shards,
+			      request->nshards * sizeof(*request->shards) };
+	for (size_t i = 0; i < request->nindexes; i++)
+		parts[count++] = request->indexes[i];
+	return fingerprint_of(parts, count, request->customer);
 }
 
 static struct question *question_create(struct node *node, uint64_t caller,
 					apr_pool_t *pool,
-					const struct query *query,
+					const struct question_request *request,
 					const struct plan *plan)
 {
 	struct question *q = apr_pcalloc(pool, sizeof(*q));
@@ -142,30 +144,30 @@
 	q->pool = pool;
 	q->id = ++node->next_id;
 	q->caller = caller;
-	q->query = *query;
+	q->request = *request;
 	q->plan = *plan;
 	q->started_at = node->now;
 	q->deadline = node->now + plan->deadline_us;
-	if (query->deadline_us && query->deadline_us < plan->deadline_us)
-		q->deadline = node->now + query->deadline_us;
+	if (request->deadline_us && request->deadline_us < plan->deadline_us)
+		q->deadline = node->now + request->deadline_us;
 	q->soft_deadline = node->now + plan->soft_us;
 	if (q->soft_deadline > q->deadline)
 		q->soft_deadline = q->deadline;
-	q->fingerprint = question_fingerprint(query);
+	q->fingerprint = question_fingerprint(request);
 	apr_hash_set(node->front->questions, &q->id, sizeof(q->id), q);
 	apr_hash_set(node->front->callers, &q->caller, sizeof(q->caller), q);
 	node->front->open_questions++;
 	return q;
 }
 
-static int admit(struct node *node, const struct query *query,
+static int admit(struct node *node, const struct question_request *request,
 		 const struct plan **plan, char *text, size_t size)
 {
 	struct front *front = node->front;
 	int code = check_state(node);
 
 	if (!code)
-		code = check_plan(node, query, plan, text, size);
+		code = check_plan(node, request, plan, text, size);
 	if (code)
 		return code;
 	if (front->open_questions >= (size_t)node->opt.max_open ||
@@ -180,15 +182,15 @@
 	struct error err = { 0 };
 	const struct plan *plan = NULL;
 	apr_pool_t *pool;
-	struct query query;
+	struct question_request request;
 	int64_t retry_us = STARTING_RETRY_AFTER_US;
 	int code;
 
 	node->counters[CNT_QUESTIONS]++;
 	apr_pool_create(&pool, node->front->pool);
-	code = query_parse(body, pool, &query, &err);
+	code = request_parse_question(body, pool, &request, &err);
 	if (!code)
-		code = admit(node, &query, &plan, err.text, sizeof(err.text));
+		code = admit(node, &request, &plan, err.text, sizeof(err.text));
 	if (code == ERR_OVERLOADED)
 		retry_us = OVERLOADED_RETRY_AFTER_US;
 	else if (code != ERR_STARTING && code != ERR_ISOLATED)
@@ -199,7 +201,8 @@
 		return;
 	}
 
-	struct question *q = question_create(node, caller, pool, &query, plan);
+	struct question *q =
+		question_create(node, caller, pool, &request, plan);
 
 	poison_touch(&node->front->poison, &q->fingerprint, node->now);
 	if (front_poison_is_blocked(node, q)) {
@@ -208,7 +211,7 @@
 		question_destroy(node, q);
 		return;
 	}
-	switch (quota_take(node, query.customer, plan, q->id, &retry_us)) {
+	switch (quota_take(node, request.customer, plan, q->id, &retry_us)) {
 	case QUOTA_TAKEN:
 		question_start(node, q);
 		break;
--- a/once.c
+++ b/once.c
@@ -212,13 +212,13 @@
 	record = xcalloc(1, sizeof(*record));
 	record->pool = pool;
 	record->seq = seq;
-	entry_parse(body, false, pool, &record->entry, &err);
-	record->request_id = str_keep(record->entry.request_id);
-	record->customer = str_hash(record->entry.customer);
-	record->body_hash = str_hash(record->entry.entry);
+	request_parse_entry(body, false, pool, &record->request, &err);
+	record->request_id = str_keep(record->request.request_id);
+	record->customer = str_hash(record->request.customer);
+	record->body_hash = str_hash(record->request.entry);
 	record->state = RECORD_RESERVING;
 
-	int64_t timeout_us = record->entry.deadline_us;
+	int64_t timeout_us = record->request.deadline_us;
 
 	if (!timeout_us)
 		timeout_us = ENTRY_DEFAULT_TIMEOUT_US;
@@ -275,7 +275,7 @@
 		str_free(record->result);
 		record->result = str_keep(STR("{\"omitted\":true}"));
 	}
-	record->entry = (struct entry){ 0 };
+	record->request = (struct entry_request){ 0 };
 	if (record->pool)
 		apr_pool_destroy(record->pool);
 	record->pool = NULL;
@@ -289,18 +289,18 @@
 /* Reservation of a slot, then sending of the body. */
 
 static const struct shard *find_shard(const struct fleet *fleet,
-				      const struct entry *entry,
+				      const struct entry_request *request,
 				      uint64_t *version)
 {
 	for (size_t i = 0; i < fleet->nsnapshots; i++) {
 		size_t count;
 		const struct shard *shards = snapshot_index_shards(
-			&fleet->snapshots[i], entry->index, &count);
+			&fleet->snapshots[i], request->index, &count);
 
 		*version = fleet->snapshots[i].version;
 		for (size_t j = 0; j < count; j++)
-			if (shards[j].from <= entry->key &&
-			    entry->key < shards[j].to)
+			if (shards[j].from <= request->key &&
+			    request->key < shards[j].to)
 				return &shards[j];
 	}
 	return NULL;
@@ -330,7 +330,7 @@
 {
 	uint64_t version;
 	const struct shard *shard =
-		find_shard(node->fleet, &record->entry, &version);
+		find_shard(node->fleet, &record->request, &version);
 	struct fleet_target *target = NULL;
 	struct vm *gate = NULL;
 
@@ -356,7 +356,7 @@
 		.shard = shard->id,
 		.version = version,
 		.remaining_us = record->deadline - node->now,
-		.name = record->entry.index,
+		.name = record->request.index,
 	};
 
 	node_send(node, gate->addr, gate->incarnation, &msg);
@@ -415,7 +415,7 @@
 		.id = record->seq,
 		.attempt = record->attempt,
 		.remaining_us = record->deadline - node->now,
-		.body = record->entry.entry,
+		.body = record->request.entry,
 	};
 
 	node_send(node, from, incarnation, &go);
--- a/once.h
+++ b/once.h
@@ -46,7 +46,7 @@
 	apr_pool_t *pool;
 	uint64_t seq;
 	enum record_state state;
-	struct entry entry;
+	struct entry_request request;
 	struct str request_id;
 	uint64_t customer;
 	uint64_t body_hash;
--- a/once_entry.c
+++ b/once_entry.c
@@ -10,7 +10,7 @@
 static void start_record(struct node *node, struct record *record)
 {
 	const struct plan *plan =
-		node->lists ? lists_plan(node->lists, record->entry.customer)
+		node->lists ? lists_plan(node->lists, record->request.customer)
 			    : NULL;
 	int64_t retry_us = 0;
 
@@ -19,13 +19,13 @@
 		once_set_not_run(node, record, ERR_ISOLATED);
 		return;
 	}
-	if (!plan || !plan_allows(plan, record->entry.index, true)) {
+	if (!plan || !plan_allows(plan, record->request.index, true)) {
 		once_set_not_run(node, record,
 				 plan ? ERR_NOT_ALLOWED : ERR_UNKNOWN_CUSTOMER);
 		return;
 	}
 	record->state = RECORD_AWAIT_QUOTA;
-	switch (quota_take(node, record->entry.customer, plan, record->seq,
+	switch (quota_take(node, record->request.customer, plan, record->seq,
 			   &retry_us)) {
 	case QUOTA_TAKEN:
 		once_reserve(node, record, 0);
@@ -55,15 +55,15 @@
 }
 
 static void handle_repeated_request(struct node *node, struct record *record,
-				    const struct entry *entry, bool lookup,
-				    const struct waiter *waiter)
+				    const struct entry_request *request,
+				    bool lookup, const struct waiter *waiter)
 {
-	bool same = record->customer == str_hash(entry->customer) &&
-		    str_eq(record->request_id, entry->request_id) &&
-		    (lookup || record->body_hash == str_hash(entry->entry));
+	bool same = record->customer == str_hash(request->customer) &&
+		    str_eq(record->request_id, request->request_id) &&
+		    (lookup || record->body_hash == str_hash(request->entry));
 
 	if (!same) {
-		once_reply_outcome(node, waiter, entry->request_id, "unknown",
+		once_reply_outcome(node, waiter, request->request_id, "unknown",
 				   ERR_TICKET_MISMATCH,
 				   "the ticket was used for another entry", 0,
 				   (struct str){ 0 });
@@ -77,23 +77,24 @@
 }
 
 static void handle_at_issuer(struct node *node, const struct ticket *ticket,
-			     const struct entry *entry, struct str body,
-			     bool lookup, const struct waiter *waiter)
+			     const struct entry_request *request,
+			     struct str body, bool lookup,
+			     const struct waiter *waiter)
 {
 	struct record *record = once_record_find(node, ticket->seq);
 	int code = 0;
 
-	if (ticket->check !=
-	    ticket_check(node, ticket, entry->customer, entry->request_id)) {
+	if (ticket->check != ticket_check(node, ticket, request->customer,
+					  request->request_id)) {
 		once_reply_outcome(
-			node, waiter, entry->request_id, "not_run",
+			node, waiter, request->request_id, "not_run",
 			ERR_TICKET_INVALID,
 			"the ticket does not match the request id and customer",
 			0, (struct str){ 0 });
 		return;
 	}
 	if (record) {
-		handle_repeated_request(node, record, entry, lookup, waiter);
+		handle_repeated_request(node, record, request, lookup, waiter);
 		return;
 	}
 	if (ticket->seq <= node->once->evicted_seq)
@@ -104,7 +105,7 @@
 		code = ERR_NOT_FOUND;
 	if (code) {
 		once_reply_outcome(
-			node, waiter, entry->request_id,
+			node, waiter, request->request_id,
 			code == ERR_ISSUER_GONE ? "unknown" : "not_run", code,
 			code == ERR_NOT_FOUND
 				? "the ticket has not been used yet"
@@ -132,19 +133,21 @@
 	return member_state(node) == VM_LIVE && !member_isolated(node);
 }
 
-static void reply_ticket_required(struct node *node, const struct entry *entry,
+static void reply_ticket_required(struct node *node,
+				  const struct entry_request *request,
 				  struct str body, const struct waiter *waiter)
 {
 	char text[TICKET_TEXT_MAX];
-	struct str issued = ticket_issue(node, entry->customer,
-					 entry->request_id, text, sizeof(text));
+	struct str issued =
+		ticket_issue(node, request->customer, request->request_id, text,
+			     sizeof(text));
 	struct ticket ticket;
 
 	if (node->opt.off.no_ticket && ticket_parse(issued, &ticket)) {
-		handle_at_issuer(node, &ticket, entry, body, false, waiter);
+		handle_at_issuer(node, &ticket, request, body, false, waiter);
 		return;
 	}
-	once_reply_outcome(node, waiter, entry->request_id, "not_run",
+	once_reply_outcome(node, waiter, request->request_id, "not_run",
 			   ERR_TICKET_REQUIRED, "an entry requires a ticket", 0,
 			   issued);
 }
@@ -155,21 +158,21 @@
 	struct buf out = { 0 };
 	char text[TICKET_TEXT_MAX];
 	struct error err;
-	struct entry entry;
+	struct entry_request request;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, node->once->pool);
-	if (entry_parse(body, true, pool, &entry, &err)) {
-		once_reply_outcome(node, waiter, entry.request_id, "not_run",
+	if (request_parse_entry(body, true, pool, &request, &err)) {
+		once_reply_outcome(node, waiter, request.request_id, "not_run",
 				   err.code, err.text, 0, (struct str){ 0 });
-	} else if (!lists_plan(node->lists, entry.customer)) {
-		once_reply_outcome(node, waiter, entry.request_id, "not_run",
+	} else if (!lists_plan(node->lists, request.customer)) {
+		once_reply_outcome(node, waiter, request.request_id, "not_run",
 				   ERR_UNKNOWN_CUSTOMER, "", 0,
 				   (struct str){ 0 });
 	} else {
 		buf_str_add(&out, STR("{\"request_id\":"));
-		buf_json_add(&out, entry.request_id);
-		ticket_issue(node, entry.customer, entry.request_id, text,
+		buf_json_add(&out, request.request_id);
+		ticket_issue(node, request.customer, request.request_id, text,
 			     sizeof(text));
 		buf_printf(&out, ",\"ticket\":\"%s\",\"valid_ms\":%d}", text,
 			   TICKET_VALID_US / 1000);
@@ -215,18 +218,18 @@
 
 static void route_request(struct node *node, struct str body, bool lookup,
 			  const struct waiter *waiter,
-			  const struct entry *entry)
+			  const struct entry_request *request)
 {
 	struct ticket ticket;
 	struct vm *issuer;
 
-	if (!entry->ticket.len && !lookup) {
+	if (!request->ticket.len && !lookup) {
 		if (!try_forward(node, waiter, FORWARD_ENTRY, body))
-			reply_ticket_required(node, entry, body, waiter);
+			reply_ticket_required(node, request, body, waiter);
 		return;
 	}
-	if (!ticket_parse(entry->ticket, &ticket)) {
-		once_reply_outcome(node, waiter, entry->request_id, "not_run",
+	if (!ticket_parse(request->ticket, &ticket)) {
+		once_reply_outcome(node, waiter, request->request_id, "not_run",
 				   ERR_TICKET_INVALID, "invalid ticket format",
 				   0, (struct str){ 0 });
 		return;
@@ -234,7 +237,7 @@
 	issuer = member_find(node, str_hash(ticket.addr));
 	if (str_eq(ticket.addr, node->opt.addr) &&
 	    ticket.incarnation == node->opt.incarnation) {
-		handle_at_issuer(node, &ticket, entry, body, lookup, waiter);
+		handle_at_issuer(node, &ticket, request, body, lookup, waiter);
 	} else if (issuer && issuer->incarnation == ticket.incarnation &&
 		   issuer->heartbeat_at != INT64_MIN && !waiter->addr.len) {
 		once_forward_to(node, waiter->caller, issuer,
@@ -245,7 +248,7 @@
 		 * no other node runs it: that could be the second run.
 		 */
 		once_reply_outcome(
-			node, waiter, entry->request_id, "unknown",
+			node, waiter, request->request_id, "unknown",
 			ERR_ISSUER_GONE,
 			"the VM that issued the ticket is gone or unreachable",
 			0, (struct str){ 0 });
@@ -256,19 +259,19 @@
 			   const struct waiter *waiter)
 {
 	struct error err = { 0 };
-	struct entry entry;
+	struct entry_request request;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, node->once->pool);
-	if (entry_parse(body, lookup, pool, &entry, &err))
-		once_reply_outcome(node, waiter, entry.request_id, "not_run",
+	if (request_parse_entry(body, lookup, pool, &request, &err))
+		once_reply_outcome(node, waiter, request.request_id, "not_run",
 				   err.code, err.text, 0, (struct str){ 0 });
 	/*
 	 * An entry with a ticket may already have run. A node that has just
 	 * started cannot answer "not run" for it; only the issuer can.
 	 */
-	else if (entry.ticket.len || !refuse_if_starting(node, waiter))
-		route_request(node, body, lookup, waiter, &entry);
+	else if (request.ticket.len || !refuse_if_starting(node, waiter))
+		route_request(node, body, lookup, waiter, &request);
 	apr_pool_destroy(pool);
 }
 
--- a/request.c
+++ b/request.c
@@ -52,16 +52,18 @@
 }
 
 static void parse_shards(struct json_in *in, json_t *doc, apr_pool_t *pool,
-			 struct query *query)
+			 struct question_request *request)
 {
 	if (!json_object_get(doc, "shards"))
 		return;
 
-	json_t *list = json_list(in, "shards", doc, "shards", QUERY_MAX_SHARDS);
+	json_t *list =
+		json_list(in, "shards", doc, "shards", QUESTION_MAX_SHARDS);
 	size_t count = list ? json_array_size(list) : 0;
 
-	query->shards = apr_pcalloc(pool, (count + 1) * sizeof(*query->shards));
-	query->nshards = count;
+	request->shards =
+		apr_pcalloc(pool, (count + 1) * sizeof(*request->shards));
+	request->nshards = count;
 	for (size_t i = 0; i < count; i++) {
 		json_t *item = json_array_get(list, i);
 		json_int_t id = json_integer_value(item);
@@ -69,17 +71,17 @@
 		if (!json_is_integer(item) || id < 1 || id > UINT32_MAX)
 			json_fault(in, "shards", "item %zu is not a shard id",
 				   i);
-		query->shards[i] = (uint32_t)id;
+		request->shards[i] = (uint32_t)id;
 	}
-	qsort(query->shards, count, sizeof(*query->shards), compare_ids);
+	qsort(request->shards, count, sizeof(*request->shards), compare_ids);
 	for (size_t i = 1; i < count; i++)
-		if (query->shards[i] == query->shards[i - 1])
+		if (request->shards[i] == request->shards[i - 1])
 			json_fault(in, "shards", "%u is listed twice",
-				   query->shards[i]);
+				   request->shards[i]);
 }
 
-int query_parse(struct str body, apr_pool_t *pool, struct query *query,
-		struct error *err)
+int request_parse_question(struct str body, apr_pool_t *pool,
+			   struct question_request *request, struct error *err)
 {
 	static const char *const keys[] = { "customer", "request_id",
 					    "terms",	"indexes",
@@ -88,22 +90,23 @@
 	struct json_in in = { .file = "question", .code = ERR_BAD_REQUEST };
 	json_t *doc = parse_object(&in, body);
 
-	*query = (struct query){ 0 };
+	*request = (struct question_request){ 0 };
 	if (doc) {
 		json_keys(&in, "top", doc, keys);
-		query->customer = parse_text(&in, doc, "customer",
-					     REQUEST_NAME_MAX, pool);
-		query->request_id = parse_text(&in, doc, "request_id",
+		request->customer = parse_text(&in, doc, "customer",
 					       REQUEST_NAME_MAX, pool);
-		query->terms = parse_optional_text(&in, doc, "terms",
-						   QUERY_TERMS_MAX, pool);
-		query->indexes = json_strings(&in, "indexes", doc, "indexes",
-					      pool, &query->nindexes);
-		if (!query->nindexes || query->nindexes > QUERY_MAX_INDEXES)
+		request->request_id = parse_text(&in, doc, "request_id",
+						 REQUEST_NAME_MAX, pool);
+		request->terms = parse_optional_text(&in, doc, "terms",
+						     QUESTION_TERMS_MAX, pool);
+		request->indexes = json_strings(&in, "indexes", doc, "indexes",
+						pool, &request->nindexes);
+		if (!request->nindexes ||
+		    request->nindexes > QUESTION_MAX_INDEXES)
 			json_fault(&in, "indexes", "must name 1 to %d",
-				   QUERY_MAX_INDEXES);
-		parse_shards(&in, doc, pool, query);
-		query->deadline_us = parse_deadline(&in, doc);
+				   QUESTION_MAX_INDEXES);
+		parse_shards(&in, doc, pool, request);
+		request->deadline_us = parse_deadline(&in, doc);
 		json_decref(doc);
 	}
 	*err = in.err;
@@ -111,13 +114,13 @@
 }
 
 static void parse_action(struct json_in *in, json_t *doc, apr_pool_t *pool,
-			 struct entry *entry)
+			 struct entry_request *request)
 {
 	json_t *action = json_object_get(doc, "entry");
 
-	entry->index = parse_text(in, doc, "index", REQUEST_NAME_MAX, pool);
-	entry->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
-	entry->deadline_us = parse_deadline(in, doc);
+	request->index = parse_text(in, doc, "index", REQUEST_NAME_MAX, pool);
+	request->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
+	request->deadline_us = parse_deadline(in, doc);
 	if (!json_is_object(action)) {
 		json_fault(in, "entry", "must be an object");
 		return;
@@ -125,12 +128,12 @@
 
 	char *dump = json_dumps(action, JSON_COMPACT | JSON_SORT_KEYS);
 
-	entry->entry = str_dup(pool, str_of(dump));
+	request->entry = str_dup(pool, str_of(dump));
 	free(dump);
 }
 
-int entry_parse(struct str body, bool lookup, apr_pool_t *pool,
-		struct entry *entry, struct error *err)
+int request_parse_entry(struct str body, bool lookup, apr_pool_t *pool,
+			struct entry_request *request, struct error *err)
 {
 	static const char *const keys[] = { "customer",	   "request_id",
 					    "ticket",	   "index",
@@ -139,17 +142,17 @@
 	struct json_in in = { .file = "entry", .code = ERR_BAD_REQUEST };
 	json_t *doc = parse_object(&in, body);
 
-	*entry = (struct entry){ 0 };
+	*request = (struct entry_request){ 0 };
 	if (doc) {
 		json_keys(&in, "top", doc, keys);
-		entry->customer = parse_text(&in, doc, "customer",
-					     REQUEST_NAME_MAX, pool);
-		entry->request_id = parse_text(&in, doc, "request_id",
+		request->customer = parse_text(&in, doc, "customer",
 					       REQUEST_NAME_MAX, pool);
-		entry->ticket =
+		request->request_id = parse_text(&in, doc, "request_id",
+						 REQUEST_NAME_MAX, pool);
+		request->ticket =
 			parse_optional_text(&in, doc, "ticket", 128, pool);
 		if (!lookup)
-			parse_action(&in, doc, pool, entry);
+			parse_action(&in, doc, pool, request);
 		json_decref(doc);
 	}
 	*err = in.err;
--- a/request.h
+++ b/request.h
@@ -11,14 +11,14 @@
 
 enum {
 	REQUEST_BODY_MAX = 64 * 1024,
-	QUERY_TERMS_MAX = 1024,
+	QUESTION_TERMS_MAX = 1024,
 	REQUEST_NAME_MAX = 64,
-	QUERY_MAX_INDEXES = 16,
-	QUERY_MAX_SHARDS = 8192,
+	QUESTION_MAX_INDEXES = 16,
+	QUESTION_MAX_SHARDS = 8192,
 };
 
 /**
- * struct query - a parsed question
+ * struct question_request - a parsed question
  * @customer: customer to which it is charged
  * @request_id: the caller's id, echoed in the answer
  * @terms: search terms, passed on to the targets
@@ -28,7 +28,7 @@
  * @nshards: number of @shards
  * @deadline_us: the caller's deadline, 0 for the plan's
  */
-struct query {
+struct question_request {
 	struct str customer;
 	struct str request_id;
 	struct str terms;
@@ -40,7 +40,7 @@
 };
 
 /**
- * struct entry - an action that must not run twice
+ * struct entry_request - an action that must not run twice
  * @customer: customer to which it is charged
  * @request_id: the caller's id, echoed in the answer
  * @ticket: ticket issued by a node, empty when the caller has none yet
@@ -49,7 +49,7 @@
  * @entry: the action, a JSON object, passed on to the target
  * @deadline_us: the caller's deadline, 0 for the plan's
  */
-struct entry {
+struct entry_request {
 	struct str customer;
 	struct str request_id;
 	struct str ticket;
@@ -59,11 +59,11 @@
 	int64_t deadline_us;
 };
 
-int query_parse(struct str body, apr_pool_t *pool, struct query *query,
-		struct error *err);
+int request_parse_question(struct str body, apr_pool_t *pool,
+			   struct question_request *request, struct error *err);
 /**
- * entry_parse() - parse an entry or a lookup
+ * request_parse_entry() - parse an entry or a lookup
  * @lookup: parse only customer, request_id and ticket
  */
-int entry_parse(struct str body, bool lookup, apr_pool_t *pool,
-		struct entry *entry, struct error *err);
+int request_parse_entry(struct str body, bool lookup, apr_pool_t *pool,
+			struct entry_request *request, struct error *err);
--- a/serve.c
+++ b/serve.c
@@ -97,7 +97,7 @@
 		.remaining_us = fx->wait_us,
 		.timeout_us = fx->wait_us + TARGET_TIMEOUT_SLACK_US,
 		.max_body = TARGET_REPLY_MAX,
-		.at_most_once = fx->fetch == FETCH_ENTRY,
+		.once = fx->fetch == FETCH_ENTRY,
 		.done = on_fetched,
 		.ctx = fetch_ctx,
 		.id = fx->id,
--- a/snapshot.c
+++ b/snapshot.c
@@ -13,26 +13,28 @@
 	return false;
 }
 
-bool snapshot_shard_requested(const struct query *query, uint32_t id)
+bool snapshot_shard_requested(const struct question_request *request,
+			      uint32_t id)
 {
 	size_t low = 0;
-	size_t high = query->nshards;
+	size_t high = request->nshards;
 
-	if (!query->nshards)
+	if (!request->nshards)
 		return true;
 	while (low < high) {
 		size_t mid = (low + high) / 2;
 
-		if (query->shards[mid] < id)
+		if (request->shards[mid] < id)
 			low = mid + 1;
 		else
 			high = mid;
 	}
-	return low < query->nshards && query->shards[low] == id;
+	return low < request->nshards && request->shards[low] == id;
 }
 
 /* Counts the question's shards in @snap and sums total and available weight. */
-static size_t measure_coverage(struct node *node, const struct query *query,
+static size_t measure_coverage(struct node *node,
+			       const struct question_request *request,
 			       const struct snapshot *snap,
 			       double *total_weight, double *available)
 {
@@ -40,15 +42,15 @@
 
 	*total_weight = 0;
 	*available = 0;
-	for (size_t i = 0; i < query->nindexes; i++) {
+	for (size_t i = 0; i < request->nindexes; i++) {
 		size_t count;
-		const struct shard *shards =
-			snapshot_index_shards(snap, query->indexes[i], &count);
+		const struct shard *shards = snapshot_index_shards(
+			snap, request->indexes[i], &count);
 
 		if (!count)
 			return 0;
 		for (size_t j = 0; j < count; j++) {
-			if (!snapshot_shard_requested(query, shards[j].id))
+			if (!snapshot_shard_requested(request, shards[j].id))
 				continue;
 			found++;
 			*total_weight += shards[j].weight;
@@ -56,7 +58,7 @@
 				*available += shards[j].weight;
 		}
 	}
-	return query->nshards && found != query->nshards ? 0 : found;
+	return request->nshards && found != request->nshards ? 0 : found;
 }
 
 /*
@@ -65,7 +67,7 @@
  * the same snapshot.
  */
 const struct snapshot *snapshot_choose(struct node *node,
-				       const struct query *query,
+				       const struct question_request *request,
 				       const struct fleet *fleet, double floor,
 				       const struct snapshot *excluded,
 				       size_t *count, double *total_weight)
@@ -77,7 +79,7 @@
 		const struct snapshot *snap = &fleet->snapshots[i];
 		double weight;
 		double available;
-		size_t found = measure_coverage(node, query, snap, &weight,
+		size_t found = measure_coverage(node, request, snap, &weight,
 						&available);
 
 		if (!found || snap == excluded)
--- a/snapshot.h
+++ b/snapshot.h
@@ -6,18 +6,19 @@
 /** DOC: choice of the snapshot from which a question is answered */
 
 /** snapshot_shard_requested() - whether the question includes the shard @id. */
-bool snapshot_shard_requested(const struct query *query, uint32_t id);
+bool snapshot_shard_requested(const struct question_request *request,
+			      uint32_t id);
 /**
- * snapshot_choose() - choose the snapshot for @query
+ * snapshot_choose() - choose the snapshot for @request
  * @floor: coverage that the plan requires
  * @excluded: snapshot not to choose, may be NULL
  * @count: number of the question's shards in the map of the snapshot
  * @total_weight: their weight
  *
- * Return: NULL if no snapshot has all indexes and shards of @query.
+ * Return: NULL if no snapshot has all indexes and shards of @request.
  */
 const struct snapshot *snapshot_choose(struct node *node,
-				       const struct query *query,
+				       const struct question_request *request,
 				       const struct fleet *fleet, double floor,
 				       const struct snapshot *excluded,
 				       size_t *count, double *total_weight);
--- a/tests/check_fetch.c
+++ b/tests/check_fetch.c
@@ -113,7 +113,7 @@
 				     .post = STR("{}"),
 				     .remaining_us = 1000000,
 				     .timeout_us = 5000000,
-				     .at_most_once = once,
+				     .once = once,
 				     .done = on_done,
 				     .ctx = &reply,
 			     });
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -255,11 +255,11 @@
 	const struct input *in = &asks[_i];
 	struct error err = { 0 };
 	apr_pool_t *pool;
-	struct query query;
+	struct question_request query;
 	int code;
 
 	apr_pool_create(&pool, NULL);
-	code = query_parse(str_of(in->text), pool, &query, &err);
+	code = request_parse_question(str_of(in->text), pool, &query, &err);
 	ck_assert_int_eq(code, in->names ? ERR_BAD_REQUEST : 0);
 	if (in->names)
 		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
@@ -280,12 +280,12 @@
 {
 	const struct input *in = &entries[_i];
 	struct error err = { 0 };
-	struct entry entry;
+	struct entry_request entry;
 	apr_pool_t *pool;
 	int code;
 
 	apr_pool_create(&pool, NULL);
-	code = entry_parse(str_of(in->text), false, pool, &entry, &err);
+	code = request_parse_entry(str_of(in->text), false, pool, &entry, &err);
 	ck_assert_int_eq(code, in->names ? ERR_BAD_REQUEST : 0);
 	if (in->names)
 		ck_assert_msg(strstr(err.text, in->names), "%s", err.text);
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -47,13 +47,13 @@
 static void take_caller(struct str in)
 {
 	struct error err;
-	struct entry entry;
-	struct query query;
+	struct entry_request entry;
+	struct question_request query;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, NULL);
-	query_parse(in, pool, &query, &err);
-	entry_parse(in, false, pool, &entry, &err);
+	request_parse_question(in, pool, &query, &err);
+	request_parse_entry(in, false, pool, &entry, &err);
 	apr_pool_destroy(pool);
 }
 
