--- a/event.h
+++ b/event.h
@@ -23,8 +23,8 @@
 	EV_FETCHED, /* a target's reply: id, parsed_reply */
 	EV_DOC, /* a document from the platform: doc, body */
 	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
-	EV_DOC_FAILED, /* the platform did not answer: doc */
-	EV_DRAIN, /* planned stop */
+	EV_DOC_FAILED, /* the platform did not reply: doc */
+	EV_DRAIN, /* a planned stop begins */
 };
 
 /** enum fetch_result - outcome of a request to a target */
@@ -48,7 +48,7 @@
  * @shard: shard that the reply is for
  * @version: version of the snapshot that the reply is from
  * @load: number of requests in progress at the target, -1 if not given
- * @draining: the target states that it is leaving
+ * @draining: the target reports that it is leaving
  * @resent: number of times that the HTTP library resent the request itself
  * @body: rows (a JSON array) or the entry's result
  */
@@ -102,7 +102,7 @@
  * struct effect - one output of the reducer; strings live in the effects' pool
  * @id: caller (FX_ANSWER) or fetch (FX_FETCH)
  * @addr: node or target, "ip:port"
- * @wait_us: FX_READ_DOC: how long the platform may hold the call;
+ * @wait_us: FX_READ_DOC: maximum time that the platform may delay its reply;
  *           FX_FETCH: timeout
  * @status: FX_ANSWER: HTTP status
  * @text: FX_FETCH: terms
--- a/front.c
+++ b/front.c
@@ -17,7 +17,7 @@
 	DELAYED_RETRIES_MAX = 4,
 	RETRY_DELAY_US = 20000,
 	RETRY_BACKOFF_FACTOR = 3,
-	/* Interval at which a deferred leaf checks if it may be sent. */
+	/* Interval of the checks whether a deferred leaf may be sent. */
 	DEFER_US = 10000,
 	BUDGET_MAX = 256,
 	BUDGET_INITIAL = 32,
@@ -232,7 +232,7 @@
 	       q->plan.coverage_floor - EPSILON;
 }
 
-/* Return: false when the question has been restarted. */
+/* Returns false if the question was restarted. */
 static bool set_missing(struct node *node, struct question *q,
 			struct leaf *leaf, int error_code)
 {
@@ -539,7 +539,7 @@
 		front_finish_question(node, q, 0);
 }
 
-/* Return: false when the budget is exhausted. */
+/* Returns false if the budget is exhausted. */
 static bool hedge_leaf(struct node *node, struct question *q, struct leaf *leaf,
 		       int64_t delay)
 {
--- a/front.h
+++ b/front.h
@@ -5,12 +5,13 @@
 #include "request.h"
 
 /**
- * DOC: front
+ * DOC: coordination of questions
  *
- * Coordinates a question: admits it, pins one snapshot, sends a leaf request
- * for each shard to the gate of a replica, hedges and retries within a budget,
- * and merges the replies. Coverage is the merged weight divided by the total
- * weight of the question's shards in the snapshot's map.
+ * The node that receives a question is its front. It admits the question, pins
+ * one snapshot, sends a leaf request for each shard to the gate of a replica,
+ * hedges and retries within a budget, and merges the replies. Coverage is the
+ * merged weight divided by the total weight of the question's shards in the
+ * snapshot's map.
  */
 
 enum {
@@ -64,9 +65,11 @@
  * @pool: owns the question; destroyed after the answer
  * @fleet, @snapshot: pinned while the question is open
  * @plan: copy of the plan at admission
+ * @request: the caller's request, parsed
  * @awaiting_lease: waits for a lease of the customer's quota
- * @soft_deadline: from then on an answer at the coverage floor is sent
- * @deadline: the answer is sent by then; both in microseconds
+ * @soft_deadline: from here on an answer is sent as soon as its coverage
+ * reaches the plan's floor, microseconds
+ * @deadline: the answer is sent by this time, microseconds
  * @merged_weight: weight of the merged shards
  * @total_weight: weight of the question's shards in the snapshot's map
  * @open_leaves: leaves in state LEAF_OPEN
@@ -74,7 +77,7 @@
  *                restart on another snapshot raises it
  * @max_queue_wait: longest time in a gate's queue
  * @fingerprint: identifies repeats of the same question
- * @served: a target has answered a leaf request of the question
+ * @served: a target has replied to a leaf request of the question
  * @merged_bytes: size of the merged rows; limited, so that one question cannot
  *                use up the memory
  */
@@ -139,7 +142,7 @@
 			   int64_t retry_us);
 void front_on_leaf_reply(struct node *node, struct str from,
 			 uint64_t incarnation, const struct msg *msg);
-/** front_on_gate_lost() - fail over the open attempts of a lost gate. */
+/** front_on_gate_lost() - fail over the open attempts at a lost gate. */
 void front_on_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
 void front_on_question_timer(struct node *node, uint64_t id);
 void front_on_hedge_timer(struct node *node, uint64_t id);
--- a/front_admit.c
+++ b/front_admit.c
@@ -1,7 +1,10 @@
 #include "front.h"
+
 #include <stdio.h>
 #include <stdlib.h>
+
 #include <apr_tables.h>
+
 #include "answer.h"
 #include "front_poison.h"
 #include "latency.h"
@@ -118,7 +121,7 @@
 			  TIMER_HEDGE, q->id);
 }
 
-/* Covers the request to the targets and the customer, not the request id. */
+/* Hashes the request to the targets and the customer, not the request id. */
 static struct fingerprint
 question_fingerprint(const struct question_request *request)
 {
--- a/front_poison.c
+++ b/front_poison.c
@@ -11,7 +11,7 @@
 }
 
 enum {
-	/* With more peers, RELAY_FANOUT of them get messages and relay them. */
+	/* With more peers, only RELAY_FANOUT get the message and relay it. */
 	BROADCAST_MAX = 32,
 	RELAY_FANOUT = 8,
 };
@@ -25,7 +25,7 @@
 	size_t send_count = others > BROADCAST_MAX ? RELAY_FANOUT : others;
 	struct msg copy = *msg;
 
-	/* Failure domains are not considered: peers of all are selected. */
+	/* Peers are selected from all failure domains. */
 	(void)near;
 	copy.ran = others > BROADCAST_MAX;
 	for (size_t i = 0; i < send_count; i++)
@@ -35,7 +35,7 @@
 			&copy);
 }
 
-/* Whether the same process has answered since its connection broke. */
+/* Returns whether the same process has replied since its connection broke. */
 static bool answered_since_crash(const void *ctx,
 				 const struct poison_crash *crash)
 {
--- a/front_poison.h
+++ b/front_poison.h
@@ -11,31 +11,35 @@
 
 void front_poison_init(struct node *node);
 void front_poison_destroy(struct node *node);
-/** front_poison_is_blocked() - must not be sent to any target. */
+/** front_poison_is_blocked() - whether no target may get the question. */
 bool front_poison_is_blocked(const struct node *node, const struct question *q);
 /**
- * front_poison_is_suspect() - blocked, or limited to one leaf request at a time
+ * front_poison_is_suspect() - whether the question is blocked, or limited to
+ * one leaf request at a time
  */
 bool front_poison_is_suspect(const struct node *node, const struct question *q);
-/** front_poison_may_send() - a leaf request of the question may be sent now. */
+/** front_poison_may_send() - whether a leaf request may be sent now. */
 bool front_poison_may_send(const struct node *node, const struct question *q);
-/** front_poison_on_connection_broke() - record a connection lost during a
- * request. */
+/**
+ * front_poison_on_connection_broke() - record a connection that was lost during
+ * a leaf request
+ */
 void front_poison_on_connection_broke(struct node *node,
 				      const struct question *q,
 				      const struct attempt *attempt,
 				      const struct msg *msg);
-/** front_poison_on_target_reply() - record that a target answered a leaf
- * request. */
+/** front_poison_on_target_reply() - record a reply to a leaf request. */
 void front_poison_on_target_reply(struct node *node, struct question *q,
 				  const struct attempt *attempt,
 				  const struct msg *msg);
-/** front_poison_on_question_end() - record an end without any target's answer.
+/**
+ * front_poison_on_question_end() - record that the question ended, if no target
+ * has replied to it
  */
 void front_poison_on_question_end(struct node *node, const struct question *q);
 /** front_poison_digest() - digest of the evidence, for heartbeats. */
 uint64_t front_poison_digest(const struct node *node);
-/** front_poison_on_digest() - compare with the digest of @from. */
+/** front_poison_on_digest() - compare the evidence with that of @from. */
 void front_poison_on_digest(struct node *node, struct str from,
 			    uint64_t digest);
 /** front_poison_sweep() - drop refuted and expired evidence. */
--- a/msg.h
+++ b/msg.h
@@ -8,18 +8,19 @@
 /**
  * enum msg_kind - kind of a message between nodes
  *
- * HEARTBEAT carries state and document versions; PROBE requests one at once.
+ * HEARTBEAT carries state and document versions; PROBE requests one
+ * immediately.
  * DOC_GET and DOC replicate documents. LEAF, LEAF_REPLY and CANCEL carry the
  * requests of a question between front and gate. RESERVE, GRANT, GO and
  * GO_REPLY are the two phases of an entry; RELEASE returns a reservation.
  * FORWARD sends an entry to the issuer of its ticket. LEASE requests tokens
  * of a customer's quota. HANDOVER sends a target's state to its next gate:
- * @amount is the limit, @service_us the baseline latency, @wait_us the hold,
- * @hash the boot id.
+ * @amount is the limit, @service_us the baseline latency, @wait_us the minimum
+ * time between raises of the limit, @hash the boot id.
  *
  * GOSSIP carries members in @body and the digest of the evidence against
- * requests in @hash. RELINK asks the receiver to open a new connection to the
- * sender.
+ * requests in @hash. RELINK requests that the receiver open a new connection
+ * to the sender.
  *
  * ITEMS carries store keys in @body: all changes after revision @key up to
  * @version, read @fresh_us ago, to be relayed if @state is set; @wait_us is the
@@ -90,7 +91,8 @@
  * @hash: hash of a document (of the lists in HEARTBEAT); in LEAF_REPLY the
  *        boot id of the target
  * @state: enum vm_state of the sender; in LEAF, 1 for a hedge or retry
- * @fresh_us: age of the newest known platform reading, microseconds
+ * @fresh_us: age of the newest reading of the platform by any node,
+ *            microseconds
  * @amount: tokens requested or lent
  * @key: ticket sequence or customer hash; in HEARTBEAT the digest of evidence
  *       against requests
--- a/node.h
+++ b/node.h
@@ -21,7 +21,11 @@
 struct front;
 struct once;
 
-/** struct safeguards - tests disable one at a time, to see the failure */
+/**
+ * struct safeguards - protections that a test can disable
+ *
+ * A test disables one to check that the failure that it prevents then occurs.
+ */
 struct safeguards {
 	bool no_ramp; /* gate: a new target gets all of its slots */
 	bool no_version_check; /* front: merge rows of any snapshot */
@@ -42,7 +46,7 @@
  * @domain: failure domain
  * @incarnation: unique to each process, also on the same address
  * @seed: seed of the random number generator
- * @peers: addresses to contact before the platform has answered
+ * @peers: addresses to contact before the platform has replied
  * @npeers: number of @peers
  * @max_open: maximum number of open questions
  * @drain_us: maximum wait for open requests at a planned stop
@@ -68,8 +72,8 @@
  * @key: hash of opt.addr
  * @now: time of the current event, monotonic microseconds
  * @fx: effects of the current event
- * @view_applied_at: time of the last review of the gates
- * @view_change_due: a review is scheduled
+ * @view_applied_at: time of the last update of the gates to the view
+ * @view_change_due: an update of the gates to the view is scheduled
  * @lists: accepted lists, NULL before the first
  * @fleet: accepted fleet, NULL before the first
  * @local: messages of this node to itself, handled before node_reduce()
@@ -121,7 +125,7 @@
 		 int64_t retry_after_us);
 void node_audit(struct node *node, const char *what, struct str from,
 		struct str to, const char *why, uint64_t version);
-/** node_view_changed() - review all gates after a change of the view. */
+/** node_view_changed() - update the gates after a change of the view. */
 void node_view_changed(struct node *node);
 /**
  * node_vms_changed() - node_view_changed() after VMs joined or left
--- a/timer.h
+++ b/timer.h
@@ -26,8 +26,9 @@
  * @when: monotonic microseconds
  * @order: sequence number, which orders timers with equal times
  * @kind: handler
- * @id: question, target, job or record; timers are never cancelled, instead
- *      the handler checks that the object still exists
+ * @id: object of the timer, such as a question, target, job, record or
+ *      document; timers are never cancelled, instead the handler checks that
+ *      the object still exists
  */
 struct timer {
 	int64_t when;
