--- a/config.h
+++ b/config.h
@@ -16,7 +16,7 @@
  * @domain: failure domain of this VM
  * @platforms: platform addresses; the next one is used after a failure
  * @nplatforms: number of @platforms
- * @peers: nodes to contact before the platform has answered; may be empty
+ * @peers: nodes to contact before the platform has replied; may be empty
  * @npeers: number of @peers
  * @max_open: maximum number of open questions
  * @drain_us: maximum wait for open requests at a planned stop, microseconds
--- a/doc.c
+++ b/doc.c
@@ -455,7 +455,8 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_fault(in, path, "versions must go down");
+			json_fault(in, path,
+				   "versions must be in descending order");
 	}
 }
 
--- a/doc.h
+++ b/doc.h
@@ -173,6 +173,6 @@
 					  struct str index, size_t *count);
 /**
  * plan_allows() - whether the plan grants a right on @index
- * @entry: the right to write entries, else the right to read
+ * @entry: true for the right to write entries, false for the right to read
  */
 bool plan_allows(const struct plan *plan, struct str index, bool entry);
--- a/doc_sync.h
+++ b/doc_sync.h
@@ -43,7 +43,7 @@
 struct doc_sync {
 	struct synced_doc docs[DOC_KINDS];
 	struct buf candidate[DOC_KINDS];
-	bool joined;
+	bool joined; /* the first documents are in force */
 	int64_t join_not_before; /* earliest end of the join */
 	int64_t join_deadline; /* latest end, once there is a candidate */
 };
@@ -61,9 +61,12 @@
 void doc_sync_on_failure(struct node *node, enum doc_kind kind);
 void doc_sync_on_timer(struct node *node, uint64_t kind);
 /**
- * doc_sync_read_if_stale() - at each heartbeat, read with some probability when
- * the newest reading of the platform is old
- * @platform_age: age of that reading, microseconds
+ * doc_sync_read_if_stale() - read the documents if the last reading is too old
+ * @platform_age: age of the newest reading of the platform by any node,
+ *                microseconds
+ *
+ * Called at each heartbeat; reads with a probability that depends on the number
+ * of nodes.
  */
 void doc_sync_read_if_stale(struct node *node, int64_t platform_age);
 /** doc_sync_read_now() - read both documents now. */
--- a/fetch.c
+++ b/fetch.c
@@ -56,7 +56,7 @@
 	curl_multi_socket_action(fetcher->multi, fd, flags, &running);
 }
 
-/** struct socket - a socket that curl asked to watch */
+/** struct socket - a socket that is watched for curl */
 struct socket {
 	struct fetcher *fetcher;
 	struct watch *watch;
--- a/fetch.h
+++ b/fetch.h
@@ -14,7 +14,7 @@
 
 /**
  * struct fetch_reply - outcome of a request
- * @result: FETCH_OK when there is a reply, else how the request failed
+ * @result: FETCH_OK if there is a reply, or how the request failed
  * @status: HTTP status, 0 when none was received
  * @resent: number of times that libcurl sent the request again
  * @body: body of the reply
@@ -33,7 +33,7 @@
  * @remaining_us: value of the X-Remaining-Ms header, -1 for none
  * @timeout_us: the transfer is aborted after this time
  * @max_body: larger replies are malformed; 0 for the fetcher's default
- * @once: at-most-once, sent on a new connection and never resent
+ * @once: at most once: sent on a new connection and never resent
  * @done: called once, unless the fetcher is destroyed before
  * @ctx: passed to @done
  * @id: passed to @done
--- a/gate.c
+++ b/gate.c
@@ -212,7 +212,7 @@
 }
 
 /*
- * Returns 0 if the target may get new jobs now, else the error for the sender.
+ * Returns 0 if the target may get new jobs now, or the error for the sender.
  * Checked on arrival and again at the start of each job, because the domain,
  * the VM list or the owner can change while a job is queued.
  */
@@ -462,7 +462,7 @@
 		  job->number);
 }
 
-/* For tests with grant expiry disabled: take the slot again. */
+/* For tests with grant expiry disabled: takes the slot again. */
 static void reclaim_slot(struct job *job)
 {
 	if (job->state == JOB_TOMBSTONE && !job->started_at) {
--- a/gate.h
+++ b/gate.h
@@ -3,13 +3,14 @@
 #include "member.h"
 
 /**
- * DOC: gate
+ * DOC: limits and queues of targets
  *
  * The gate of a target is the node that owns it, the only one that sends it
  * requests. It limits the requests in progress to the target's slots, treats a
  * new target as cold, raises the limit only on timely replies, and queues a
- * request no longer than its deadline allows. Other requests are refused at
- * once, with a reason and whether the target may have received the request.
+ * request no longer than its deadline allows. Other requests are refused
+ * immediately, with a reason and whether the target may have received the
+ * request.
  */
 
 enum job_state {
@@ -22,14 +23,15 @@
 /**
  * struct job - one request of another node, from arrival to reply
  * @number: number of the fetch, echoed by the target
- * @origin, @incarnation, @id, @attempt: sender and request, the key of the job
+ * @origin, @incarnation, @id, @attempt: sender and its request; the key of the
+ *                                       job
  * @addr: address of the sender
  * @is_entry: reserved and sent in two steps, runs at most once
  * @deadline: end of the current state, microseconds; a queued job does not
  *            start later
- * @boot: boot id of the target process it was sent to, 0 when not known
- * @cancelled: no longer wanted; keeps its slot until the target is done
- * @replied: the reply was sent, or none is wanted
+ * @boot: boot id of the target process that it was sent to, 0 if unknown
+ * @cancelled: no longer needed; keeps its slot until the target is done
+ * @replied: the reply was sent, or none is needed
  */
 struct job {
 	struct job *next;
@@ -81,7 +83,7 @@
  * @step_interval_us: minimum time between raises; doubles with each relapse
  * @ramp_service_us: sum of the service times counted in @ramp_streak
  * @service_us: smoothed service time
- * @baseline_us: smoothed service time while warm, 0 when not known
+ * @baseline_us: smoothed service time while warm, 0 if unknown
  * @slow_streak: consecutive replies far above the baseline
  * @shed_streak: consecutive replies that shed load
  * @failure_streak: consecutive broken connections and timeouts
@@ -159,7 +161,7 @@
 void gate_on_fetch_done(struct node *node, uint64_t number,
 			const struct parsed_reply *parsed_reply);
 void gate_on_job_timer(struct node *node, uint64_t number);
-/** gate_on_origin_lost() - cancel the jobs of a node that is gone. */
+/** gate_on_origin_lost() - cancel the jobs of a lost node. */
 void gate_on_origin_lost(struct node *node, uint64_t origin,
 			 uint64_t incarnation);
 /** gate_resume() - start queued jobs after the view is confirmed again. */
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -1,6 +1,8 @@
 #include "gate.h"
+
 #include <stddef.h>
 #include <stdlib.h>
+
 #include "health.h"
 #include "xmalloc.h"
 
@@ -106,7 +108,7 @@
 	target->ramp_service_us = 0;
 	/*
 	 * While views differ, another gate may still send to the target, and
-	 * the state of the target is not known. One request at a time bounds
+	 * the state of the target is unknown. One request at a time bounds
 	 * the load that the overlap adds.
 	 */
 	target->limit =
--- a/health.c
+++ b/health.c
@@ -38,10 +38,10 @@
 }
 
 /*
- * Any sign of a cold start cuts the limit to the minimum at once: load reports
- * lag, and a cold target fails again under its full load. A relapse soon after
- * a step doubles the time between steps, so that a target with a longer warm-up
- * than expected is not overloaded repeatedly.
+ * Any sign of a cold start cuts the limit to the minimum immediately: load
+ * reports lag, and a cold target fails again under its full load. A relapse
+ * soon after a raise doubles the time between raises, so that a target with a
+ * longer warm-up than expected is not overloaded repeatedly.
  */
 void health_set_cold(struct node *node, struct target *target,
 		     const char *reason)
@@ -128,9 +128,9 @@
 }
 
 /*
- * Whether the replies since the last step allow one more slot. A cold target
- * replies, but slowly, so its replies must be about as fast as when it was
- * warm. If the baseline is not known, at a new gate, or no longer holds, the
+ * Returns whether the replies since the last raise allow one more slot. A cold
+ * target replies, but slowly, so its replies must be about as fast as when it
+ * was warm. If the baseline is unknown, at a new gate, or no longer holds, the
  * limit is raised after a longer time instead.
  */
 static bool may_raise_limit(const struct node *node,
--- a/member.c
+++ b/member.c
@@ -295,7 +295,7 @@
 	node->membership->isolated = isolated;
 	node_audit(node, "isolated", isolated ? STR("no") : STR("yes"),
 		   isolated ? STR("yes") : STR("no"),
-		   "platform silent and most VMs unheard", 0);
+		   "no recent platform data and most VMs unreachable", 0);
 	if (!isolated)
 		gate_resume(node);
 }
@@ -320,9 +320,9 @@
 }
 
 /*
- * An answer alone is not enough: it can name a document that has not arrived
- * yet, and the current document may still list a failure domain as in that has
- * been taken out.
+ * A reply alone does not confirm the view: it can refer to a document that has
+ * not arrived yet, and the current document may still list a failure domain as
+ * in that has been taken out.
  */
 static void confirm_view(struct node *node, const char *why)
 {
@@ -365,7 +365,7 @@
 					     : VM_LEAVING;
 	vm->departed = vm->state == VM_LEAVING;
 	vm_set_domain(vm, msg->name);
-	/* After a pause, only the answer to the probe is current. */
+	/* After a pause, only the reply to the probe is current. */
 	bool current = node->membership->view_confirmed ||
 		       (msg->id && msg->id == node->membership->nonce);
 
@@ -382,10 +382,10 @@
 	front_poison_on_digest(node, from, msg->key);
 	/*
 	 * After a pause the socket still holds heartbeats from before it; only
-	 * the answer to a probe sent after it confirms the view.
+	 * the reply to a probe sent after it confirms the view.
 	 */
 	if (msg->id && msg->id == node->membership->nonce)
-		confirm_view(node, "a peer answered");
+		confirm_view(node, "a peer replied");
 }
 
 void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
@@ -454,7 +454,7 @@
 	if (self->state == state)
 		return;
 	node_audit(node, "node", str_of(names[self->state]),
-		   str_of(names[state]), "own state", 0);
+		   str_of(names[state]), "state of this node changed", 0);
 	self->state = state;
 	send_heartbeats(node);
 	node_view_changed(node);
@@ -490,18 +490,18 @@
 void member_on_view_timeout(struct node *node, uint64_t nonce)
 {
 	/*
-	 * No answer: this node is either the only one or partitioned. From here
+	 * No reply: this node is either the only one or partitioned. From here
 	 * on the isolation rule applies, as on any other node.
 	 */
 	if (nonce == node->membership->nonce &&
 	    !node->membership->view_confirmed)
-		set_view_confirmed(node, "nobody answered in time");
+		set_view_confirmed(node, "no reply in time");
 }
 
 void member_on_platform_read(struct node *node)
 {
 	update_platform_read_at(node, node->now);
-	confirm_view(node, "the platform answered");
+	confirm_view(node, "the platform replied");
 }
 
 bool member_view_confirmed(const struct node *node)
--- a/member.h
+++ b/member.h
@@ -51,17 +51,18 @@
 	bool departed;
 };
 
+/** struct membership - the VMs, and whether the view of them is current */
 struct membership {
 	apr_pool_t *pool;
 	apr_hash_t *by_key;
 	struct vm **vms; /* [0] is this node */
 	size_t count;
 	size_t cap;
-	uint64_t epoch; /* incremented whenever the usable set changes */
-	int64_t platform_read_at; /* newest one reported by any node */
+	uint64_t epoch; /* number of the view; incremented on each change */
+	int64_t platform_read_at; /* newest reading reported by any node */
 	bool view_confirmed; /* false after a pause until confirmed */
 	int64_t paused_at; /* when the last pause was detected */
-	bool view_answered; /* answered since; documents may be missing */
+	bool view_answered; /* reply received; documents may be missing */
 	uint64_t nonce; /* of the probe that confirms the view */
 	bool isolated; /* updated at each heartbeat */
 };
@@ -71,27 +72,31 @@
 void member_on_heartbeat_timer(struct node *node);
 void member_on_heartbeat(struct node *node, struct str from,
 			 uint64_t incarnation, const struct msg *msg);
-/** member_on_probe() - answer a PROBE with a heartbeat. */
+/** member_on_probe() - reply to a PROBE with a heartbeat. */
 void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
 		     const struct msg *msg);
 void member_on_peer_lost(struct node *node, struct str addr);
 void member_on_fleet_changed(struct node *node);
 void member_set_state(struct node *node, enum vm_state state);
 enum vm_state member_state(const struct node *node);
-/** member_on_pause() - mark the view as unconfirmed after a process pause. */
+/**
+ * member_on_pause() - mark the view as unconfirmed after a pause of the process
+ * @gap: duration of the pause, microseconds
+ */
 void member_on_pause(struct node *node, int64_t gap);
-/** member_on_platform_read() - record that the platform sent current data. */
+/** member_on_platform_read() - record a current reply of the platform. */
 void member_on_platform_read(struct node *node);
-/** member_on_view_timeout() - end the wait for a confirmation of the view. */
+/** member_on_view_timeout() - confirm the view if no reply has arrived. */
 void member_on_view_timeout(struct node *node, uint64_t nonce);
-/** member_on_docs_updated() - confirm an answered view once documents match. */
+/** member_on_docs_updated() - confirm the view if only they were missing. */
 void member_on_docs_updated(struct node *node);
 bool member_view_confirmed(const struct node *node);
 /** member_isolated() - whether this node may have missed a change. */
 bool member_isolated(const struct node *node);
 struct vm *member_find(const struct node *node, uint64_t key);
-/** member_reachable() - whether its heartbeats are fresh, in any state. */
+/** member_reachable() - whether the heartbeats of @vm are fresh. */
 bool member_reachable(const struct node *node, const struct vm *vm);
+/** member_usable() - whether @vm is reachable, live and not taken out. */
 bool member_usable(const struct node *node, const struct vm *vm);
 /**
  * member_owner() - usable VM with the highest rendezvous weight for @key
@@ -103,6 +108,7 @@
 			struct str domain);
 /** member_rank() - number of usable VMs that outweigh this one for @key. */
 size_t member_rank(const struct node *node, uint64_t key);
+/** member_usable_count() - number of usable VMs, but at least 1. */
 size_t member_usable_count(const struct node *node);
 /** member_probe() - request an immediate heartbeat from the node at @addr. */
 void member_probe(struct node *node, struct str addr);
--- a/once.c
+++ b/once.c
@@ -17,7 +17,7 @@
 	FORWARD_GRACE_US = 250000,
 };
 
-/** struct forward - a caller's request that was forwarded to its issuer */
+/** struct forward - a caller's request that was forwarded to an issuer */
 struct forward {
 	uint64_t id;
 	uint64_t caller;
@@ -306,7 +306,7 @@
 	return NULL;
 }
 
-/* The @n-th replica in service, modulo their number. */
+/* Returns the replica in service with the number @n, modulo their count. */
 static struct fleet_target *nth_usable_replica(const struct node *node,
 					       const struct shard *shard,
 					       uint32_t n)
--- a/once.h
+++ b/once.h
@@ -6,12 +6,12 @@
 /**
  * DOC: entries that run at most once
  *
- * An entry needs a ticket, which names the node incarnation that issued it.
- * Only that process runs the entry; other nodes forward the entry to it, or
- * answer "unknown" if it is gone. So two nodes never both run an entry, not
- * even during a network partition. The outcome is done, not run (was never sent
- * and never will be) or unknown. It is final, except that a late reply can
- * change unknown to done.
+ * An entry needs a ticket, which contains the address and incarnation of the
+ * node that issued it. Only that process runs the entry; other nodes forward
+ * the entry to it, or answer "unknown" if it is gone. So two nodes never both
+ * run an entry, not even during a network partition. The outcome is done, not
+ * run (was never sent and never will be) or unknown. It is final, except that a
+ * late reply can change unknown to done.
  */
 
 enum record_state {
@@ -38,6 +38,7 @@
  *        to keep stored records small
  * @seq: sequence number of the ticket
  * @attempt: number of reservations tried
+ * @request: the entry, parsed, until the outcome is final
  * @gate, @gate_incarnation: gate of the current attempt
  * @retry_at: time of the next reservation, 0 when none is scheduled
  * @code: error if the entry did not run or the outcome is unknown
@@ -73,8 +74,7 @@
 	size_t open_records;
 	size_t unused_tickets; /* issued and not used yet */
 	int64_t issued_at; /* time of the last ticket */
-
-	uint64_t evicted_seq; /* records up to here may have been evicted */
+	uint64_t evicted_seq; /* records up to it may have been evicted */
 	uint64_t secret;
 };
 
@@ -97,7 +97,9 @@
 			  int64_t retry_us);
 void once_on_record_timer(struct node *node, uint64_t seq);
 void once_on_forward_timer(struct node *node, uint64_t id);
-/** once_open_count() - records, forwards and tickets that delay a planned stop.
+/**
+ * once_open_count() - number of records, forwards and tickets that delay a
+ * planned stop
  */
 size_t once_open_count(const struct node *node);
 
--- a/once_entry.c
+++ b/once_entry.c
@@ -1,5 +1,7 @@
 #include "once.h"
+
 #include <stdlib.h>
+
 #include "gate.h"
 #include "quota.h"
 #include "ticket.h"
--- a/peer.c
+++ b/peer.c
@@ -287,7 +287,7 @@
 	uint64_t key = str_hash(addr);
 	struct link *link = apr_hash_get(peers->links, &key, sizeof(key));
 
-	/* A new connection was not silent for long and may carry replies. */
+	/* A new connection was not idle for long and may carry replies. */
 	if (!link || loop_now() - link->opened_at < STALL_TIMEOUT_US)
 		return;
 	link_close(link, false);
@@ -313,7 +313,7 @@
 	inbound_free(inbound);
 }
 
-/* Return: false if the connection was closed. */
+/* Returns false if the connection was closed. */
 static bool process_frames(struct inbound *inbound)
 {
 	struct peers *peers = inbound->peers;
@@ -335,7 +335,8 @@
 			break;
 		/*
 		 * A frame for another incarnation is dropped: its process is
-		 * gone, and this one would reply about work that it never got.
+		 * gone, and this one would reply about work that it never
+		 * received.
 		 */
 		if (!frame.to_incarnation ||
 		    frame.to_incarnation == peers->incarnation)
--- a/quota.c
+++ b/quota.c
@@ -28,9 +28,9 @@
 /**
  * struct account - a customer on this node
  * @leased: tokens leased to this node until @lease_end
- * @lease_pending: a LEASE was sent at @lease_requested_at and not answered yet
+ * @lease_pending: a LEASE was sent at @lease_requested_at; no reply yet
  * @lease_round: number of the last LEASE, to match its reply
- * @owner_bucket: the customer's bucket, if this node owns the customer
+ * @owner_bucket: bucket of the whole quota, used if this node is the owner
  * @fallback_bucket: bucket with 1/n of the rate, for when no owner answers
  * @taken, @refused: requests admitted and refused by this node
  * @recent_rate: smoothed requests per second on this node
@@ -355,8 +355,7 @@
 
 		if (taken)
 			account->leased -= 1;
-		/* Some arrived after the lease was requested: request another.
-		 */
+		/* Waiters added after the request are not in the lease. */
 		if (!taken && msg->amount >= 1)
 			add_waiter(account, waiters[i]);
 		else
--- a/quota.h
+++ b/quota.h
@@ -34,7 +34,7 @@
 void quota_init(struct node *node);
 void quota_destroy(struct node *node);
 /**
- * quota_take() - take one token of @customer
+ * quota_take() - take one token of the quota of @customer
  * @waiter: question or record id, passed back after QUOTA_WAIT
  * @retry_us: retry delay, set with QUOTA_REFUSED
  */
--- a/records.h
+++ b/records.h
@@ -29,6 +29,6 @@
 };
 
 void records_init(struct records *records, size_t limit, apr_pool_t *pool);
-/** records_merge() - merge the records of @body, ignoring a partial last one */
+/** records_merge() - merge the records of @body; ignore a partial last one. */
 void records_merge(struct records *records, struct str body);
 struct str records_str(const struct records *records);
--- a/replica.c
+++ b/replica.c
@@ -60,7 +60,10 @@
 	       has_version(node, target, version);
 }
 
-/* Whether an attempt of @leaf went to @target; @same_domain: to its domain. */
+/*
+ * Returns whether an attempt of @leaf went to @target. Sets @same_domain if one
+ * went to a target of its failure domain.
+ */
 static bool was_tried(const struct leaf *leaf,
 		      const struct fleet_target *target, bool *same_domain)
 {
--- a/replica.h
+++ b/replica.h
@@ -14,7 +14,7 @@
  * @latency_us: smoothed time from sending to reply
  * @outstanding: open leaf requests
  * @avoid_until: penalized until then, after a failure
- * @missing_version: snapshot that it does not have until @missing_until
+ * @missing_version: snapshot that it is assumed to lack until @missing_until
  * @gate: its gate in the view with the number @epoch
  * @boot, @boot_seen_at: boot id of the last reply, and its time
  */
@@ -35,7 +35,10 @@
 /** replica_gate() - gate of @target in the current view, NULL if none. */
 struct vm *replica_gate(struct node *node, struct replica *replica,
 			const struct fleet_target *target);
-/** replica_usable() - in service, and not known to lack the snapshot. */
+/**
+ * replica_usable() - whether @target is in service and may have the snapshot
+ * @version: version of the snapshot
+ */
 bool replica_usable(struct node *node, const struct fleet_target *target,
 		    uint64_t version);
 /**
@@ -44,7 +47,7 @@
  */
 struct fleet_target *replica_choose(struct node *node, const struct question *q,
 				    const struct leaf *leaf, bool untried_only);
-/** replica_remove_unlisted() - free the state of targets that are gone. */
+/** replica_remove_unlisted() - free the state of targets no longer listed. */
 void replica_remove_unlisted(struct node *node);
 void replica_record_reply(struct node *node, const struct attempt *attempt);
 void replica_record_failure(struct node *node, const struct question *q,
--- a/request.h
+++ b/request.h
@@ -3,10 +3,10 @@
 #include "error.h"
 
 /**
- * DOC: callers' requests
+ * DOC: requests of callers
  *
- * Parses the JSON bodies that callers send. Every fault yields a typed error
- * that names the field.
+ * Parses the JSON bodies that callers send. An invalid body yields a typed
+ * error that names the field.
  */
 
 enum {
@@ -18,7 +18,7 @@
 };
 
 /**
- * struct question_request - a parsed question
+ * struct question_request - a question as sent by its caller, parsed
  * @customer: customer to which it is charged
  * @request_id: the caller's id, echoed in the answer
  * @terms: search terms, passed on to the targets
@@ -40,7 +40,10 @@
 };
 
 /**
- * struct entry_request - an action that must not run twice
+ * struct entry_request - an entry or a lookup as sent by its caller, parsed
+ *
+ * An entry is an action that must not run twice.
+ *
  * @customer: customer to which it is charged
  * @request_id: the caller's id, echoed in the answer
  * @ticket: ticket issued by a node, empty when the caller has none yet
@@ -59,10 +62,11 @@
 	int64_t deadline_us;
 };
 
+/** request_parse_question() - parse the request for a question. */
 int request_parse_question(struct str body, apr_pool_t *pool,
 			   struct question_request *request, struct error *err);
 /**
- * request_parse_entry() - parse an entry or a lookup
+ * request_parse_entry() - parse the request for an entry or a lookup
  * @lookup: parse only customer, request_id and ticket
  */
 int request_parse_entry(struct str body, bool lookup, apr_pool_t *pool,
--- a/serve.c
+++ b/serve.c
@@ -62,7 +62,7 @@
 
 /* Targets. */
 
-/** struct fetch_ctx - context of a request to a target */
+/** struct fetch_ctx - context of an open request to a target */
 struct fetch_ctx {
 	struct server *server;
 	enum fetch_kind kind;
@@ -190,7 +190,6 @@
 		audit_add(&s->audit, fx->body);
 		break;
 	case FX_STOP:
-
 		loop_stop(s->loop);
 		break;
 	}
--- a/snapshot.h
+++ b/snapshot.h
@@ -5,15 +5,15 @@
 
 /** DOC: choice of the snapshot from which a question is answered */
 
-/** snapshot_shard_requested() - whether the question includes the shard @id. */
+/** snapshot_shard_requested() - whether @request includes the shard @id. */
 bool snapshot_shard_requested(const struct question_request *request,
 			      uint32_t id);
 /**
  * snapshot_choose() - choose the snapshot for @request
  * @floor: coverage that the plan requires
  * @excluded: snapshot not to choose, may be NULL
- * @count: number of the question's shards in the map of the snapshot
- * @total_weight: their weight
+ * @count: receives the number of the question's shards in the snapshot's map
+ * @total_weight: receives their weight
  *
  * Return: NULL if no snapshot has all indexes and shards of @request.
  */
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -139,7 +139,7 @@
 	{ FLEET(TARGET("t", "x"), ""), "ip:port" },
 	{ HEAD "],\"snapshots\":[{\"version\":1,\"shards\":[]},"
 	       "{\"version\":2,\"shards\":[]}]}",
-	  "go down" },
+	  "descending order" },
 	{ HEAD "]}", "snapshots" },
 };
 
