--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -125,7 +125,7 @@
 				    .body = STR("[{\"a\":1}]") };
 
 	rig->leafs++;
-	feed(rig, (struct event){ .type = EV_FETCHED,
+	feed(rig, (struct event){ .type = EV_FETCH_DONE,
 				  .id = fx->id,
 				  .parsed_reply = &got });
 }
--- a/config.c
+++ b/config.c
@@ -22,15 +22,15 @@
 	if (!colon)
 		return ERR_IO;
 
-	size_t head = (size_t)(colon - addr.ptr);
-	size_t tail = addr.len - head - 1;
+	size_t ip_len = (size_t)(colon - addr.ptr);
+	size_t port_len = addr.len - ip_len - 1;
 
-	if (head >= size || !tail || tail >= sizeof(digits))
+	if (ip_len >= size || !port_len || port_len >= sizeof(digits))
 		return ERR_IO;
-	memcpy(ip, addr.ptr, head);
-	ip[head] = '\0';
-	memcpy(digits, colon + 1, tail);
-	digits[tail] = '\0';
+	memcpy(ip, addr.ptr, ip_len);
+	ip[ip_len] = '\0';
+	memcpy(digits, colon + 1, port_len);
+	digits[port_len] = '\0';
 
 	char *end;
 	long number = strtol(digits, &end, 10);
--- a/doc.c
+++ b/doc.c
@@ -513,14 +513,14 @@
 const struct shard *snapshot_index_shards(const struct snapshot *snap,
 					  struct str index, size_t *count)
 {
-	struct shard wanted = { .index = index, .from = INT64_MIN };
+	struct shard search_key = { .index = index, .from = INT64_MIN };
 	size_t low = 0;
 	size_t high = snap->nshards;
 
 	while (low < high) {
 		size_t mid = (low + high) / 2;
 
-		if (compare_shards(&snap->shards[mid], &wanted) < 0)
+		if (compare_shards(&snap->shards[mid], &search_key) < 0)
 			low = mid + 1;
 		else
 			high = mid;
--- a/doc_sync.c
+++ b/doc_sync.c
@@ -312,7 +312,7 @@
 	node_send(node, vm->addr, vm->incarnation, &msg);
 }
 
-void doc_sync_on_request(struct node *node, struct str from,
+void doc_sync_on_doc_get(struct node *node, struct str from,
 			 uint64_t incarnation, const struct msg *msg)
 {
 	if (msg->doc >= DOC_KINDS)
--- a/doc_sync.h
+++ b/doc_sync.h
@@ -52,7 +52,7 @@
 void doc_sync_destroy(struct node *node);
 void doc_sync_on_offer(struct node *node, const struct vm *vm,
 		       enum doc_kind kind, uint64_t version, uint64_t hash);
-void doc_sync_on_request(struct node *node, struct str from,
+void doc_sync_on_doc_get(struct node *node, struct str from,
 			 uint64_t incarnation, const struct msg *msg);
 void doc_sync_on_peer_doc(struct node *node, const struct msg *msg);
 void doc_sync_on_platform_doc(struct node *node, enum doc_kind kind,
--- a/event.h
+++ b/event.h
@@ -20,7 +20,7 @@
 	EV_CALLER_GONE, /* the caller closed: id */
 	EV_MSG, /* a message from another node: from, incarnation, msg */
 	EV_PEER_LOST, /* the connection to a node failed: from */
-	EV_FETCHED, /* a target's reply: id, parsed_reply */
+	EV_FETCH_DONE, /* a target's reply: id, parsed_reply */
 	EV_DOC, /* a document from the platform: doc, body */
 	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
 	EV_DOC_FAILED, /* the platform did not reply: doc */
--- a/front_poison.c
+++ b/front_poison.c
@@ -36,8 +36,8 @@
 }
 
 /* Returns whether the same process has replied since its connection broke. */
-static bool answered_since_crash(const void *ctx,
-				 const struct poison_crash *crash)
+static bool replied_since_crash(const void *ctx,
+				const struct poison_crash *crash)
 {
 	const struct node *node = ctx;
 	const struct replica *replica = apr_hash_get(
@@ -52,7 +52,7 @@
 	struct front *front = node->front;
 
 	poison_init(&front->poison, front->pool,
-		    (struct poison_targets){ answered_since_crash, node });
+		    (struct poison_targets){ replied_since_crash, node });
 	front->poison_sync = (struct poison_sync){
 		.poison = &front->poison,
 		.transport = { send_to_nodes, send_to_node, node },
--- a/health.c
+++ b/health.c
@@ -261,15 +261,15 @@
 	if (!target->owned || (!target->down && !target->draining))
 		return;
 
-	bool answers =
+	bool healthy =
 		parsed_reply->result == FETCH_OK && parsed_reply->status == 200;
 
-	if (!answers && target->draining && !target->down) {
+	if (!healthy && target->draining && !target->down) {
 		target->draining = false;
 		set_down(node, target, "it stopped answering while draining");
 		return;
 	}
-	if (!answers || parsed_reply->draining) {
+	if (!healthy || parsed_reply->draining) {
 		schedule_probe(node, target);
 		return;
 	}
--- a/member.c
+++ b/member.c
@@ -328,7 +328,7 @@
 {
 	if (node->membership->view_confirmed)
 		return;
-	node->membership->view_answered = true;
+	node->membership->view_reply_received = true;
 	if (!doc_sync_behind(node))
 		set_view_confirmed(node, why);
 }
@@ -336,7 +336,7 @@
 void member_on_docs_updated(struct node *node)
 {
 	if (!node->membership->view_confirmed &&
-	    node->membership->view_answered && !doc_sync_behind(node))
+	    node->membership->view_reply_received && !doc_sync_behind(node))
 		set_view_confirmed(node, "documents are up to date");
 }
 
@@ -474,7 +474,7 @@
 		   "gap between events", (uint64_t)gap);
 	membership->view_confirmed = false;
 	membership->nonce = rng_next(&node->rng) | 1;
-	membership->view_answered = false;
+	membership->view_reply_received = false;
 	membership->paused_at = node->now;
 	timer_add(&node->timers, node->now + VIEW_CONFIRM_TIMEOUT_US,
 		  TIMER_VIEW_TIMEOUT, membership->nonce);
--- a/node.c
+++ b/node.c
@@ -263,7 +263,7 @@
 static const struct handler handlers[MSG_KINDS] = {
 	[MSG_HEARTBEAT] = { member_on_heartbeat },
 	[MSG_PROBE] = { member_on_probe },
-	[MSG_DOC_GET] = { doc_sync_on_request },
+	[MSG_DOC_GET] = { doc_sync_on_doc_get },
 	[MSG_DOC] = { on_doc },
 	[MSG_LEAF] = { gate_on_leaf },
 	[MSG_LEAF_REPLY] = { front_on_leaf_reply },
@@ -331,7 +331,7 @@
 	case EV_PEER_LOST:
 		member_on_peer_lost(node, event->from);
 		break;
-	case EV_FETCHED:
+	case EV_FETCH_DONE:
 		gate_on_fetch_done(node, event->id, event->parsed_reply);
 		break;
 	case EV_DOC:
--- a/quota.c
+++ b/quota.c
@@ -181,13 +181,13 @@
 static void request_lease(struct node *node, struct account *account,
 			  const struct vm *owner)
 {
-	double wanted =
+	double requested =
 		account->recent_rate * LEASE_SPAN_S + (double)account->nwaiters;
 	struct msg msg = {
 		.kind = MSG_LEASE,
 		.id = account->key,
 		.attempt = ++account->lease_round,
-		.amount = wanted < 1 ? 1 : wanted,
+		.amount = requested < 1 ? 1 : requested,
 		.name = account->name,
 	};
 
--- a/serve.c
+++ b/serve.c
@@ -68,7 +68,8 @@
 	enum fetch_kind kind;
 };
 
-static void on_fetched(void *ctx, uint64_t id, const struct fetch_reply *reply)
+static void on_fetch_done(void *ctx, uint64_t id,
+			  const struct fetch_reply *reply)
 {
 	struct fetch_ctx *fetch_ctx = ctx;
 	struct parsed_reply parsed_reply = { .result = reply->result,
@@ -82,7 +83,7 @@
 				   &rows);
 	if (fetch_ctx->kind != FETCH_CANCEL)
 		dispatch(fetch_ctx->server,
-			 (struct event){ .type = EV_FETCHED,
+			 (struct event){ .type = EV_FETCH_DONE,
 					 .id = id,
 					 .parsed_reply = &parsed_reply });
 	buf_free(&rows);
@@ -98,7 +99,7 @@
 		.timeout_us = fx->wait_us + TARGET_TIMEOUT_SLACK_US,
 		.max_body = TARGET_REPLY_MAX,
 		.once = fx->fetch == FETCH_ENTRY,
-		.done = on_fetched,
+		.done = on_fetch_done,
 		.ctx = fetch_ctx,
 		.id = fx->id,
 	};
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -398,7 +398,7 @@
 
 	got.body = buf_str(&work->rows);
 	mesh_feed(mesh, work->node,
-		  (struct event){ .type = EV_FETCHED,
+		  (struct event){ .type = EV_FETCH_DONE,
 				  .id = work->fetch,
 				  .parsed_reply = &got });
 	work_free(mesh, work);
