--- a/member.h
+++ b/member.h
@@ -62,7 +62,7 @@
 	int64_t platform_read_at; /* newest reading reported by any node */
 	bool view_confirmed; /* false after a pause until confirmed */
 	int64_t paused_at; /* when the last pause was detected */
-	bool view_reply_received; /* reply received; documents may be missing */
+	bool view_reply_received; /* documents may still be missing */
 	uint64_t nonce; /* of the probe that confirms the view */
 	bool isolated; /* updated at each heartbeat */
 };
