--- a/gate.h
+++ b/gate.h
@@ -150,8 +150,7 @@
 		     const struct msg *msg);
 void gate_on_go(struct node *node, struct str from, uint64_t incarnation,
 		const struct msg *msg);
-/** gate_on_cancel() - handle CANCEL (leaf requests) and RELEASE (reservations).
- */
+/** gate_on_cancel() - cancel a leaf request or release a reservation. */
 void gate_on_cancel(struct node *node, struct str from, uint64_t incarnation,
 		    const struct msg *msg);
 /** gate_on_handover() - handle HANDOVER from the previous gate of a target. */
--- a/health.h
+++ b/health.h
@@ -27,6 +27,5 @@
 /** health_record_probe() - update the state with the result of a probe. */
 void health_record_probe(struct node *node, struct target *target,
 			 const struct parsed_reply *parsed_reply);
-/** health_on_probe_timer() - send the probe that is due to the target with
- * @key. */
+/** health_on_probe_timer() - probe the target with the key @key. */
 void health_on_probe_timer(struct node *node, uint64_t key);
--- a/msg.h
+++ b/msg.h
@@ -37,9 +37,9 @@
  * delegating node sends ASK_GO to permit requests to further targets.
  *
  * SUSPECTS carries evidence against requests in @body and its digest in @hash;
- * @state requests a reply. TRY requests permission to try the suspect request
- * with the fingerprint @hash, @hash2, @key; TRY_REPLY grants it if @state is
- * set.
+ * @state requests a reply, and @ran that the receiver relay it. TRY requests
+ * permission to try the suspect request with the fingerprint @hash, @hash2,
+ * @key; TRY_REPLY grants it if @state is set.
  */
 enum msg_kind {
 	MSG_NONE,
@@ -93,9 +93,9 @@
  * @state: enum vm_state of the sender; in LEAF, 1 for a hedge or retry
  * @fresh_us: age of the newest reading of the platform by any node,
  *            microseconds
- * @amount: tokens requested or lent
- * @key: ticket sequence or customer hash; in HEARTBEAT the digest of evidence
- *       against requests
+ * @amount: tokens requested or granted; in HANDOVER the limit
+ * @key: in HEARTBEAT the digest of evidence against requests; in ITEMS a
+ *       revision; in ASK, TRY and TRY_REPLY part of the fingerprint
  * @name: customer, index or failure domain
  * @body: rows, entry or document
  * @text: terms, request id or reason
--- a/quota.h
+++ b/quota.h
@@ -14,8 +14,8 @@
 
 enum quota_result {
 	QUOTA_TAKEN,
-	QUOTA_WAIT, /* front_on_quota_result() or once_on_quota_result() follows
-		     */
+	/* front_on_quota_result() or once_on_quota_result() is called later */
+	QUOTA_WAIT,
 	QUOTA_REFUSED,
 };
 
