--- a/bench/policy.c
+++ b/bench/policy.c
@@ -119,7 +119,8 @@
 		double u =
 			(double)(rng_next(&rng) >> 11) / (double)(1ULL << 53);
 
-		mesh_call(mesh, (int)rng_below(&rng, (uint64_t)senders), EV_ASK,
+		mesh_call(mesh, (int)rng_below(&rng, (uint64_t)senders),
+			  EV_QUESTION,
 			  "{\"customer\":\"mill\",\"request_id\":\"r\","
 			  "\"indexes\":[\"orders\"]}");
 		mesh_run(mesh, (int64_t)(-log(1 - u) / scenario->rate * 1e6));
@@ -154,7 +155,7 @@
 	if (scenario->kill)
 		mesh_kill(mesh, NODES - 1);
 	if (scenario->stop)
-		mesh_feed(mesh, NODES - 1, (struct event){ .type = EV_LEAVE });
+		mesh_feed(mesh, NODES - 1, (struct event){ .type = EV_DRAIN });
 	if (scenario->kill_owner)
 		mesh_kill(mesh, bucket_owner(mesh));
 }
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -115,19 +115,19 @@
 
 static void answer_leaf(struct fixture *fixture, const struct effect *fx)
 {
-	struct fetch_response response = { .result = FETCH_OK,
-					   .status = 200,
-					   .boot = 1,
-					   .job = fx->job,
-					   .shard = fx->shard,
-					   .version = fx->version,
-					   .load = -1,
-					   .body = STR("[{\"a\":1}]") };
+	struct parsed_reply response = { .result = FETCH_OK,
+					 .status = 200,
+					 .boot = 1,
+					 .job = fx->job,
+					 .shard = fx->shard,
+					 .version = fx->version,
+					 .load = -1,
+					 .body = STR("[{\"a\":1}]") };
 
 	fixture->leafs++;
-	feed(fixture, (struct event){ .type = EV_FETCHED,
+	feed(fixture, (struct event){ .type = EV_FETCH_DONE,
 				      .id = fx->id,
-				      .fetch_response = &response });
+				      .parsed_reply = &response });
 }
 
 static void run_effects(struct fixture *fixture)
@@ -188,7 +188,7 @@
 static void ask(struct fixture *fixture)
 {
 	feed(fixture,
-	     (struct event){ .type = EV_ASK,
+	     (struct event){ .type = EV_QUESTION,
 			     .id = ++fixture->caller,
 			     .body = STR("{\"customer\":\"c0\",\"request_id\":"
 					 "\"r\",\"indexes\":[\"asked\"]}") });
@@ -389,7 +389,7 @@
 			 "{\"customer\":\"c%d\",\"request_id\":\"r\","
 			 "\"indexes\":[\"asked\"]}",
 			 i);
-		feed(&fixture, (struct event){ .type = EV_ASK,
+		feed(&fixture, (struct event){ .type = EV_QUESTION,
 					       .id = ++fixture.caller,
 					       .body = str_of(body) });
 		run_effects(&fixture);
--- a/doc.c
+++ b/doc.c
@@ -355,7 +355,7 @@
 	shard->nreplicas = count;
 }
 
-static int shard_order(const void *left, const void *right)
+static int compare_shards(const void *left, const void *right)
 {
 	const struct shard *a = left;
 	const struct shard *b = right;
@@ -378,7 +378,8 @@
 {
 	apr_hash_t *ids = hash_make(pool);
 
-	qsort(snap->shards, snap->nshards, sizeof(struct shard), shard_order);
+	qsort(snap->shards, snap->nshards, sizeof(struct shard),
+	      compare_shards);
 	for (size_t i = 0; i < snap->nshards && !in->err.code; i++) {
 		struct shard *shard = &snap->shards[i];
 		struct shard *prev = i ? shard - 1 : NULL;
@@ -458,7 +459,8 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_error_set(in, path, "versions must go down");
+			json_error_set(in, path,
+				       "versions must be in descending order");
 	}
 }
 
@@ -512,17 +514,17 @@
 		apr_pool_destroy(fleet->pool);
 }
 
-const struct shard *snapshot_range(const struct snapshot *snap,
-				   struct str index, size_t *count)
+const struct shard *snapshot_index_shards(const struct snapshot *snap,
+					  struct str index, size_t *count)
 {
-	struct shard wanted = { .index = index, .from = INT64_MIN };
+	struct shard search_key = { .index = index, .from = INT64_MIN };
 	size_t low = 0;
 	size_t high = snap->nshards;
 
 	while (low < high) {
 		size_t mid = (low + high) / 2;
 
-		if (shard_order(&snap->shards[mid], &wanted) < 0)
+		if (compare_shards(&snap->shards[mid], &search_key) < 0)
 			low = mid + 1;
 		else
 			high = mid;
--- a/event.h
+++ b/event.h
@@ -13,18 +13,18 @@
 
 enum event_type {
 	EV_TICK, /* time has passed */
-	EV_ASK, /* a caller's question: id, body */
+	EV_QUESTION, /* a caller's question: id, body */
 	EV_TICKET, /* a caller requests a ticket: id, body */
 	EV_ENTRY, /* a caller's entry: id, body */
 	EV_LOOKUP, /* a caller requests the outcome of an entry: id, body */
 	EV_CALLER_GONE, /* the caller closed: id */
 	EV_MSG, /* a message from another node: from, incarnation, msg */
 	EV_PEER_LOST, /* the connection to a node failed: from */
-	EV_FETCHED, /* a target's reply: id, fetch_response */
+	EV_FETCH_DONE, /* a target's reply: id, parsed_reply */
 	EV_DOC, /* a document from the platform: doc, body */
 	EV_DOC_UNCHANGED, /* the platform has nothing newer: doc */
-	EV_DOC_FAILED, /* the platform did not answer: doc */
-	EV_LEAVE, /* planned stop */
+	EV_DOC_FAILED, /* the platform did not reply: doc */
+	EV_DRAIN, /* a planned stop begins */
 };
 
 /** enum fetch_result - outcome of a request to a target */
@@ -40,7 +40,7 @@
 const char *fetch_result_text(enum fetch_result result);
 
 /**
- * struct fetch_response - a target's reply, parsed by the I/O layer
+ * struct parsed_reply - a target's reply, parsed by the I/O layer
  * @result: outcome of the transfer
  * @status: HTTP status
  * @boot: hash of the target's boot id, 0 if not given
@@ -48,11 +48,11 @@
  * @shard: shard that the reply is for
  * @version: version of the snapshot that the reply is from
  * @load: number of requests in progress at the target, -1 if not given
- * @draining: the target states that it is leaving
+ * @draining: the target reports that it is leaving
  * @resent: number of times that the HTTP library resent the request itself
  * @body: rows (a JSON array) or the entry's result
  */
-struct fetch_response {
+struct parsed_reply {
 	enum fetch_result result;
 	int status;
 	uint64_t boot;
@@ -76,7 +76,7 @@
 	struct str from;
 	uint64_t incarnation;
 	const struct msg *msg;
-	const struct fetch_response *fetch_response;
+	const struct parsed_reply *parsed_reply;
 	enum doc_kind doc;
 	struct str body;
 };
@@ -102,7 +102,7 @@
  * struct effect - one output of the reducer; strings live in the effects' pool
  * @id: caller (FX_ANSWER) or fetch (FX_FETCH)
  * @addr: node or target, "ip:port"
- * @wait_us: FX_READ_DOC: how long the platform may hold the call;
+ * @wait_us: FX_READ_DOC: maximum time that the platform may delay its reply;
  *           FX_FETCH: timeout
  * @status: FX_ANSWER: HTTP status
  * @text: FX_FETCH: terms
--- a/front.c
+++ b/front.c
@@ -17,7 +17,7 @@
 	DELAYED_RETRIES_MAX = 4,
 	RETRY_DELAY_US = 20000,
 	RETRY_BACKOFF_FACTOR = 3,
-	/* Interval at which a deferred leaf checks if it may be sent. */
+	/* Interval of the checks whether a deferred leaf may be sent. */
 	DEFER_US = 10000,
 	BUDGET_MAX = 256,
 	BUDGET_INITIAL = 32,
@@ -72,9 +72,9 @@
 	free(front);
 }
 
-size_t front_open(const struct node *node)
+size_t front_open_count(const struct node *node)
 {
-	return node->front->open;
+	return node->front->open_questions;
 }
 
 /* Attempts. */
@@ -137,7 +137,7 @@
 		.remaining_us = q->deadline - node->now,
 		.state = leaf->nattempts > 0,
 		.name = leaf->shard->index,
-		.text = q->query.terms,
+		.text = q->request.terms,
 	};
 
 	*attempt = (struct attempt){
@@ -185,7 +185,7 @@
 	       q->plan.coverage_floor - EPSILON;
 }
 
-bool front_is_done(const struct question *q)
+bool front_question_done(const struct question *q)
 {
 	return !q->open_leaves || (q->soft_passed && floor_reached(q));
 }
@@ -195,15 +195,15 @@
  * The whole question restarts on another snapshot, at most once; an answer
  * never mixes snapshots.
  */
-static bool restart(struct node *node, struct question *q)
+static bool restart_question(struct node *node, struct question *q)
 {
 	size_t count;
 	double total_weight;
 	const struct snapshot *other;
 
-	if (q->restarted || q->deadline - node->now < node->now - q->start)
+	if (q->restarted || q->deadline - node->now < node->now - q->started_at)
 		return false;
-	other = snapshot_choose(node, &q->query, q->fleet,
+	other = snapshot_choose(node, &q->request, q->fleet,
 				q->plan.coverage_floor, q->snapshot, &count,
 				&total_weight);
 	if (!other || node->front->budget < (double)q->nleaves / 2)
@@ -233,7 +233,7 @@
 	       q->plan.coverage_floor - EPSILON;
 }
 
-/* Return: false when the question has been restarted. */
+/* Returns false if the question was restarted. */
 static bool set_missing(struct node *node, struct question *q,
 			struct leaf *leaf, int error_code)
 {
@@ -242,7 +242,7 @@
 	q->open_leaves--;
 	node->counters[CNT_LEAF_MISSING]++;
 	if (error_code == ERR_WRONG_VERSION && !can_reach_floor(q))
-		return !restart(node, q);
+		return !restart_question(node, q);
 	return true;
 }
 
@@ -257,7 +257,7 @@
 /* Finishes a blocked question; its open shards are reported missing. */
 static bool stop_if_blocked(struct node *node, struct question *q)
 {
-	if (!front_question_blocked(node, q))
+	if (!front_poison_is_blocked(node, q))
 		return false;
 	for (size_t i = 0; i < q->nleaves; i++) {
 		struct leaf *leaf = &q->leaves[i];
@@ -267,7 +267,7 @@
 		front_cancel_attempts(node, q, leaf);
 		set_missing(node, q, leaf, ERR_BLOCKED);
 	}
-	front_finish(node, q, 0);
+	front_finish_question(node, q, 0);
 	return true;
 }
 
@@ -312,7 +312,7 @@
 	leaf->error_code = error_code;
 	if (has_open_attempt(leaf) || leaf->retry_at)
 		return true;
-	if (front_question_suspect(node, q)) {
+	if (front_poison_is_suspect(node, q)) {
 		defer_leaf(node, q, leaf);
 		return true;
 	}
@@ -335,13 +335,13 @@
 	size_t n = 0;
 
 	q->leaves = apr_pcalloc(q->pool, q->nleaves * sizeof(struct leaf));
-	for (size_t i = 0; i < q->query.nindexes; i++) {
+	for (size_t i = 0; i < q->request.nindexes; i++) {
 		size_t count;
-		const struct shard *shards = snapshot_range(
-			q->snapshot, q->query.indexes[i], &count);
+		const struct shard *shards = snapshot_index_shards(
+			q->snapshot, q->request.indexes[i], &count);
 
 		for (size_t j = 0; j < count; j++)
-			if (snapshot_selects(&q->query, shards[j].id))
+			if (snapshot_shard_requested(&q->request, shards[j].id))
 				q->leaves[n++].shard = &shards[j];
 	}
 	q->open_leaves = q->nleaves;
@@ -350,7 +350,7 @@
 		struct fleet_target *target =
 			replica_choose(node, q, leaf, true);
 
-		if (target && !front_may_send(node, q)) {
+		if (target && !front_poison_may_send(node, q)) {
 			defer_leaf(node, q, leaf);
 			continue;
 		}
@@ -448,8 +448,8 @@
 	front_cancel_attempts(node, q, leaf);
 }
 
-void front_reply(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg)
+void front_on_leaf_reply(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg)
 {
 	uint64_t id = msg->id;
 	struct question *q =
@@ -478,7 +478,7 @@
 		q->max_queue_wait = msg->wait_us;
 	if (!status) {
 		replica_record_reply(node, attempt);
-		front_target_served(node, q, attempt, msg);
+		front_poison_on_target_reply(node, q, attempt, msg);
 		merge_leaf(node, q, leaf, attempt, msg);
 	} else if (status == ERR_TOO_LARGE) {
 		front_cancel_attempts(node, q, leaf);
@@ -488,13 +488,13 @@
 			q->max_queue_wait = q->plan.soft_us;
 		replica_record_failure(node, q, attempt, status);
 		if (status == ERR_BROKEN)
-			front_connection_broke(node, q, attempt, msg);
+			front_poison_on_connection_broke(node, q, attempt, msg);
 		if (stop_if_blocked(node, q))
 			return;
 		fail_over(node, q, leaf, status, msg->ran);
 	}
-	if (front_is_done(q))
-		front_finish(node, q, 0);
+	if (front_question_done(q))
+		front_finish_question(node, q, 0);
 }
 
 /* Timers. */
@@ -507,7 +507,7 @@
 		if (leaf->state != LEAF_OPEN || !leaf->retry_at ||
 		    node->now < leaf->retry_at)
 			continue;
-		if (!front_may_send(node, q)) {
+		if (!front_poison_may_send(node, q)) {
 			defer_leaf(node, q, leaf);
 			continue;
 		}
@@ -523,7 +523,7 @@
 	}
 }
 
-void front_timer(struct node *node, uint64_t id)
+void front_on_question_timer(struct node *node, uint64_t id)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
@@ -536,16 +536,16 @@
 		q->soft_passed = true;
 	if (node->now < q->deadline)
 		send_due_retries(node, q);
-	if (node->now >= q->deadline || front_is_done(q))
-		front_finish(node, q, 0);
+	if (node->now >= q->deadline || front_question_done(q))
+		front_finish_question(node, q, 0);
 }
 
-/* Return: false when the budget is exhausted. */
+/* Returns false if the budget is exhausted. */
 static bool hedge_leaf(struct node *node, struct question *q, struct leaf *leaf,
 		       int64_t delay)
 {
 	if (leaf->state != LEAF_OPEN || !leaf->nattempts ||
-	    front_question_suspect(node, q))
+	    front_poison_is_suspect(node, q))
 		return true;
 
 	const struct attempt *last = &leaf->attempts[leaf->nattempts - 1];
@@ -571,7 +571,7 @@
 	return true;
 }
 
-void front_hedge_timer(struct node *node, uint64_t id)
+void front_on_hedge_timer(struct node *node, uint64_t id)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
@@ -607,7 +607,7 @@
 	}
 }
 
-void front_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation)
+void front_on_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation)
 {
 	struct front *front = node->front;
 	apr_hash_index_t *it;
@@ -629,11 +629,11 @@
 		if (q->awaiting_lease)
 			continue;
 		question_gate_lost(node, q, gate, incarnation);
-		if (front_is_done(q))
+		if (front_question_done(q))
 			APR_ARRAY_PUSH(done, struct question *) = q;
 	}
 	for (int i = 0; i < done->nelts; i++)
-		front_finish(node, APR_ARRAY_IDX(done, i, struct question *),
-			     0);
+		front_finish_question(
+			node, APR_ARRAY_IDX(done, i, struct question *), 0);
 	apr_pool_destroy(pool);
 }
--- a/front.h
+++ b/front.h
@@ -5,12 +5,13 @@
 #include "request.h"
 
 /**
- * DOC: front
+ * DOC: coordination of questions
  *
- * Coordinates a question: admits it, pins one snapshot, sends a leaf request
- * for each shard to the gate of a replica, hedges and retries within a budget,
- * and merges the replies. Coverage is the merged weight divided by the total
- * weight of the question's shards in the snapshot's map.
+ * The node that receives a question is its front. It admits the question, pins
+ * one snapshot, sends a leaf request for each shard to the gate of a replica,
+ * hedges and retries within a budget, and merges the replies. Coverage is the
+ * merged weight divided by the total weight of the question's shards in the
+ * snapshot's map.
  */
 
 enum {
@@ -64,9 +65,11 @@
  * @pool: owns the question; destroyed after the answer
  * @fleet, @snapshot: pinned while the question is open
  * @plan: copy of the plan at admission
+ * @request: the caller's request, parsed
  * @awaiting_lease: waits for a lease of the customer's quota
- * @soft_deadline: from then on an answer at the coverage floor is sent
- * @deadline: the answer is sent by then; both in microseconds
+ * @soft_deadline: from here on an answer is sent as soon as its coverage
+ * reaches the plan's floor, microseconds
+ * @deadline: the answer is sent by this time, microseconds
  * @merged_weight: weight of the merged shards
  * @total_weight: weight of the question's shards in the snapshot's map
  * @open_leaves: leaves in state LEAF_OPEN
@@ -74,7 +77,7 @@
  *                restart on another snapshot raises it
  * @max_queue_wait: longest time in a gate's queue
  * @fingerprint: identifies repeats of the same question
- * @served: a target has answered a leaf request of the question
+ * @served: a target has replied to a leaf request of the question
  * @merged_bytes: size of the merged rows; limited, so that one question cannot
  *                use up the memory
  */
@@ -82,7 +85,7 @@
 	apr_pool_t *pool;
 	uint64_t id;
 	uint64_t caller;
-	struct query query;
+	struct question_request request;
 	struct plan plan;
 	bool awaiting_lease;
 	struct fleet *fleet;
@@ -90,7 +93,7 @@
 	struct leaf *leaves;
 	size_t nleaves;
 	size_t open_leaves;
-	int64_t start;
+	int64_t started_at;
 	int64_t soft_deadline;
 	int64_t deadline;
 	double merged_weight;
@@ -121,8 +124,8 @@
 	apr_hash_t *callers; /* caller -> struct question */
 	apr_hash_t *replicas; /* key -> struct replica */
 	struct poison poison;
-	struct poison_sync news;
-	size_t open;
+	struct poison_sync poison_sync;
+	size_t open_questions;
 	double limit; /* adaptive limit on open questions */
 	int64_t limit_lowered_at;
 	double budget; /* hedges and retries that may be sent */
@@ -133,17 +136,17 @@
 
 void front_init(struct node *node);
 void front_destroy(struct node *node);
-void front_ask(struct node *node, uint64_t caller, struct str body);
-void front_caller_gone(struct node *node, uint64_t caller);
-void front_quota_result(struct node *node, uint64_t id, bool taken,
-			int64_t retry_us);
-void front_reply(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg);
-/** front_gate_lost() - fail over the open attempts of a lost gate. */
-void front_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
-void front_timer(struct node *node, uint64_t id);
-void front_hedge_timer(struct node *node, uint64_t id);
-size_t front_open(const struct node *node);
+void front_on_question(struct node *node, uint64_t caller, struct str body);
+void front_on_caller_gone(struct node *node, uint64_t caller);
+void front_on_quota_result(struct node *node, uint64_t id, bool taken,
+			   int64_t retry_us);
+void front_on_leaf_reply(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
+/** front_on_gate_lost() - fail over the open attempts at a lost gate. */
+void front_on_gate_lost(struct node *node, uint64_t gate, uint64_t incarnation);
+void front_on_question_timer(struct node *node, uint64_t id);
+void front_on_hedge_timer(struct node *node, uint64_t id);
+size_t front_open_count(const struct node *node);
 
 /* Shared with front_admit.c. */
 
@@ -152,9 +155,9 @@
 	FRONT_HEDGE_MIN_US = 1000,
 };
 
-bool front_is_done(const struct question *q);
+bool front_question_done(const struct question *q);
 void front_send_leaves(struct node *node, struct question *q);
 void front_cancel_attempts(struct node *node, struct question *q,
 			   struct leaf *leaf);
-void front_finish(struct node *node, struct question *q, int code);
+void front_finish_question(struct node *node, struct question *q, int code);
 int64_t front_hedge_delay(const struct node *node);
--- a/front_admit.c
+++ b/front_admit.c
@@ -1,7 +1,10 @@
 #include "front.h"
+
 #include <stdio.h>
 #include <stdlib.h>
+
 #include <apr_tables.h>
+
 #include "answer.h"
 #include "front_poison.h"
 #include "latency.h"
@@ -32,20 +35,21 @@
 	return 0;
 }
 
-static int check_plan(const struct node *node, const struct query *query,
+static int check_plan(const struct node *node,
+		      const struct question_request *request,
 		      const struct plan **plan, char *text, size_t size)
 {
-	*plan = lists_plan(node->lists, query->customer);
+	*plan = lists_plan(node->lists, request->customer);
 	if (!*plan) {
 		snprintf(text, size, "customer \"%.*s\"",
-			 STR_ARG(query->customer));
+			 STR_ARG(request->customer));
 		return ERR_UNKNOWN_CUSTOMER;
 	}
-	for (size_t i = 0; i < query->nindexes; i++) {
-		if (plan_allows(*plan, query->indexes[i], false))
+	for (size_t i = 0; i < request->nindexes; i++) {
+		if (plan_allows(*plan, request->indexes[i], false))
 			continue;
 		snprintf(text, size, "index \"%.*s\"",
-			 STR_ARG(query->indexes[i]));
+			 STR_ARG(request->indexes[i]));
 		return ERR_NOT_ALLOWED;
 	}
 	return 0;
@@ -66,7 +70,7 @@
 
 	apr_hash_set(front->questions, &q->id, sizeof(q->id), NULL);
 	apr_hash_set(front->callers, &q->caller, sizeof(q->caller), NULL);
-	front->open--;
+	front->open_questions--;
 	fleet_unref(q->fleet);
 	apr_pool_destroy(q->pool);
 }
@@ -91,7 +95,7 @@
 
 	q->awaiting_lease = false;
 	q->fleet = fleet_ref(node->fleet);
-	q->snapshot = snapshot_choose(node, &q->query, q->fleet,
+	q->snapshot = snapshot_choose(node, &q->request, q->fleet,
 				      q->plan.coverage_floor, NULL, &count,
 				      &total_weight);
 	if (!q->snapshot) {
@@ -105,8 +109,8 @@
 	q->nleaves = count;
 	q->total_weight = total_weight;
 	front_send_leaves(node, q);
-	if (front_is_done(q)) {
-		front_finish(node, q, 0);
+	if (front_question_done(q)) {
+		front_finish_question(node, q, 0);
 		return;
 	}
 	timer_add(&node->timers, q->soft_deadline, TIMER_QUESTION, q->id);
@@ -116,24 +120,25 @@
 			  TIMER_HEDGE, q->id);
 }
 
-/* Covers the request to the targets and the customer, not the request id. */
-static struct fingerprint question_fingerprint(const struct query *query)
+/* Hashes the request to the targets and the customer, not the request id. */
+static struct fingerprint
+question_fingerprint(const struct question_request *request)
 {
-	struct str parts[QUERY_MAX_INDEXES + 2];
+	struct str parts[QUESTION_MAX_INDEXES + 2];
 	size_t count = 0;
 
-	parts[count++] = query->terms;
+	parts[count++] = request->terms;
 	parts[count++] =
-		(struct str){ (const char *)query->shards,
-			      query->nshards * sizeof(*query->shards) };
-	for (size_t i = 0; i < query->nindexes; i++)
-		parts[count++] = query->indexes[i];
-	return fingerprint_of(parts, count, query->customer);
+		(struct str){ (const char *)request->shards,
+			      request->nshards * sizeof(*request->shards) };
+	for (size_t i = 0; i < request->nindexes; i++)
+		parts[count++] = request->indexes[i];
+	return fingerprint_of(parts, count, request->customer);
 }
 
 static struct question *question_create(struct node *node, uint64_t caller,
 					apr_pool_t *pool,
-					const struct query *query,
+					const struct question_request *request,
 					const struct plan *plan)
 {
 	struct question *q = apr_pcalloc(pool, sizeof(*q));
@@ -141,52 +146,53 @@
 	q->pool = pool;
 	q->id = ++node->next_id;
 	q->caller = caller;
-	q->query = *query;
+	q->request = *request;
 	q->plan = *plan;
-	q->start = node->now;
+	q->started_at = node->now;
 	q->deadline = node->now + plan->deadline_us;
-	if (query->deadline_us && query->deadline_us < plan->deadline_us)
-		q->deadline = node->now + query->deadline_us;
+	if (request->deadline_us && request->deadline_us < plan->deadline_us)
+		q->deadline = node->now + request->deadline_us;
 	q->soft_deadline = node->now + plan->soft_us;
 	if (q->soft_deadline > q->deadline)
 		q->soft_deadline = q->deadline;
-	q->fingerprint = question_fingerprint(query);
+	q->fingerprint = question_fingerprint(request);
 	apr_hash_set(node->front->questions, &q->id, sizeof(q->id), q);
 	apr_hash_set(node->front->callers, &q->caller, sizeof(q->caller), q);
-	node->front->open++;
+	node->front->open_questions++;
 	return q;
 }
 
-static int admit(struct node *node, const struct query *query,
+static int admit(struct node *node, const struct question_request *request,
 		 const struct plan **plan, char *text, size_t size)
 {
 	struct front *front = node->front;
 	int code = check_state(node);
 
 	if (!code)
-		code = check_plan(node, query, plan, text, size);
+		code = check_plan(node, request, plan, text, size);
 	if (code)
 		return code;
-	if (front->open >= (size_t)node->opt.max_open ||
-	    (front->config.admission && (double)front->open >= front->limit))
+	if (front->open_questions >= (size_t)node->opt.max_open ||
+	    (front->config.admission &&
+	     (double)front->open_questions >= front->limit))
 		return ERR_OVERLOADED;
 	return 0;
 }
 
-void front_ask(struct node *node, uint64_t caller, struct str body)
+void front_on_question(struct node *node, uint64_t caller, struct str body)
 {
 	struct error err = { 0 };
 	const struct plan *plan = NULL;
 	apr_pool_t *pool;
-	struct query query;
+	struct question_request request;
 	int64_t retry_us = STARTING_RETRY_AFTER_US;
 	int code;
 
 	node->counters[CNT_QUESTIONS]++;
 	apr_pool_create(&pool, node->front->pool);
-	code = query_parse(body, pool, &query, &err);
+	code = request_parse_question(body, pool, &request, &err);
 	if (!code)
-		code = admit(node, &query, &plan, err.text, sizeof(err.text));
+		code = admit(node, &request, &plan, err.text, sizeof(err.text));
 	if (code == ERR_OVERLOADED)
 		retry_us = OVERLOADED_RETRY_AFTER_US;
 	else if (code != ERR_STARTING && code != ERR_ISOLATED)
@@ -197,16 +203,17 @@
 		return;
 	}
 
-	struct question *q = question_create(node, caller, pool, &query, plan);
+	struct question *q =
+		question_create(node, caller, pool, &request, plan);
 
 	poison_on_request(&node->front->poison, &q->fingerprint, node->now);
-	if (front_question_blocked(node, q)) {
+	if (front_poison_is_blocked(node, q)) {
 		refuse_caller(node, caller, ERR_BLOCKED,
 			      "it crashes the targets that run it", 0);
 		question_destroy(node, q);
 		return;
 	}
-	switch (quota_take(node, query.customer, plan, q->id, &retry_us)) {
+	switch (quota_take(node, request.customer, plan, q->id, &retry_us)) {
 	case QUOTA_TAKEN:
 		question_start(node, q);
 		break;
@@ -220,8 +227,8 @@
 	}
 }
 
-void front_quota_result(struct node *node, uint64_t id, bool taken,
-			int64_t retry_us)
+void front_on_quota_result(struct node *node, uint64_t id, bool taken,
+			   int64_t retry_us)
 {
 	struct question *q =
 		apr_hash_get(node->front->questions, &id, sizeof(id));
@@ -250,29 +257,30 @@
 		if (node->now - front->limit_lowered_at < LIMIT_CUT_INTERVAL_US)
 			return;
 		front->limit_lowered_at = node->now;
-		if (front->limit > (double)front->open + LIMIT_MIN)
-			front->limit = (double)front->open + LIMIT_MIN;
+		if (front->limit > (double)front->open_questions + LIMIT_MIN)
+			front->limit =
+				(double)front->open_questions + LIMIT_MIN;
 		front->limit *= LIMIT_CUT_FACTOR;
 		if (front->limit < LIMIT_MIN)
 			front->limit = LIMIT_MIN;
 	} else if (front->limit < node->opt.max_open &&
-		   (double)front->open * 2 >= front->limit) {
+		   (double)front->open_questions * 2 >= front->limit) {
 		front->limit += 1 / front->limit;
 	}
 }
 
-void front_finish(struct node *node, struct question *q, int code)
+void front_finish_question(struct node *node, struct question *q, int code)
 {
 	for (size_t i = 0; i < q->nleaves; i++)
 		front_cancel_attempts(node, q, &q->leaves[i]);
 	adjust_limit(node, q);
-	front_question_unserved(node, q);
+	front_poison_on_question_end(node, q);
 	if (!code)
 		answer_send(node, q);
 	question_destroy(node, q);
 }
 
-void front_caller_gone(struct node *node, uint64_t caller)
+void front_on_caller_gone(struct node *node, uint64_t caller)
 {
 	struct question *q =
 		apr_hash_get(node->front->callers, &caller, sizeof(caller));
@@ -280,5 +288,5 @@
 	if (!q)
 		return;
 	node->counters[CNT_CALLERS_GONE]++;
-	front_finish(node, q, ERR_CANCELLED);
+	front_finish_question(node, q, ERR_CANCELLED);
 }
--- a/front_poison.h
+++ b/front_poison.h
@@ -11,29 +11,38 @@
 
 void front_poison_init(struct node *node);
 void front_poison_destroy(struct node *node);
-/** front_question_blocked() - must not be sent to any target. */
-bool front_question_blocked(const struct node *node, const struct question *q);
+/** front_poison_is_blocked() - whether no target may get the question. */
+bool front_poison_is_blocked(const struct node *node, const struct question *q);
 /**
- * front_question_suspect() - blocked, or limited to one leaf request at a time
+ * front_poison_is_suspect() - whether the question is blocked, or limited to
+ * one leaf request at a time
  */
-bool front_question_suspect(const struct node *node, const struct question *q);
-/** front_may_send() - a leaf request of the question may be sent now. */
-bool front_may_send(const struct node *node, const struct question *q);
-/** front_connection_broke() - record a connection lost during a request. */
-void front_connection_broke(struct node *node, const struct question *q,
-			    const struct attempt *attempt,
-			    const struct msg *msg);
-/** front_target_served() - record that a target answered a leaf request. */
-void front_target_served(struct node *node, struct question *q,
-			 const struct attempt *attempt, const struct msg *msg);
-/** front_question_unserved() - record an end without any target's answer. */
-void front_question_unserved(struct node *node, const struct question *q);
+bool front_poison_is_suspect(const struct node *node, const struct question *q);
+/** front_poison_may_send() - whether a leaf request may be sent now. */
+bool front_poison_may_send(const struct node *node, const struct question *q);
+/**
+ * front_poison_on_connection_broke() - record a connection that was lost during
+ * a leaf request
+ */
+void front_poison_on_connection_broke(struct node *node,
+				      const struct question *q,
+				      const struct attempt *attempt,
+				      const struct msg *msg);
+/** front_poison_on_target_reply() - record a reply to a leaf request. */
+void front_poison_on_target_reply(struct node *node, struct question *q,
+				  const struct attempt *attempt,
+				  const struct msg *msg);
+/**
+ * front_poison_on_question_end() - record that the question ended, if no target
+ * has replied to it
+ */
+void front_poison_on_question_end(struct node *node, const struct question *q);
 /** front_poison_digest() - digest of the evidence, for heartbeats. */
 uint64_t front_poison_digest(const struct node *node);
-/** front_poison_handle_digest() - compare with the digest of @from. */
-void front_poison_handle_digest(struct node *node, struct str from,
-				uint64_t digest);
+/** front_poison_on_digest() - compare the evidence with that of @from. */
+void front_poison_on_digest(struct node *node, struct str from,
+			    uint64_t digest);
 /** front_poison_sweep() - drop refuted and expired evidence. */
 void front_poison_sweep(struct node *node);
-void front_poison_handle_msg(struct node *node, struct str from,
-			     uint64_t incarnation, const struct msg *msg);
+void front_poison_on_msg(struct node *node, struct str from,
+			 uint64_t incarnation, const struct msg *msg);
--- a/gate.h
+++ b/gate.h
@@ -3,13 +3,14 @@
 #include "member.h"
 
 /**
- * DOC: gate
+ * DOC: limits and queues of targets
  *
  * The gate of a target is the node that owns it, the only one that sends it
  * requests. It limits the requests in progress to the target's slots, treats a
  * new target as cold, raises the limit only on timely replies, and queues a
- * request no longer than its deadline allows. Other requests are refused at
- * once, with a reason and whether the target may have received the request.
+ * request no longer than its deadline allows. Other requests are refused
+ * immediately, with a reason and whether the target may have received the
+ * request.
  */
 
 enum job_state {
@@ -22,14 +23,15 @@
 /**
  * struct job - one request of another node, from arrival to reply
  * @number: number of the fetch, echoed by the target
- * @origin, @incarnation, @id, @attempt: sender and request, the key of the job
+ * @origin, @incarnation, @id, @attempt: sender and its request; the key of the
+ *                                       job
  * @addr: address of the sender
  * @is_entry: reserved and sent in two steps, runs at most once
  * @deadline: end of the current state, microseconds; a queued job does not
  *            start later
- * @boot: boot id of the target process it was sent to, 0 when not known
- * @cancelled: no longer wanted; keeps its slot until the target is done
- * @replied: the reply was sent, or none is wanted
+ * @boot: boot id of the target process that it was sent to, 0 if unknown
+ * @cancelled: no longer needed; keeps its slot until the target is done
+ * @replied: the reply was sent, or none is needed
  */
 struct job {
 	struct job *next;
@@ -81,7 +83,7 @@
  * @step_interval_us: minimum time between raises; doubles with each relapse
  * @ramp_service_us: sum of the service times counted in @ramp_streak
  * @service_us: smoothed service time
- * @baseline_us: smoothed service time while warm, 0 when not known
+ * @baseline_us: smoothed service time while warm, 0 if unknown
  * @slow_streak: consecutive replies far above the baseline
  * @shed_streak: consecutive replies that shed load
  * @failure_streak: consecutive broken connections and timeouts
@@ -135,31 +137,32 @@
 	apr_hash_t *targets; /* key -> struct target */
 	apr_hash_t *jobs_by_number; /* number -> struct job */
 	apr_hash_t *jobs_by_key; /* origin, incarnation, id, attempt -> job */
-	size_t open;
+	size_t open_jobs;
 	apr_pool_t *pool;
 };
 
 void gate_init(struct node *node);
 void gate_destroy(struct node *node);
-void gate_view_changed(struct node *node);
-void gate_leaf(struct node *node, struct str from, uint64_t incarnation,
-	       const struct msg *msg);
-void gate_reserve(struct node *node, struct str from, uint64_t incarnation,
+void gate_on_view_changed(struct node *node);
+void gate_on_leaf(struct node *node, struct str from, uint64_t incarnation,
 		  const struct msg *msg);
-void gate_go(struct node *node, struct str from, uint64_t incarnation,
-	     const struct msg *msg);
-/** gate_cancel() - handle CANCEL (leaf requests) and RELEASE (reservations). */
-void gate_cancel(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg);
-/** gate_handover() - handle HANDOVER from the previous gate of a target. */
-void gate_handover(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg);
-void gate_handover_timer(struct node *node, uint64_t key);
-void gate_fetch_done(struct node *node, uint64_t number,
-		     const struct fetch_response *fetch_response);
-void gate_job_timer(struct node *node, uint64_t number);
-/** gate_origin_lost() - cancel the jobs of a node that is gone. */
-void gate_origin_lost(struct node *node, uint64_t origin, uint64_t incarnation);
+void gate_on_reserve(struct node *node, struct str from, uint64_t incarnation,
+		     const struct msg *msg);
+void gate_on_go(struct node *node, struct str from, uint64_t incarnation,
+		const struct msg *msg);
+/** gate_on_cancel() - cancel a leaf request or release a reservation. */
+void gate_on_cancel(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg);
+/** gate_on_handover() - handle HANDOVER from the previous gate of a target. */
+void gate_on_handover(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg);
+void gate_on_handover_timer(struct node *node, uint64_t key);
+void gate_on_fetch_done(struct node *node, uint64_t number,
+			const struct parsed_reply *parsed_reply);
+void gate_on_job_timer(struct node *node, uint64_t number);
+/** gate_on_origin_lost() - cancel the jobs of a lost node. */
+void gate_on_origin_lost(struct node *node, uint64_t origin,
+			 uint64_t incarnation);
 /** gate_resume() - start queued jobs after the view is confirmed again. */
 void gate_resume(struct node *node);
 /**
@@ -173,7 +176,7 @@
 bool gate_has_target(const struct node *node, uint64_t key);
 /** gate_refuse_queued() - refuse all queued jobs of @target. */
 void gate_refuse_queued(struct node *node, struct target *target, int status);
-size_t gate_open(const struct node *node);
+size_t gate_open_count(const struct node *node);
 
 /* Shared with gate_owner.c. */
 
--- a/gate_owner.c
+++ b/gate_owner.c
@@ -1,6 +1,8 @@
 #include "gate.h"
+
 #include <stddef.h>
 #include <stdlib.h>
+
 #include "health.h"
 #include "xmalloc.h"
 
@@ -45,7 +47,7 @@
 		return vm && member_reachable(node, vm);
 	}
 	/* This node has just joined: another node was the gate. */
-	return member_count(node) > 1;
+	return member_usable_count(node) > 1;
 }
 
 static void await_handover(struct node *node, struct target *target)
@@ -55,7 +57,7 @@
 		  target->key);
 }
 
-void gate_handover_timer(struct node *node, uint64_t key)
+void gate_on_handover_timer(struct node *node, uint64_t key)
 {
 	struct target *target =
 		apr_hash_get(node->gate->targets, &key, sizeof(key));
@@ -64,8 +66,8 @@
 		gate_start_queued(node, target);
 }
 
-void gate_handover(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg)
+void gate_on_handover(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg)
 {
 	uint64_t key = msg->target;
 	struct target *target =
@@ -106,7 +108,7 @@
 	target->ramp_service_us = 0;
 	/*
 	 * While views differ, another gate may still send to the target, and
-	 * the state of the target is not known. One request at a time bounds
+	 * the state of the target is unknown. One request at a time bounds
 	 * the load that the overlap adds.
 	 */
 	target->limit =
@@ -187,8 +189,8 @@
 	target->domain = str_heap_dup(listed->domain->name);
 	target->slots = listed->slots;
 	if (node->opt.direct)
-		target->slots =
-			slots_per_node(listed->slots, member_count(node));
+		target->slots = slots_per_node(listed->slots,
+					       member_usable_count(node));
 	if (target->limit > target->slots)
 		target->limit = target->slots;
 	target->listed = true;
@@ -217,13 +219,13 @@
 	apr_pool_destroy(pool);
 }
 
-static void unlist(struct node *node, struct target *target)
+static void mark_unlisted(struct node *node, struct target *target)
 {
 	(void)node;
 	target->listed = false;
 }
 
-static void drop_unlisted(struct node *node, struct target *target)
+static void remove_unlisted(struct node *node, struct target *target)
 {
 	if (target->listed || target->jobs)
 		return;
@@ -232,14 +234,14 @@
 	gate_target_free(target);
 }
 
-void gate_view_changed(struct node *node)
+void gate_on_view_changed(struct node *node)
 {
-	for_each_target(node, unlist);
+	for_each_target(node, mark_unlisted);
 	for (size_t i = 0; node->fleet && i < node->fleet->ntargets; i++)
 		update_listed_target(node, &node->fleet->targets[i]);
 	for_each_target(node, update_owner);
 	for_each_target(node, gate_start_queued);
-	for_each_target(node, drop_unlisted);
+	for_each_target(node, remove_unlisted);
 }
 
 void gate_resume(struct node *node)
--- a/health.c
+++ b/health.c
@@ -26,7 +26,7 @@
 		return;
 	target->probing = true;
 	timer_add(&node->timers, node->now + target->probe_interval_us,
-		  TIMER_TARGET, target->key);
+		  TIMER_PROBE, target->key);
 	if (target->probe_interval_us < PROBE_INTERVAL_MAX_US)
 		target->probe_interval_us *= 2;
 }
@@ -38,10 +38,10 @@
 }
 
 /*
- * Any sign of a cold start cuts the limit to the minimum at once: load reports
- * lag, and a cold target fails again under its full load. A relapse soon after
- * a step doubles the time between steps, so that a target with a longer warm-up
- * than expected is not overloaded repeatedly.
+ * Any sign of a cold start cuts the limit to the minimum immediately: load
+ * reports lag, and a cold target fails again under its full load. A relapse
+ * soon after a raise doubles the time between raises, so that a target with a
+ * longer warm-up than expected is not overloaded repeatedly.
  */
 void health_set_cold(struct node *node, struct target *target,
 		     const char *reason)
@@ -127,9 +127,9 @@
 }
 
 /*
- * Whether the replies since the last step allow one more slot. A cold target
- * replies, but slowly, so its replies must be about as fast as when it was
- * warm. If the baseline is not known, at a new gate, or no longer holds, the
+ * Returns whether the replies since the last raise allow one more slot. A cold
+ * target replies, but slowly, so its replies must be about as fast as when it
+ * was warm. If the baseline is unknown, at a new gate, or no longer holds, the
  * limit is raised after a longer time instead.
  */
 static bool may_raise_limit(const struct node *node,
@@ -201,12 +201,11 @@
 
 void health_record_reply(struct node *node, struct target *target,
 			 const struct job *job,
-			 const struct fetch_response *fetch_response,
-			 int status)
+			 const struct parsed_reply *parsed_reply, int status)
 {
-	update_boot(node, target, fetch_response->boot);
-	update_foreign_load(target, fetch_response->load);
-	switch (fetch_response->result) {
+	update_boot(node, target, parsed_reply->boot);
+	update_foreign_load(target, parsed_reply->load);
+	switch (parsed_reply->result) {
 	case FETCH_REFUSED:
 		health_set_cold(node, target, "it refused a connection");
 		set_down(node, target, "it refused a connection");
@@ -227,7 +226,7 @@
 	case FETCH_OK:
 		break;
 	}
-	if (fetch_response->draining)
+	if (parsed_reply->draining)
 		set_draining(node, target);
 	if (status == ERR_TARGET_SHED) {
 		if (++target->shed_streak >= SHED_STREAK)
@@ -250,32 +249,32 @@
 }
 
 void health_record_probe(struct node *node, struct target *target,
-			 const struct fetch_response *fetch_response)
+			 const struct parsed_reply *parsed_reply)
 {
 	target->probing = false;
 	if (!target->owned || (!target->down && !target->draining))
 		return;
 
-	bool answers = fetch_response->result == FETCH_OK &&
-		       fetch_response->status == 200;
+	bool healthy =
+		parsed_reply->result == FETCH_OK && parsed_reply->status == 200;
 
-	if (!answers && target->draining && !target->down) {
+	if (!healthy && target->draining && !target->down) {
 		target->draining = false;
 		set_down(node, target, "it left");
 		return;
 	}
-	if (!answers || fetch_response->draining) {
+	if (!healthy || parsed_reply->draining) {
 		schedule_probe(node, target);
 		return;
 	}
-	update_boot(node, target, fetch_response->boot);
+	update_boot(node, target, parsed_reply->boot);
 	target->down = false;
 	target->draining = false;
 	target->failure_streak = 0;
 	health_set_cold(node, target, "it answers again");
 }
 
-void health_timer(struct node *node, uint64_t key)
+void health_on_probe_timer(struct node *node, uint64_t key)
 {
 	struct target *target =
 		apr_hash_get(node->gate->targets, &key, sizeof(key));
--- a/msg.h
+++ b/msg.h
@@ -8,18 +8,19 @@
 /**
  * enum msg_kind - kind of a message between nodes
  *
- * HEARTBEAT carries state and document versions; PROBE requests one at once.
+ * HEARTBEAT carries state and document versions; PROBE requests one
+ * immediately.
  * DOC_GET and DOC replicate documents. LEAF, LEAF_REPLY and CANCEL carry the
  * requests of a question between front and gate. RESERVE, GRANT, GO and
  * GO_REPLY are the two phases of an entry; RELEASE returns a reservation.
  * FORWARD sends an entry to the issuer of its ticket. LEASE requests tokens
  * of a customer's quota. HANDOVER sends a target's state to its next gate:
- * @amount is the limit, @service_us the baseline latency, @wait_us the hold,
- * @hash the boot id.
+ * @amount is the limit, @service_us the baseline latency, @wait_us the minimum
+ * time between raises of the limit, @hash the boot id.
  *
  * GOSSIP carries members in @body and the digest of the evidence against
- * requests in @hash. RELINK asks the receiver to open a new connection to the
- * sender.
+ * requests in @hash. RELINK requests that the receiver open a new connection
+ * to the sender.
  *
  * ITEMS carries store keys in @body: all changes after revision @key up to
  * @version, read @fresh_us ago, to be relayed if @state is set; @wait_us is the
@@ -36,9 +37,9 @@
  * delegating node sends ASK_GO to permit requests to further targets.
  *
  * SUSPECTS carries evidence against requests in @body and its digest in @hash;
- * @state requests a reply. TRY requests permission to try the suspect request
- * with the fingerprint @hash, @hash2, @key; TRY_REPLY grants it if @state is
- * set.
+ * @state requests a reply, and @ran that the receiver relay it. TRY requests
+ * permission to try the suspect request with the fingerprint @hash, @hash2,
+ * @key; TRY_REPLY grants it if @state is set.
  */
 enum msg_kind {
 	MSG_NONE,
@@ -90,10 +91,11 @@
  * @hash: hash of a document (of the lists in HEARTBEAT); in LEAF_REPLY the
  *        boot id of the target
  * @state: enum vm_state of the sender; in LEAF, 1 for a hedge or retry
- * @fresh_us: age of the newest known platform reading, microseconds
- * @amount: tokens requested or lent
- * @key: ticket sequence or customer hash; in HEARTBEAT the digest of evidence
- *       against requests
+ * @fresh_us: age of the newest reading of the platform by any node,
+ *            microseconds
+ * @amount: tokens requested or granted; in HANDOVER the limit
+ * @key: in HEARTBEAT the digest of evidence against requests; in ITEMS a
+ *       revision; in ASK, TRY and TRY_REPLY part of the fingerprint
  * @name: customer, index or failure domain
  * @body: rows, entry or document
  * @text: terms, request id or reason
--- a/once.c
+++ b/once.c
@@ -17,7 +17,7 @@
 	FORWARD_GRACE_US = 250000,
 };
 
-/** struct forward - a caller's request that was forwarded to its issuer */
+/** struct forward - a caller's request that was forwarded to an issuer */
 struct forward {
 	uint64_t id;
 	uint64_t caller;
@@ -68,14 +68,14 @@
 	free(once);
 }
 
-size_t once_open(const struct node *node)
+size_t once_open_count(const struct node *node)
 {
 	const struct once *once = node->once;
 	size_t tickets = once->unused_tickets;
 
-	if (node->now - once->issued_at >= TICKET_US)
+	if (node->now - once->issued_at >= TICKET_VALID_US)
 		tickets = 0;
-	return once->open + apr_hash_count(once->forwards) + tickets;
+	return once->open_records + apr_hash_count(once->forwards) + tickets;
 }
 
 /* Answers. */
@@ -180,7 +180,7 @@
  * whose record may have been evicted is answered "unknown", since "not run"
  * could be false.
  */
-static void evict(struct node *node)
+static void evict_records(struct node *node)
 {
 	struct once *once = node->once;
 
@@ -212,13 +212,13 @@
 	record = xcalloc(1, sizeof(*record));
 	record->pool = pool;
 	record->seq = seq;
-	entry_parse(body, false, pool, &record->entry, &err);
-	record->request_id = str_heap_dup(record->entry.request_id);
-	record->customer = str_hash(record->entry.customer);
-	record->body_hash = str_hash(record->entry.entry);
+	request_parse_entry(body, false, pool, &record->request, &err);
+	record->request_id = str_heap_dup(record->request.request_id);
+	record->customer = str_hash(record->request.customer);
+	record->body_hash = str_hash(record->request.entry);
 	record->state = RECORD_RESERVING;
 
-	int64_t timeout_us = record->entry.deadline_us;
+	int64_t timeout_us = record->request.deadline_us;
 
 	if (!timeout_us)
 		timeout_us = ENTRY_DEFAULT_TIMEOUT_US;
@@ -233,10 +233,10 @@
 	once->newest = record;
 	apr_hash_set(once->records, &record->seq, sizeof(record->seq), record);
 	once->count++;
-	once->open++;
+	once->open_records++;
 	if (once->unused_tickets)
 		once->unused_tickets--;
-	evict(node);
+	evict_records(node);
 	return record;
 }
 
@@ -260,7 +260,7 @@
 	};
 
 	if (!once_is_final(record))
-		node->once->open--;
+		node->once->open_records--;
 	record->state = state;
 	record->code = code;
 	str_free(record->result);
@@ -275,7 +275,7 @@
 		str_free(record->result);
 		record->result = str_heap_dup(STR("{\"omitted\":true}"));
 	}
-	record->entry = (struct entry){ 0 };
+	record->request = (struct entry_request){ 0 };
 	if (record->pool)
 		apr_pool_destroy(record->pool);
 	record->pool = NULL;
@@ -289,24 +289,24 @@
 /* Reservation of a slot, then sending of the body. */
 
 static const struct shard *find_shard(const struct fleet *fleet,
-				      const struct entry *entry,
+				      const struct entry_request *request,
 				      uint64_t *version)
 {
 	for (size_t i = 0; i < fleet->nsnapshots; i++) {
 		size_t count;
-		const struct shard *shards = snapshot_range(
-			&fleet->snapshots[i], entry->index, &count);
+		const struct shard *shards = snapshot_index_shards(
+			&fleet->snapshots[i], request->index, &count);
 
 		*version = fleet->snapshots[i].version;
 		for (size_t j = 0; j < count; j++)
-			if (shards[j].from <= entry->key &&
-			    entry->key < shards[j].to)
+			if (shards[j].from <= request->key &&
+			    request->key < shards[j].to)
 				return &shards[j];
 	}
 	return NULL;
 }
 
-/* The @n-th replica in service, modulo their number. */
+/* Returns the replica in service with the number @n, modulo their count. */
 static struct fleet_target *nth_usable_replica(const struct node *node,
 					       const struct shard *shard,
 					       uint32_t n)
@@ -330,7 +330,7 @@
 {
 	uint64_t version;
 	const struct shard *shard =
-		find_shard(node->fleet, &record->entry, &version);
+		find_shard(node->fleet, &record->request, &version);
 	struct fleet_target *target = NULL;
 	struct vm *gate = NULL;
 
@@ -356,7 +356,7 @@
 		.shard = shard->id,
 		.version = version,
 		.remaining_us = record->deadline - node->now,
-		.name = record->entry.index,
+		.name = record->request.index,
 	};
 
 	node_send(node, gate->addr, gate->incarnation, &msg);
@@ -394,8 +394,8 @@
 	node_send(node, addr, record->gate_incarnation, &msg);
 }
 
-void once_grant(struct node *node, struct str from, uint64_t incarnation,
-		const struct msg *msg)
+void once_on_grant(struct node *node, struct str from, uint64_t incarnation,
+		   const struct msg *msg)
 {
 	struct record *record = once_record_find(node, msg->id);
 
@@ -415,14 +415,14 @@
 		.id = record->seq,
 		.attempt = record->attempt,
 		.remaining_us = record->deadline - node->now,
-		.body = record->entry.entry,
+		.body = record->request.entry,
 	};
 
 	node_send(node, from, incarnation, &go);
 }
 
-void once_go_reply(struct node *node, struct str from, uint64_t incarnation,
-		   const struct msg *msg)
+void once_on_go_reply(struct node *node, struct str from, uint64_t incarnation,
+		      const struct msg *msg)
 {
 	struct record *record = once_record_find(node, msg->id);
 
@@ -447,7 +447,7 @@
 			    msg->status, (struct str){ 0 });
 }
 
-void once_timer(struct node *node, uint64_t seq)
+void once_on_record_timer(struct node *node, uint64_t seq)
 {
 	struct record *record = once_record_find(node, seq);
 
@@ -534,7 +534,7 @@
 		  TIMER_FORWARD, forward->id);
 }
 
-void once_forward_timer(struct node *node, uint64_t id)
+void once_on_forward_timer(struct node *node, uint64_t id)
 {
 	struct forward *forward =
 		apr_hash_get(node->once->forwards, &id, sizeof(id));
@@ -543,8 +543,8 @@
 		forward_fail(node, forward);
 }
 
-void once_forward_reply(struct node *node, struct str from,
-			uint64_t incarnation, const struct msg *msg)
+void once_on_forward_reply(struct node *node, struct str from,
+			   uint64_t incarnation, const struct msg *msg)
 {
 	uint64_t id = msg->id;
 	struct forward *forward =
@@ -556,9 +556,9 @@
 	forward_finish(node, forward, msg->status, msg->body);
 }
 
-void once_caller_gone(struct node *node, uint64_t caller)
+void once_on_caller_gone(struct node *node, uint64_t caller)
 {
-	if (!node->once->open)
+	if (!node->once->open_records)
 		return;
 	for (struct record *r = node->once->newest; r; r = r->older) {
 		if (once_is_final(r))
@@ -596,7 +596,7 @@
 	}
 }
 
-void once_peer_lost(struct node *node, uint64_t key, uint64_t incarnation)
+void once_on_peer_lost(struct node *node, uint64_t key, uint64_t incarnation)
 {
 	if (!node->once)
 		return;
--- a/quota.c
+++ b/quota.c
@@ -9,7 +9,7 @@
 enum {
 	LEASE_TIMEOUT_US = 25000,
 	LEASE_DURATION_US = 1000000,
-	IDLE_US = 60000000,
+	ACCOUNT_IDLE_US = 60000000,
 	US_PER_S = 1000000,
 	WAITERS_MAX = 4096,
 };
@@ -28,9 +28,9 @@
 /**
  * struct account - a customer on this node
  * @leased: tokens leased to this node until @lease_end
- * @lease_pending: a LEASE was sent at @lease_requested_at and not answered yet
+ * @lease_pending: a LEASE was sent at @lease_requested_at; no reply yet
  * @lease_round: number of the last LEASE, to match its reply
- * @owner_bucket: the customer's bucket, if this node owns the customer
+ * @owner_bucket: bucket of the whole quota, used if this node is the owner
  * @fallback_bucket: bucket with 1/n of the rate, for when no owner answers
  * @taken, @refused: requests admitted and refused by this node
  * @recent_rate: smoothed requests per second on this node
@@ -92,8 +92,8 @@
 
 static void schedule_idle_check(struct node *node, struct account *account)
 {
-	account->idle_check_at = node->now + IDLE_US;
-	timer_add(&node->timers, account->idle_check_at, TIMER_LEASE,
+	account->idle_check_at = node->now + ACCOUNT_IDLE_US;
+	timer_add(&node->timers, account->idle_check_at, TIMER_ACCOUNT,
 		  account->key);
 }
 
@@ -116,8 +116,8 @@
 	return account;
 }
 
-static void refill(struct bucket *bucket, double rate, double burst,
-		   int64_t now)
+static void refill_bucket(struct bucket *bucket, double rate, double burst,
+			  int64_t now)
 {
 	bucket->tokens += rate * (double)(now - bucket->at) / US_PER_S;
 	if (bucket->tokens > burst)
@@ -143,14 +143,15 @@
 		account->owner_bucket.at = node->now;
 		account->owner_bucket.tokens = start < 1 ? 1 : start;
 	}
-	refill(&account->owner_bucket, plan->rate, plan->burst, node->now);
+	refill_bucket(&account->owner_bucket, plan->rate, plan->burst,
+		      node->now);
 	return &account->owner_bucket;
 }
 
 static bool take_fallback(struct node *node, struct account *account,
 			  const struct plan *plan, int64_t *retry_us)
 {
-	double n = (double)member_count(node);
+	double n = (double)member_usable_count(node);
 	double burst = plan->burst / n;
 
 	if (burst < 1)
@@ -159,7 +160,8 @@
 		account->fallback_bucket_started = true;
 		account->fallback_bucket = (struct bucket){ burst, node->now };
 	}
-	refill(&account->fallback_bucket, plan->rate / n, burst, node->now);
+	refill_bucket(&account->fallback_bucket, plan->rate / n, burst,
+		      node->now);
 	*retry_us = time_to_token(&account->fallback_bucket, plan->rate / n);
 	if (account->fallback_bucket.tokens < 1)
 		return false;
@@ -179,13 +181,13 @@
 static void request_lease(struct node *node, struct account *account,
 			  const struct vm *owner)
 {
-	double wanted =
+	double requested =
 		account->recent_rate * LEASE_SPAN_S + (double)account->nwaiters;
 	struct msg msg = {
 		.kind = MSG_LEASE,
 		.id = account->key,
 		.attempt = ++account->lease_round,
-		.amount = wanted < 1 ? 1 : wanted,
+		.amount = requested < 1 ? 1 : requested,
 		.name = account->name,
 	};
 
@@ -193,7 +195,7 @@
 	account->lease_requested_at = node->now;
 	node->counters[CNT_LEASES]++;
 	node_send(node, owner->addr, owner->incarnation, &msg);
-	timer_add(&node->timers, node->now + LEASE_TIMEOUT_US, TIMER_LEASE,
+	timer_add(&node->timers, node->now + LEASE_TIMEOUT_US, TIMER_ACCOUNT,
 		  account->key);
 }
 
@@ -259,8 +261,8 @@
 	return result;
 }
 
-void quota_lease(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg)
+void quota_on_lease(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg)
 {
 	const struct plan *plan = lists_plan(node->lists, msg->name);
 	struct msg reply = {
@@ -296,8 +298,8 @@
 		account->taken++;
 	else
 		account->refused++;
-	front_quota_result(node, waiter, taken, retry_us);
-	once_quota_result(node, waiter, taken, retry_us);
+	front_on_quota_result(node, waiter, taken, retry_us);
+	once_on_quota_result(node, waiter, taken, retry_us);
 }
 
 static uint64_t *detach_waiters(struct account *account, size_t *count)
@@ -311,7 +313,7 @@
 	return waiters;
 }
 
-static void fall_back(struct node *node, struct account *account)
+static void resolve_from_fallback(struct node *node, struct account *account)
 {
 	const struct plan *plan = lists_plan(node->lists, account->name);
 	size_t count;
@@ -330,7 +332,7 @@
 	free(waiters);
 }
 
-void quota_lease_reply(struct node *node, const struct msg *msg)
+void quota_on_lease_reply(struct node *node, const struct msg *msg)
 {
 	uint64_t key = msg->id;
 	struct account *account =
@@ -353,8 +355,7 @@
 
 		if (taken)
 			account->leased -= 1;
-		/* Some arrived after the lease was requested: request another.
-		 */
+		/* Waiters added after the request are not in the lease. */
 		if (!taken && msg->amount >= 1)
 			add_waiter(account, waiters[i]);
 		else
@@ -368,10 +369,10 @@
 	if (account->nwaiters && owner && !account->lease_pending)
 		request_lease(node, account, owner);
 	else if (account->nwaiters && !account->lease_pending)
-		fall_back(node, account);
+		resolve_from_fallback(node, account);
 }
 
-void quota_timer(struct node *node, uint64_t key)
+void quota_on_account_timer(struct node *node, uint64_t key)
 {
 	struct account *account =
 		apr_hash_get(node->quota->customers, &key, sizeof(key));
@@ -380,10 +381,11 @@
 		return;
 	if (account->lease_pending &&
 	    node->now >= account->lease_requested_at + LEASE_TIMEOUT_US)
-		fall_back(node, account);
+		resolve_from_fallback(node, account);
 	if (node->now < account->idle_check_at)
 		return;
-	if (account->lease_pending || node->now - account->used_at < IDLE_US) {
+	if (account->lease_pending ||
+	    node->now - account->used_at < ACCOUNT_IDLE_US) {
 		schedule_idle_check(node, account);
 		return;
 	}
--- a/quota.h
+++ b/quota.h
@@ -14,7 +14,8 @@
 
 enum quota_result {
 	QUOTA_TAKEN,
-	QUOTA_WAIT, /* front_quota_result() or once_quota_result() follows */
+	/* front_on_quota_result() or once_on_quota_result() is called later */
+	QUOTA_WAIT,
 	QUOTA_REFUSED,
 };
 
@@ -33,16 +34,16 @@
 void quota_init(struct node *node);
 void quota_destroy(struct node *node);
 /**
- * quota_take() - take one token of @customer
+ * quota_take() - take one token of the quota of @customer
  * @waiter: question or record id, passed back after QUOTA_WAIT
  * @retry_us: retry delay, set with QUOTA_REFUSED
  */
 enum quota_result quota_take(struct node *node, struct str customer,
 			     const struct plan *plan, uint64_t waiter,
 			     int64_t *retry_us);
-void quota_lease(struct node *node, struct str from, uint64_t incarnation,
-		 const struct msg *msg);
-void quota_lease_reply(struct node *node, const struct msg *msg);
-void quota_timer(struct node *node, uint64_t key);
+void quota_on_lease(struct node *node, struct str from, uint64_t incarnation,
+		    const struct msg *msg);
+void quota_on_lease_reply(struct node *node, const struct msg *msg);
+void quota_on_account_timer(struct node *node, uint64_t key);
 /** quota_json() - append an array with the recently active customers. */
 void quota_json(const struct node *node, struct buf *out);
--- a/replica.c
+++ b/replica.c
@@ -35,11 +35,11 @@
 			const struct fleet_target *target)
 {
 	if (node->opt.direct)
-		return node->member->vms[0];
-	if (replica->epoch != node->member->epoch) {
+		return node->membership->vms[0];
+	if (replica->epoch != node->membership->epoch) {
 		replica->gate =
 			member_owner(node, target->key, target->domain->name);
-		replica->epoch = node->member->epoch;
+		replica->epoch = node->membership->epoch;
 	}
 	return replica->gate;
 }
@@ -60,7 +60,10 @@
 	       has_version(node, target, version);
 }
 
-/* Whether an attempt of @leaf went to @target; @same_domain: to its domain. */
+/*
+ * Returns whether an attempt of @leaf went to @target. Sets @same_domain if one
+ * went to a target of its failure domain.
+ */
 static bool was_tried(const struct leaf *leaf,
 		      const struct fleet_target *target, bool *same_domain)
 {
--- a/request.c
+++ b/request.c
@@ -9,7 +9,7 @@
 	US_PER_MS = 1000
 };
 
-static json_t *parse(struct json_input *in, struct str body)
+static json_t *parse_object(struct json_input *in, struct str body)
 {
 	json_t *doc = json_parse(in, body);
 
@@ -21,28 +21,29 @@
 	return doc;
 }
 
-static struct str text(struct json_input *in, json_t *doc, const char *key,
-		       size_t max, apr_pool_t *pool)
+static struct str parse_text(struct json_input *in, json_t *doc,
+			     const char *key, size_t max, apr_pool_t *pool)
 {
 	return str_dup(pool, json_text(in, key, doc, key, max));
 }
 
-static struct str text_or_none(struct json_input *in, json_t *doc,
-			       const char *key, size_t max, apr_pool_t *pool)
+static struct str parse_optional_text(struct json_input *in, json_t *doc,
+				      const char *key, size_t max,
+				      apr_pool_t *pool)
 {
 	if (!json_object_get(doc, key))
 		return (struct str){ 0 };
-	return text(in, doc, key, max, pool);
+	return parse_text(in, doc, key, max, pool);
 }
 
-static int64_t deadline(struct json_input *in, json_t *doc)
+static int64_t parse_deadline(struct json_input *in, json_t *doc)
 {
 	return json_int_or(in, "deadline_ms", doc, "deadline_ms", 1,
 			   MAX_DEADLINE_MS, 0) *
 	       US_PER_MS;
 }
 
-static int id_order(const void *left, const void *right)
+static int compare_ids(const void *left, const void *right)
 {
 	uint32_t a = *(const uint32_t *)left;
 	uint32_t b = *(const uint32_t *)right;
@@ -51,16 +52,18 @@
 }
 
 static void parse_shards(struct json_input *in, json_t *doc, apr_pool_t *pool,
-			 struct query *query)
+			 struct question_request *request)
 {
 	if (!json_object_get(doc, "shards"))
 		return;
 
-	json_t *list = json_list(in, "shards", doc, "shards", QUERY_MAX_SHARDS);
+	json_t *list =
+		json_list(in, "shards", doc, "shards", QUESTION_MAX_SHARDS);
 	size_t count = list ? json_array_size(list) : 0;
 
-	query->shards = apr_pcalloc(pool, (count + 1) * sizeof(*query->shards));
-	query->nshards = count;
+	request->shards =
+		apr_pcalloc(pool, (count + 1) * sizeof(*request->shards));
+	request->nshards = count;
 	for (size_t i = 0; i < count; i++) {
 		json_t *item = json_array_get(list, i);
 		json_int_t id = json_integer_value(item);
@@ -68,41 +71,42 @@
 		if (!json_is_integer(item) || id < 1 || id > UINT32_MAX)
 			json_error_set(in, "shards", "item %zu is no shard id",
 				       i);
-		query->shards[i] = (uint32_t)id;
+		request->shards[i] = (uint32_t)id;
 	}
-	qsort(query->shards, count, sizeof(*query->shards), id_order);
+	qsort(request->shards, count, sizeof(*request->shards), compare_ids);
 	for (size_t i = 1; i < count; i++)
-		if (query->shards[i] == query->shards[i - 1])
+		if (request->shards[i] == request->shards[i - 1])
 			json_error_set(in, "shards", "%u stands twice",
-				       query->shards[i]);
+				       request->shards[i]);
 }
 
-int query_parse(struct str body, apr_pool_t *pool, struct query *query,
-		struct error *err)
+int request_parse_question(struct str body, apr_pool_t *pool,
+			   struct question_request *request, struct error *err)
 {
 	static const char *const keys[] = { "customer", "request_id",
 					    "terms",	"indexes",
 					    "shards",	"deadline_ms",
 					    NULL };
 	struct json_input in = { .file = "question", .code = ERR_BAD_REQUEST };
-	json_t *doc = parse(&in, body);
+	json_t *doc = parse_object(&in, body);
 
-	*query = (struct query){ 0 };
+	*request = (struct question_request){ 0 };
 	if (doc) {
 		json_check_keys(&in, "top", doc, keys);
-		query->customer =
-			text(&in, doc, "customer", REQUEST_NAME_MAX, pool);
-		query->request_id =
-			text(&in, doc, "request_id", REQUEST_NAME_MAX, pool);
-		query->terms =
-			text_or_none(&in, doc, "terms", QUERY_TERMS_MAX, pool);
-		query->indexes = json_strings(&in, "indexes", doc, "indexes",
-					      pool, &query->nindexes);
-		if (!query->nindexes || query->nindexes > QUERY_MAX_INDEXES)
+		request->customer = parse_text(&in, doc, "customer",
+					       REQUEST_NAME_MAX, pool);
+		request->request_id = parse_text(&in, doc, "request_id",
+						 REQUEST_NAME_MAX, pool);
+		request->terms = parse_optional_text(&in, doc, "terms",
+						     QUESTION_TERMS_MAX, pool);
+		request->indexes = json_strings(&in, "indexes", doc, "indexes",
+						pool, &request->nindexes);
+		if (!request->nindexes ||
+		    request->nindexes > QUESTION_MAX_INDEXES)
 			json_error_set(&in, "indexes", "must name 1 to %d",
-				       QUERY_MAX_INDEXES);
-		parse_shards(&in, doc, pool, query);
-		query->deadline_us = deadline(&in, doc);
+				       QUESTION_MAX_INDEXES);
+		parse_shards(&in, doc, pool, request);
+		request->deadline_us = parse_deadline(&in, doc);
 		json_decref(doc);
 	}
 	*err = in.err;
@@ -110,13 +114,13 @@
 }
 
 static void parse_action(struct json_input *in, json_t *doc, apr_pool_t *pool,
-			 struct entry *entry)
+			 struct entry_request *request)
 {
 	json_t *action = json_object_get(doc, "entry");
 
-	entry->index = text(in, doc, "index", REQUEST_NAME_MAX, pool);
-	entry->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
-	entry->deadline_us = deadline(in, doc);
+	request->index = parse_text(in, doc, "index", REQUEST_NAME_MAX, pool);
+	request->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
+	request->deadline_us = parse_deadline(in, doc);
 	if (!json_is_object(action)) {
 		json_error_set(in, "entry", "must be an object");
 		return;
@@ -124,30 +128,31 @@
 
 	char *dump = json_dumps(action, JSON_COMPACT | JSON_SORT_KEYS);
 
-	entry->entry = str_dup(pool, str_of(dump));
+	request->entry = str_dup(pool, str_of(dump));
 	free(dump);
 }
 
-int entry_parse(struct str body, bool lookup, apr_pool_t *pool,
-		struct entry *entry, struct error *err)
+int request_parse_entry(struct str body, bool lookup, apr_pool_t *pool,
+			struct entry_request *request, struct error *err)
 {
 	static const char *const keys[] = { "customer",	   "request_id",
 					    "ticket",	   "index",
 					    "key",	   "entry",
 					    "deadline_ms", NULL };
 	struct json_input in = { .file = "entry", .code = ERR_BAD_REQUEST };
-	json_t *doc = parse(&in, body);
+	json_t *doc = parse_object(&in, body);
 
-	*entry = (struct entry){ 0 };
+	*request = (struct entry_request){ 0 };
 	if (doc) {
 		json_check_keys(&in, "top", doc, keys);
-		entry->customer =
-			text(&in, doc, "customer", REQUEST_NAME_MAX, pool);
-		entry->request_id =
-			text(&in, doc, "request_id", REQUEST_NAME_MAX, pool);
-		entry->ticket = text_or_none(&in, doc, "ticket", 128, pool);
+		request->customer = parse_text(&in, doc, "customer",
+					       REQUEST_NAME_MAX, pool);
+		request->request_id = parse_text(&in, doc, "request_id",
+						 REQUEST_NAME_MAX, pool);
+		request->ticket =
+			parse_optional_text(&in, doc, "ticket", 128, pool);
 		if (!lookup)
-			parse_action(&in, doc, pool, entry);
+			parse_action(&in, doc, pool, request);
 		json_decref(doc);
 	}
 	*err = in.err;
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -42,7 +42,7 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"%s\",\"indexes\":[\"orders\"]}",
 		 terms);
-	return mesh_call(mesh, node, EV_ASK, body);
+	return mesh_call(mesh, node, EV_QUESTION, body);
 }
 
 static bool is_complete(const struct mesh *mesh, size_t id)
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -146,7 +146,7 @@
 	{ FLEET(TARGET("t", "x"), ""), "ip:port" },
 	{ FLEET_HEAD "],\"snapshots\":[{\"version\":1,\"shards\":[]},"
 		     "{\"version\":2,\"shards\":[]}]}",
-	  "go down" },
+	  "descending order" },
 	{ FLEET_HEAD "]}", "snapshots" },
 };
 
@@ -266,11 +266,11 @@
 	const struct input *in = &questions[_i];
 	struct error err = { 0 };
 	apr_pool_t *pool;
-	struct query query;
+	struct question_request query;
 	int code;
 
 	apr_pool_create(&pool, NULL);
-	code = query_parse(str_of(in->text), pool, &query, &err);
+	code = request_parse_question(str_of(in->text), pool, &query, &err);
 	ck_assert_int_eq(code, in->expected_error ? ERR_BAD_REQUEST : 0);
 	if (in->expected_error)
 		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
@@ -292,12 +292,12 @@
 {
 	const struct input *in = &entries[_i];
 	struct error err = { 0 };
-	struct entry entry;
+	struct entry_request entry;
 	apr_pool_t *pool;
 	int code;
 
 	apr_pool_create(&pool, NULL);
-	code = entry_parse(str_of(in->text), false, pool, &entry, &err);
+	code = request_parse_entry(str_of(in->text), false, pool, &entry, &err);
 	ck_assert_int_eq(code, in->expected_error ? ERR_BAD_REQUEST : 0);
 	if (in->expected_error)
 		ck_assert_msg(strstr(err.text, in->expected_error), "%s",
@@ -327,7 +327,7 @@
 START_TEST(test_target_reply)
 {
 	const struct reply_case *in = &replies[_i];
-	struct fetch_response fetched = { .result = FETCH_OK };
+	struct parsed_reply fetched = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
 	target_parse_reply(str_of(in->body), in->status, &fetched, &rows);
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -65,7 +65,7 @@
 
 static size_t send_question(struct mesh *mesh, int i)
 {
-	return mesh_call(mesh, i, EV_ASK,
+	return mesh_call(mesh, i, EV_QUESTION,
 			 "{\"customer\":\"mill\",\"request_id\":\"same\","
 			 "\"terms\":\"t\",\"indexes\":[\"orders\"]}");
 }
@@ -158,9 +158,10 @@
 /* Runs until the gate has granted a slot; the go may be in flight by then. */
 static void run_until_grant(struct mesh *mesh, int gate)
 {
-	for (int i = 0; i < 200 && !gate_open(mesh->nodes[gate].node); i++)
+	for (int i = 0; i < 200 && !gate_open_count(mesh->nodes[gate].node);
+	     i++)
 		mesh_run(mesh, 50);
-	ck_assert(gate_open(mesh->nodes[gate].node));
+	ck_assert(gate_open_count(mesh->nodes[gate].node));
 }
 
 static bool domain_started_since(struct mesh *mesh, int domain, int64_t since)
@@ -336,8 +337,8 @@
 	for (int i = 0; i < 60; i++) {
 		if (i == 20)
 			mesh_feed(mesh, gate,
-				  (struct event){ .type = EV_LEAVE });
-		mesh_call(mesh, (gate + 1) % 3, EV_ASK,
+				  (struct event){ .type = EV_DRAIN });
+		mesh_call(mesh, (gate + 1) % 3, EV_QUESTION,
 			  "{\"customer\":\"mill\",\"request_id\":\"r\","
 			  "\"indexes\":[\"orders\"],\"shards\":[1]}");
 		mesh_run(mesh, 5 * MS);
@@ -481,7 +482,7 @@
 			 "{\"customer\":\"mill\",\"request_id\":\"same\","
 			 "\"terms\":\"own-%d-\",\"indexes\":[\"orders\"]}",
 			 i);
-		ids[i] = mesh_call(mesh, i % 3, EV_ASK, body);
+		ids[i] = mesh_call(mesh, i % 3, EV_QUESTION, body);
 		mesh_run(mesh, 4 * MS);
 	}
 	mesh_run(mesh, 2 * SECOND);
@@ -535,7 +536,7 @@
 	mesh_kill(mesh, issuer);
 	mesh_run(mesh, 3 * SECOND);
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
-	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
+	ck_assert_int_eq((int)gate_open_count(mesh->nodes[gate].node), 0);
 }
 
 /* 6. All targets shed the entry and reply that they did not run it, so the
@@ -594,7 +595,7 @@
 	ck_assert(answer_contains(mesh, id, "\"not_run\""));
 	mesh_run(mesh, 4 * SECOND);
 	ck_assert_int_eq((int)mesh_entry_runs(mesh, ENTRY), 0);
-	ck_assert_int_eq((int)gate_open(mesh->nodes[gate].node), 0);
+	ck_assert_int_eq((int)gate_open_count(mesh->nodes[gate].node), 0);
 }
 
 /* 7. One ticket sent to two nodes at once, and again later: one run, and the
@@ -725,8 +726,8 @@
 {
 	for (int i = 0; i < 3; i++) {
 		send_load(mesh, 500 * MS);
-		mesh_feed(mesh, i, (struct event){ .type = EV_LEAVE });
-		mesh_feed(mesh, i, (struct event){ .type = EV_LEAVE });
+		mesh_feed(mesh, i, (struct event){ .type = EV_DRAIN });
+		mesh_feed(mesh, i, (struct event){ .type = EV_DRAIN });
 		send_load(mesh, SECOND);
 		send_load_except(mesh, 3 * SECOND, i);
 		ck_assert(!mesh->nodes[i].up);
@@ -755,8 +756,8 @@
 	for (int i = 0; i < 12; i++)
 		send_question(mesh, i % 2);
 	entry = send_entry(mesh, 1, ticket);
-	mesh_feed(mesh, 0, (struct event){ .type = EV_LEAVE });
-	mesh_feed(mesh, 1, (struct event){ .type = EV_LEAVE });
+	mesh_feed(mesh, 0, (struct event){ .type = EV_DRAIN });
+	mesh_feed(mesh, 1, (struct event){ .type = EV_DRAIN });
 	for (int i = 0; i < 300; i++) {
 		send_question(mesh, 2);
 		mesh_run(mesh, 10 * MS);
@@ -775,7 +776,7 @@
 	char ticket[160];
 	size_t id;
 
-	mesh_feed(mesh, 0, (struct event){ .type = EV_LEAVE });
+	mesh_feed(mesh, 0, (struct event){ .type = EV_DRAIN });
 	request_ticket(mesh, 0, ticket, sizeof(ticket));
 	ck_assert(strncmp(ticket, "127.0.0.1:7000/", 15));
 	mesh_run(mesh, 4 * SECOND);
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -84,7 +84,7 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"q%zu\",\"indexes\":[\"orders\"]}",
 		 f->mesh->nanswers);
-	mesh_call(f->mesh, random_node(f), EV_ASK, body);
+	mesh_call(f->mesh, random_node(f), EV_QUESTION, body);
 	f->questions++;
 }
 
@@ -201,7 +201,7 @@
 	int i = random_node(f);
 
 	f->disturbed[i] = true;
-	mesh_feed(f->mesh, i, (struct event){ .type = EV_LEAVE });
+	mesh_feed(f->mesh, i, (struct event){ .type = EV_DRAIN });
 }
 
 static void publish_fleet(struct fuzz *f)
@@ -512,7 +512,7 @@
 
 	for (int i = 0; i < STOP_QUESTIONS; i++)
 		do_question(f);
-	mesh_feed(f->mesh, 0, (struct event){ .type = EV_LEAVE });
+	mesh_feed(f->mesh, 0, (struct event){ .type = EV_DRAIN });
 	send_load(f, TAKE_EFFECT_US);
 	to = f->mesh->nanswers;
 	mesh_run(f->mesh, 2000000);
--- a/tests/fuzz_input.c
+++ b/tests/fuzz_input.c
@@ -47,19 +47,19 @@
 static void fuzz_caller(struct str in)
 {
 	struct error err;
-	struct entry entry;
-	struct query query;
+	struct entry_request entry;
+	struct question_request query;
 	apr_pool_t *pool;
 
 	apr_pool_create(&pool, NULL);
-	query_parse(in, pool, &query, &err);
-	entry_parse(in, false, pool, &entry, &err);
+	request_parse_question(in, pool, &query, &err);
+	request_parse_entry(in, false, pool, &entry, &err);
 	apr_pool_destroy(pool);
 }
 
 static void fuzz_target_reply(struct str in)
 {
-	struct fetch_response got = { .result = FETCH_OK };
+	struct parsed_reply got = { .result = FETCH_OK };
 	struct buf rows = { 0 };
 
 	target_parse_reply(in, 200, &got, &rows);
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -49,7 +49,7 @@
 	uint64_t boot; /* boot id of the target when it was sent */
 	int64_t timeout_at; /* when the shell would report a timeout */
 	bool running;
-	struct fetch_response fetched;
+	struct parsed_reply fetched;
 	struct buf rows;
 };
 
@@ -397,13 +397,13 @@
 
 static void deliver_reply(struct mesh *mesh, struct request *request)
 {
-	struct fetch_response fetched = request->fetched;
+	struct parsed_reply fetched = request->fetched;
 
 	fetched.body = buf_str(&request->rows);
 	mesh_feed(mesh, request->node,
-		  (struct event){ .type = EV_FETCHED,
+		  (struct event){ .type = EV_FETCH_DONE,
 				  .id = request->fetch_id,
-				  .fetch_response = &fetched });
+				  .parsed_reply = &fetched });
 	request_free(mesh, request);
 }
 
--- a/timer.h
+++ b/timer.h
@@ -7,17 +7,17 @@
 /** enum timer_kind - handler of a timer */
 enum timer_kind {
 	TIMER_HEARTBEAT,
-	TIMER_VIEW,
-	TIMER_CONF,
+	TIMER_VIEW_TIMEOUT,
+	TIMER_DOC,
 	TIMER_QUESTION,
 	TIMER_HEDGE,
-	TIMER_LEASE,
-	TIMER_TARGET,
+	TIMER_ACCOUNT,
+	TIMER_PROBE,
 	TIMER_JOB,
 	TIMER_RECORD,
 	TIMER_FORWARD,
-	TIMER_LEAVE,
-	TIMER_REVIEW,
+	TIMER_DRAIN,
+	TIMER_VIEW_CHANGE,
 	TIMER_HANDOVER,
 };
 
@@ -26,8 +26,9 @@
  * @when: monotonic microseconds
  * @order: sequence number, which orders timers with equal times
  * @kind: handler
- * @id: question, target, job or record; timers are never cancelled, instead
- *      the handler checks that the object still exists
+ * @id: object of the timer, such as a question, target, job, record or
+ *      document; timers are never cancelled, instead the handler checks that
+ *      the object still exists
  */
 struct timer {
 	int64_t when;
