--- a/doc.c
+++ b/doc.c
@@ -459,8 +459,7 @@
 			       &fleet->snapshots[i]);
 		if (i && fleet->snapshots[i].version >=
 				 fleet->snapshots[i - 1].version)
-			json_error_set(in, path,
-				       "versions must be in descending order");
+			json_error_set(in, path, "versions must go down");
 	}
 }
 
--- a/doc_sync.c
+++ b/doc_sync.c
@@ -181,7 +181,7 @@
 	if (is_newer(version, hash, doc)) {
 		if (version == doc->version)
 			audit_doc(node, kind, doc->version, version,
-				  "two documents with the same version");
+				  "two bodies with one version");
 		return true;
 	}
 	node->counters[CNT_DOCS_STALE]++;
@@ -408,10 +408,9 @@
 	}
 	for (int i = 0; i < DOC_KINDS; i++)
 		if (doc_sync->candidate[i].len)
-			accept_doc(
-				node, (enum doc_kind)i,
-				buf_str(&doc_sync->candidate[i]),
-				"first reading, checked for newer ones at the peers");
+			accept_doc(node, (enum doc_kind)i,
+				   buf_str(&doc_sync->candidate[i]),
+				   "first reading, after asking the peers");
 	if (!node->lists || !node->fleet) {
 		for (int i = 0; i < DOC_KINDS; i++)
 			doc_sync->candidate[i].len = 0;
--- a/member.c
+++ b/member.c
@@ -295,7 +295,7 @@
 	node->membership->isolated = isolated;
 	node_audit(node, "isolated", isolated ? STR("no") : STR("yes"),
 		   isolated ? STR("yes") : STR("no"),
-		   "no recent platform data and most VMs unreachable", 0);
+		   "platform silent and most VMs unheard", 0);
 	if (!isolated)
 		gate_resume(node);
 }
@@ -385,7 +385,7 @@
 	 * the reply to a probe sent after it confirms the view.
 	 */
 	if (msg->id && msg->id == node->membership->nonce)
-		confirm_view(node, "a peer replied");
+		confirm_view(node, "a peer answered");
 }
 
 void member_on_probe(struct node *node, struct str from, uint64_t incarnation,
@@ -454,7 +454,7 @@
 	if (self->state == state)
 		return;
 	node_audit(node, "node", str_of(names[self->state]),
-		   str_of(names[state]), "state of this node changed", 0);
+		   str_of(names[state]), "own state", 0);
 	self->state = state;
 	send_heartbeats(node);
 	node_view_changed(node);
@@ -495,13 +495,13 @@
 	 */
 	if (nonce == node->membership->nonce &&
 	    !node->membership->view_confirmed)
-		set_view_confirmed(node, "no reply in time");
+		set_view_confirmed(node, "nobody answered in time");
 }
 
 void member_on_platform_read(struct node *node)
 {
 	update_platform_read_at(node, node->now);
-	confirm_view(node, "the platform replied");
+	confirm_view(node, "the platform answered");
 }
 
 bool member_view_confirmed(const struct node *node)
--- a/node.c
+++ b/node.c
@@ -220,7 +220,7 @@
 	}
 	drain->done = true;
 	node_audit(node, "node", STR("leaving"), STR("stopped"),
-		   timed_out ? "drain_ms has elapsed" : "quiet", 0);
+		   timed_out ? "drain_ms is over" : "quiet", 0);
 	effects_add(node->fx, FX_STOP);
 }
 
