--- a/bench/policy.c
+++ b/bench/policy.c
@@ -33,7 +33,7 @@
 	int seconds;
 	int straggle_pm;
 	bool direct;
-	bool permits;
+	bool leased_permits;
 	bool no_hedge;
 	int64_t fixed_us;
 	double quantile; /* of the hedge delay, 0 for the default */
@@ -45,7 +45,8 @@
 	double coverage_floor;
 	/* Faults happen after a third of the time. */
 	int restart_every; /* every n-th target restarts */
-	int lacks_every; /* every n-th target lacks the newest snapshot */
+	int missing_snapshot_every; /* every n-th target lacks the newest
+				       snapshot */
 	bool split; /* quota: 1/n of the rate per node instead of leases */
 	double plan_rate; /* questions per second, 0 for no limit */
 	int senders; /* nodes that receive questions, 0 for all */
@@ -64,11 +65,11 @@
 	return a < b ? -1 : a > b;
 }
 
-static void configure(struct mesh *mesh, const struct scenario *scenario)
+static void configure(struct cluster *cluster, const struct scenario *scenario)
 {
 	for (int i = 0; i < NODES; i++) {
 		struct front_config *config =
-			&mesh->nodes[i].node->front->config;
+			&cluster->nodes[i].node->front->config;
 
 		config->hedge = !scenario->no_hedge;
 		config->hedge_fixed_us = scenario->fixed_us;
@@ -76,115 +77,122 @@
 			config->hedge_quantile = scenario->quantile;
 		config->admission = !scenario->no_admission;
 		if (scenario->split)
-			mesh->nodes[i].node->quota->policy = QUOTA_SPLIT;
+			cluster->nodes[i].node->quota->policy = QUOTA_SPLIT;
 	}
-	mesh->straggle_pm = scenario->straggle_pm;
+	cluster->straggle_pm = scenario->straggle_pm;
 }
 
-static struct mesh *create_mesh(const struct scenario *scenario)
+static struct cluster *create_cluster(const struct scenario *scenario)
 {
-	struct mesh_layout layout = mesh_layout(NODES, DOMAINS, TARGETS);
+	struct cluster_layout layout = cluster_default_layout(NODES, DOMAINS, TARGETS);
 	double plan_rate = scenario->plan_rate > 0 ? scenario->plan_rate : 1e6;
 	int soft_ms = scenario->soft_ms ? scenario->soft_ms : 400;
 	double coverage_floor =
 		scenario->coverage_floor > 0 ? scenario->coverage_floor : 1;
-	struct mesh *mesh =
-		mesh_create(seed, &layout,
-			    mesh_lists(1, plan_rate, plan_rate / 5 + 1, soft_ms,
-				       400, coverage_floor));
-
-	mesh->latency_us = 100;
-	mesh->far_us = 1000;
-	mesh->straggle_factor = 10;
-	mesh->permits = scenario->permits;
-	mesh->service_us = scenario->service_us ? scenario->service_us : 3 * MS;
-	mesh->cold_us = scenario->cold_us ? scenario->cold_us : SECOND;
+	struct cluster *cluster = cluster_create(
+		seed, &layout,
+		cluster_lists_doc(1, plan_rate, plan_rate / 5 + 1, soft_ms, 400,
+				  coverage_floor));
+
+	cluster->latency_us = 100;
+	cluster->far_us = 1000;
+	cluster->straggle_factor = 10;
+	cluster->leased_permits = scenario->leased_permits;
+	cluster->service_us =
+		scenario->service_us ? scenario->service_us : 3 * MS;
+	cluster->cold_us = scenario->cold_us ? scenario->cold_us : SECOND;
 	for (int i = 0; i < NODES; i++) {
-		mesh->nodes[i].opt.direct = scenario->direct;
-		mesh->nodes[i].opt.max_open = 4000;
-		mesh->nodes[i].opt.off.no_ramp = scenario->no_ramp;
+		cluster->nodes[i].opt.direct = scenario->direct;
+		cluster->nodes[i].opt.max_open = 4000;
+		cluster->nodes[i].opt.off.no_ramp = scenario->no_ramp;
 	}
-	mesh_start_all(mesh);
-	return mesh;
+	cluster_start_all(cluster);
+	return cluster;
 }
 
-static void drive_load(struct mesh *mesh, const struct scenario *scenario,
+static void drive_load(struct cluster *cluster, const struct scenario *scenario,
 		       int64_t us)
 {
-	int64_t end = mesh->now + us;
+	int64_t end = cluster->now + us;
 	int senders = scenario->senders ? scenario->senders : NODES;
 	struct rng rng = { .seed = seed + 99 };
 
-	while (mesh->now < end) {
+	while (cluster->now < end) {
 		double u =
 			(double)(rng_next(&rng) >> 11) / (double)(1ULL << 53);
 
-		mesh_call(mesh, (int)rng_below(&rng, (uint64_t)senders), EV_ASK,
-			  "{\"customer\":\"mill\",\"request_id\":\"r\","
-			  "\"indexes\":[\"orders\"]}");
-		mesh_run(mesh, (int64_t)(-log(1 - u) / scenario->rate * 1e6));
+		cluster_send_call(cluster,
+				  (int)rng_below(&rng, (uint64_t)senders),
+				  EV_ASK,
+				  "{\"customer\":\"mill\",\"request_id\":\"r\","
+				  "\"indexes\":[\"orders\"]}");
+		cluster_run(cluster,
+			    (int64_t)(-log(1 - u) / scenario->rate * 1e6));
 	}
 }
 
-static void apply_target_faults(struct mesh *mesh,
+static void apply_target_faults(struct cluster *cluster,
 				const struct scenario *scenario)
 {
-	for (size_t i = 0; scenario->restart_every && i < mesh->ntargets;
+	for (size_t i = 0; scenario->restart_every && i < cluster->ntargets;
 	     i += (size_t)scenario->restart_every)
-		mesh_cold(mesh, &mesh->targets[i]);
-	for (size_t i = 0; scenario->lacks_every && i < mesh->ntargets;
-	     i += (size_t)scenario->lacks_every)
-		mesh->targets[i].lacks = 2;
+		cluster_restart_target(cluster, &cluster->targets[i]);
+	for (size_t i = 0;
+	     scenario->missing_snapshot_every && i < cluster->ntargets;
+	     i += (size_t)scenario->missing_snapshot_every)
+		cluster->targets[i].missing_snapshot = 2;
 }
 
-static int bucket_owner(struct mesh *mesh)
+static int bucket_owner(struct cluster *cluster)
 {
-	struct vm *owner = member_owner(
-		mesh->nodes[0].node, str_hash(STR("mill")), (struct str){ 0 });
+	struct vm *owner =
+		member_owner(cluster->nodes[0].node, str_hash(STR("mill")),
+			     (struct str){ 0 });
 
 	for (int i = 0; i < NODES; i++)
-		if (str_eq(owner->addr, str_of(mesh->nodes[i].addr)))
+		if (str_eq(owner->addr, str_of(cluster->nodes[i].addr)))
 			return i;
 	return 0;
 }
 
-static void apply_node_faults(struct mesh *mesh,
+static void apply_node_faults(struct cluster *cluster,
 			      const struct scenario *scenario)
 {
 	if (scenario->kill)
-		mesh_kill(mesh, NODES - 1);
+		cluster_kill_node(cluster, NODES - 1);
 	if (scenario->stop)
-		mesh_feed(mesh, NODES - 1, (struct event){ .type = EV_LEAVE });
+		cluster_deliver(cluster, NODES - 1,
+				(struct event){ .type = EV_LEAVE });
 	if (scenario->kill_owner)
-		mesh_kill(mesh, bucket_owner(mesh));
+		cluster_kill_node(cluster, bucket_owner(cluster));
 }
 
-static uint64_t requests_started(const struct mesh *mesh)
+static uint64_t requests_started(const struct cluster *cluster)
 {
 	uint64_t sum = 0;
 
-	for (size_t i = 0; i < mesh->ntargets; i++)
-		sum += mesh->targets[i].started;
+	for (size_t i = 0; i < cluster->ntargets; i++)
+		sum += cluster->targets[i].started;
 	return sum;
 }
 
-static int peak_cold(const struct mesh *mesh, uint64_t *overruns)
+static int peak_cold(const struct cluster *cluster, uint64_t *overruns)
 {
 	int peak = 0;
 
 	*overruns = 0;
-	for (size_t i = 0; i < mesh->ntargets; i++) {
-		*overruns += mesh->targets[i].overruns;
-		if (mesh->targets[i].peak_cold > peak)
-			peak = mesh->targets[i].peak_cold;
+	for (size_t i = 0; i < cluster->ntargets; i++) {
+		*overruns += cluster->targets[i].overruns;
+		if (cluster->targets[i].peak_cold > peak)
+			peak = cluster->targets[i].peak_cold;
 	}
 	return peak;
 }
 
-static void report(struct mesh *mesh, const struct scenario *scenario,
+static void report(struct cluster *cluster, const struct scenario *scenario,
 		   const char *part, size_t from, uint64_t before)
 {
-	size_t asked = mesh->nanswers - from;
+	size_t asked = cluster->ncalls - from;
 	double *latency = xcalloc(asked + 1, sizeof(*latency));
 	size_t answered = 0;
 	size_t whole = 0;
@@ -192,14 +200,14 @@
 	double coverage = 0;
 	uint64_t overruns;
 
-	for (size_t id = from; id < mesh->nanswers; id++) {
-		const struct mesh_answer *answer = &mesh->answers[id];
+	for (size_t id = from; id < cluster->ncalls; id++) {
+		const struct cluster_call *call = &cluster->calls[id];
 		json_t *doc;
 		double share;
 
-		if (!answer->count || answer->status != 200)
+		if (!call->answers || call->status != 200)
 			continue;
-		doc = json_loadb(answer->body.ptr, answer->body.len, 0, NULL);
+		doc = json_loadb(call->body.ptr, call->body.len, 0, NULL);
 		share = json_number_value(json_object_get(doc, "coverage"));
 		json_decref(doc);
 		coverage += share;
@@ -208,7 +216,7 @@
 		else
 			partial++;
 		latency[answered++] =
-			(double)(answer->at - answer->asked_at) / MS;
+			(double)(call->answered_at - call->sent_at) / MS;
 	}
 	qsort(latency, answered, sizeof(*latency), compare_doubles);
 	printf("{\"part\":\"%s\",\"choice\":\"%s\",\"asked\":%zu,"
@@ -220,9 +228,9 @@
 		       latency[answered / 2],
 		       latency[(size_t)(0.99 * (double)answered)],
 		       coverage / (double)answered,
-		       (double)(requests_started(mesh) - before) /
+		       (double)(requests_started(cluster) - before) /
 			       ((double)answered * TARGETS));
-	printf(",\"peak_cold\":%d", peak_cold(mesh, &overruns));
+	printf(",\"peak_cold\":%d", peak_cold(cluster, &overruns));
 	printf(",\"overruns\":%llu,\"goodput\":%.1f}\n",
 	       (unsigned long long)overruns, (double)whole / scenario->seconds);
 	fflush(stdout);
@@ -231,26 +239,26 @@
 
 static void run_scenario(const char *part, const struct scenario *scenario)
 {
-	struct mesh *mesh = create_mesh(scenario);
+	struct cluster *cluster = create_cluster(scenario);
 	struct scenario warmup = *scenario;
 	uint64_t before;
 	size_t from;
 
 	warmup.rate = scenario->plan_rate > 0 ? scenario->plan_rate / 4 : 20;
-	configure(mesh, scenario);
-	drive_load(mesh, &warmup, 6 * SECOND);
-	mesh_run(mesh, SECOND);
-	for (size_t i = 0; i < mesh->ntargets; i++)
-		mesh->targets[i].overruns = 0;
-	from = mesh->nanswers;
-	before = requests_started(mesh);
-	drive_load(mesh, scenario, scenario->seconds * SECOND / 3);
-	apply_target_faults(mesh, scenario);
-	apply_node_faults(mesh, scenario);
-	drive_load(mesh, scenario, scenario->seconds * SECOND * 2LL / 3);
-	mesh_run(mesh, SECOND);
-	report(mesh, scenario, part, from, before);
-	mesh_destroy(mesh);
+	configure(cluster, scenario);
+	drive_load(cluster, &warmup, 6 * SECOND);
+	cluster_run(cluster, SECOND);
+	for (size_t i = 0; i < cluster->ntargets; i++)
+		cluster->targets[i].overruns = 0;
+	from = cluster->ncalls;
+	before = requests_started(cluster);
+	drive_load(cluster, scenario, scenario->seconds * SECOND / 3);
+	apply_target_faults(cluster, scenario);
+	apply_node_faults(cluster, scenario);
+	drive_load(cluster, scenario, scenario->seconds * SECOND * 2LL / 3);
+	cluster_run(cluster, SECOND);
+	report(cluster, scenario, part, from, before);
+	cluster_destroy(cluster);
 }
 
 static const struct scenario gates[] = {
@@ -273,16 +281,19 @@
 	  .seconds = 9,
 	  .restart_every = 10,
 	  .direct = true },
-	{ .name = "permits, 30/s", .rate = 30, .seconds = 9, .permits = true },
+	{ .name = "permits, 30/s",
+	  .rate = 30,
+	  .seconds = 9,
+	  .leased_permits = true },
 	{ .name = "permits, 300/s",
 	  .rate = 300,
 	  .seconds = 3,
-	  .permits = true },
+	  .leased_permits = true },
 	{ .name = "permits, tenth restarts",
 	  .rate = 60,
 	  .seconds = 9,
 	  .restart_every = 10,
-	  .permits = true },
+	  .leased_permits = true },
 };
 
 static const struct scenario hedging[] = {
@@ -426,15 +437,15 @@
 	{ .name = "a third lacks it, floor 1",
 	  .rate = 30,
 	  .seconds = 9,
-	  .lacks_every = 3 },
+	  .missing_snapshot_every = 3 },
 	{ .name = "all lack it, floor 1",
 	  .rate = 30,
 	  .seconds = 9,
-	  .lacks_every = 1 },
+	  .missing_snapshot_every = 1 },
 	{ .name = "all lack it, floor 0.5",
 	  .rate = 30,
 	  .seconds = 9,
-	  .lacks_every = 1,
+	  .missing_snapshot_every = 1,
 	  .coverage_floor = 0.5 },
 };
 
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -24,17 +24,18 @@
 	RECOVERED_ROUND = 5,
 };
 
-static struct mesh *create_started_mesh(void)
+static struct cluster *create_started_cluster(void)
 {
-	struct mesh_layout layout = mesh_layout(NODES, DOMAINS, TARGETS);
-	struct mesh *mesh =
-		mesh_create(7, &layout, mesh_lists(1, 5000, 5000, 400, 400, 1));
+	struct cluster_layout layout = cluster_default_layout(NODES, DOMAINS, TARGETS);
+	struct cluster *cluster = cluster_create(
+		7, &layout, cluster_lists_doc(1, 5000, 5000, 400, 400, 1));
 
-	mesh_start_all(mesh);
-	return mesh;
+	cluster_start_all(cluster);
+	return cluster;
 }
 
-static size_t send_question(struct mesh *mesh, int node, const char *terms)
+static size_t send_question(struct cluster *cluster, int node,
+			    const char *terms)
 {
 	char body[200];
 
@@ -42,15 +43,15 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"%s\",\"indexes\":[\"orders\"]}",
 		 terms);
-	return mesh_call(mesh, node, EV_ASK, body);
+	return cluster_send_call(cluster, node, EV_ASK, body);
 }
 
-static bool is_complete(const struct mesh *mesh, size_t id)
+static bool is_complete(const struct cluster *cluster, size_t id)
 {
-	const struct mesh_answer *answer = &mesh->answers[id];
+	const struct cluster_call *call = &cluster->calls[id];
 
-	return answer->count == 1 && answer->status == 200 &&
-	       memmem(answer->body.ptr, answer->body.len, "\"complete\":true",
+	return call->answers == 1 && call->status == 200 &&
+	       memmem(call->body.ptr, call->body.len, "\"complete\":true",
 		      sizeof("\"complete\":true") - 1);
 }
 
@@ -76,38 +77,38 @@
 START_TEST(test_deadly_question_is_stopped)
 {
 	const struct deadly_case *c = &deadly_cases[_i];
-	struct mesh *mesh = create_started_mesh();
+	struct cluster *cluster = create_started_cluster();
 	int64_t third_crash_at = 0;
 	int late_rounds = 0;
 
 	for (int round = 0; round < ROUNDS; round++) {
-		int before = mesh->crashes;
+		int before = cluster->crashes;
 		size_t other;
 
 		if (c->kill) {
-			mesh_kill(mesh, round % NODES);
-			mesh_run(mesh, SECOND / 2);
-			mesh_start(mesh, round % NODES);
-			mesh_run(mesh, 4 * SECOND);
+			cluster_kill_node(cluster, round % NODES);
+			cluster_run(cluster, SECOND / 2);
+			cluster_start_node(cluster, round % NODES);
+			cluster_run(cluster, 4 * SECOND);
 		}
-		send_question(mesh, round % NODES, MESH_DEADLY);
-		mesh_run(mesh, 2 * SECOND);
+		send_question(cluster, round % NODES, CLUSTER_POISON_TERMS);
+		cluster_run(cluster, 2 * SECOND);
 		late_rounds += third_crash_at &&
-			       mesh->now - third_crash_at > DETECTION_US &&
-			       mesh->crashes > before;
-		if (!third_crash_at && mesh->crashes >= 3)
-			third_crash_at = mesh->now;
-		other = send_question(mesh, (round + 1) % NODES, "other");
-		mesh_run(mesh, SECOND);
+			       cluster->now - third_crash_at > DETECTION_US &&
+			       cluster->crashes > before;
+		if (!third_crash_at && cluster->crashes >= 3)
+			third_crash_at = cluster->now;
+		other = send_question(cluster, (round + 1) % NODES, "other");
+		cluster_run(cluster, SECOND);
 		if (round >= RECOVERED_ROUND)
-			ck_assert_msg(is_complete(mesh, other), "%s: round %d",
-				      c->name, round);
+			ck_assert_msg(is_complete(cluster, other),
+				      "%s: round %d", c->name, round);
 	}
-	ck_assert_int_ge(mesh->crashes, 3);
+	ck_assert_int_ge(cluster->crashes, 3);
 	ck_assert_msg(late_rounds <= LATE_ROUNDS_MAX,
 		      "%s: %d rounds with late crashes, %d crashes", c->name,
-		      late_rounds, mesh->crashes);
-	mesh_destroy(mesh);
+		      late_rounds, cluster->crashes);
+	cluster_destroy(cluster);
 }
 END_TEST
 
@@ -117,19 +118,19 @@
  */
 START_TEST(test_other_question_is_served)
 {
-	struct mesh *mesh = create_started_mesh();
+	struct cluster *cluster = create_started_cluster();
 	size_t other;
 
 	for (int round = 0; round < ROUNDS; round++) {
-		send_question(mesh, round % NODES, "other");
-		send_question(mesh, round % NODES, MESH_DEADLY);
-		send_question(mesh, (round + 1) % NODES, "other");
-		mesh_run(mesh, 2 * SECOND);
-		other = send_question(mesh, (round + 2) % NODES, "other");
-		mesh_run(mesh, SECOND);
-		ck_assert_msg(is_complete(mesh, other), "round %d", round);
+		send_question(cluster, round % NODES, "other");
+		send_question(cluster, round % NODES, CLUSTER_POISON_TERMS);
+		send_question(cluster, (round + 1) % NODES, "other");
+		cluster_run(cluster, 2 * SECOND);
+		other = send_question(cluster, (round + 2) % NODES, "other");
+		cluster_run(cluster, SECOND);
+		ck_assert_msg(is_complete(cluster, other), "round %d", round);
 	}
-	mesh_destroy(mesh);
+	cluster_destroy(cluster);
 }
 END_TEST
 
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -397,11 +397,11 @@
 START_TEST(test_frame_damaged)
 {
 	struct rng rng = { .seed = (uint64_t)_i + 100 };
-	struct mesh_layout layout = mesh_layout(2, 2, 4);
-	struct mesh *mesh =
-		mesh_create(1, &layout, mesh_lists(1, 100, 100, 100, 100, 1));
+	struct cluster_layout layout = cluster_default_layout(2, 2, 4);
+	struct cluster *cluster = cluster_create(
+		1, &layout, cluster_lists_doc(1, 100, 100, 100, 100, 1));
 
-	mesh_start_all(mesh);
+	cluster_start_all(cluster);
 	for (int n = 0; n < 300; n++) {
 		struct msg msg;
 		char text[40];
@@ -410,7 +410,7 @@
 		struct error err;
 
 		random_msg(&rng, &msg, text);
-		msg.target = mesh->fleet->targets[0].key;
+		msg.target = cluster->fleet->targets[0].key;
 		frame_encode(&(struct frame){ .from = STR("127.0.0.1:9"),
 					      .from_incarnation = 5,
 					      .msgs = &msg,
@@ -421,18 +421,19 @@
 				(char)(1 << rng_below(&rng, 8));
 		if (frame_decode(buf_str(&out), &decoded, &err) > 0) {
 			for (size_t i = 0; i < decoded.count; i++)
-				mesh_feed(mesh, 0,
-					  (struct event){
-						  .type = EV_MSG,
-						  .from = decoded.from,
-						  .incarnation = 5,
-						  .msg = &decoded.msgs[i] });
+				cluster_deliver(
+					cluster, 0,
+					(struct event){
+						.type = EV_MSG,
+						.from = decoded.from,
+						.incarnation = 5,
+						.msg = &decoded.msgs[i] });
 			frame_free(&decoded);
 		}
 		buf_free(&out);
 	}
-	mesh_run(mesh, 1000000);
-	mesh_destroy(mesh);
+	cluster_run(cluster, 1000000);
+	cluster_destroy(cluster);
 }
 END_TEST
 
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -41,15 +41,15 @@
 };
 
 struct fuzz {
-	struct mesh *mesh;
+	struct cluster *cluster;
 	struct rng rng;
-	struct mesh_layout layout;
+	struct cluster_layout layout;
 	uint64_t lists_version;
 	struct client clients[ENTRIES_MAX];
 	size_t nclients;
 	size_t questions;
 	char fault[160];
-	bool disturbed[MESH_NODES_MAX]; /* paused, killed or stopped: may not
+	bool disturbed[CLUSTER_NODES_MAX]; /* paused, killed or stopped: may not
 					   answer in time */
 };
 
@@ -66,12 +66,12 @@
 
 static int random_node(struct fuzz *f)
 {
-	return (int)random_below(f, (uint64_t)f->mesh->nnodes);
+	return (int)random_below(f, (uint64_t)f->cluster->nnodes);
 }
 
-static struct mesh_target *random_target(struct fuzz *f)
+static struct cluster_target *random_target(struct fuzz *f)
 {
-	return &f->mesh->targets[random_below(f, TARGETS)];
+	return &f->cluster->targets[random_below(f, TARGETS)];
 }
 
 /* Commands. */
@@ -83,8 +83,8 @@
 	snprintf(body, sizeof(body),
 		 "{\"customer\":\"mill\",\"request_id\":\"r\","
 		 "\"terms\":\"q%zu\",\"indexes\":[\"orders\"]}",
-		 f->mesh->nanswers);
-	mesh_call(f->mesh, random_node(f), EV_ASK, body);
+		 f->cluster->ncalls);
+	cluster_send_call(f->cluster, random_node(f), EV_ASK, body);
 	f->questions++;
 }
 
@@ -101,14 +101,14 @@
 		 "{\"customer\":\"mill\",\"request_id\":\"e%zu\"}",
 		 f->nclients);
 	client->ticket_call =
-		mesh_call(f->mesh, random_node(f), EV_TICKET, body);
+		cluster_send_call(f->cluster, random_node(f), EV_TICKET, body);
 }
 
 static bool read_ticket(struct fuzz *f, struct client *client)
 {
-	struct mesh_answer *answer = &f->mesh->answers[client->ticket_call];
-	json_t *doc = json_loadb(answer->body.ptr ? answer->body.ptr : "",
-				 answer->body.len, 0, NULL);
+	struct cluster_call *call = &f->cluster->calls[client->ticket_call];
+	json_t *doc = json_loadb(call->body.ptr ? call->body.ptr : "",
+				 call->body.len, 0, NULL);
 	const char *text = json_string_value(json_object_get(doc, "ticket"));
 
 	if (text)
@@ -131,7 +131,7 @@
 		 id + 1, client->ticket, id * 37 % (TARGETS * 100),
 		 client->entry);
 	client->calls[client->ncalls++] =
-		mesh_call(f->mesh, node, EV_ENTRY, body);
+		cluster_send_call(f->cluster, node, EV_ENTRY, body);
 }
 
 static void do_entry(struct fuzz *f)
@@ -164,8 +164,8 @@
 		 "\"index\":\"orders\",\"key\":5,\"entry\":%s}",
 		 f->nclients, client->entry);
 	client->ticket_call =
-		mesh_call(f->mesh, random_node(f), EV_ENTRY, body);
-	mesh_call(f->mesh, random_node(f), EV_ENTRY, body);
+		cluster_send_call(f->cluster, random_node(f), EV_ENTRY, body);
+	cluster_send_call(f->cluster, random_node(f), EV_ENTRY, body);
 }
 
 static void do_cut(struct fuzz *f)
@@ -174,7 +174,7 @@
 	int b = random_node(f);
 
 	if (a != b)
-		mesh_cut(f->mesh, a, b, random_below(f, 2));
+		cluster_set_link_cut(f->cluster, a, b, random_below(f, 2));
 }
 
 static void do_pause(struct fuzz *f)
@@ -182,7 +182,7 @@
 	int i = random_node(f);
 
 	f->disturbed[i] = true;
-	mesh_pause(f->mesh, i, (int64_t)random_below(f, 3000000));
+	cluster_pause_node(f->cluster, i, (int64_t)random_below(f, 3000000));
 }
 
 static void do_kill(struct fuzz *f)
@@ -190,10 +190,10 @@
 	int i = random_node(f);
 
 	f->disturbed[i] = true;
-	if (f->mesh->nodes[i].up)
-		mesh_kill(f->mesh, i);
+	if (f->cluster->nodes[i].up)
+		cluster_kill_node(f->cluster, i);
 	else
-		mesh_start(f->mesh, i);
+		cluster_start_node(f->cluster, i);
 }
 
 static void do_leave(struct fuzz *f)
@@ -201,13 +201,13 @@
 	int i = random_node(f);
 
 	f->disturbed[i] = true;
-	mesh_feed(f->mesh, i, (struct event){ .type = EV_LEAVE });
+	cluster_deliver(f->cluster, i, (struct event){ .type = EV_LEAVE });
 }
 
 static void publish_fleet(struct fuzz *f)
 {
 	f->layout.version++;
-	mesh_publish_fleet(f->mesh, &f->layout);
+	cluster_publish_fleet(f->cluster, &f->layout);
 }
 
 static void do_publish_fleet(struct fuzz *f)
@@ -234,30 +234,31 @@
 
 static void do_publish_lists(struct fuzz *f)
 {
-	char *lists = mesh_lists(++f->lists_version, 5000, 5000, DEADLINE_MS,
-				 DEADLINE_MS, random_below(f, 2) ? 1 : 0.5);
+	char *lists =
+		cluster_lists_doc(++f->lists_version, 5000, 5000, DEADLINE_MS,
+				  DEADLINE_MS, random_below(f, 2) ? 1 : 0.5);
 
 	if (random_below(f, 6) == 0)
 		lists[strlen(lists) / 2] = '#'; /* makes it invalid */
-	mesh_publish(f->mesh, DOC_LISTS, lists);
+	cluster_publish_doc(f->cluster, DOC_LISTS, lists);
 	free(lists);
 }
 
 static void do_platform_fault(struct fuzz *f)
 {
 	if (random_below(f, 2))
-		f->mesh->platform_down = !f->mesh->platform_down;
+		f->cluster->platform_down = !f->cluster->platform_down;
 	else
-		f->mesh->nodes[random_node(f)].reads_stale_docs ^= 1;
+		f->cluster->nodes[random_node(f)].reads_stale_docs ^= 1;
 }
 
 static void do_target_fault(struct fuzz *f)
 {
-	struct mesh_target *target = random_target(f);
+	struct cluster_target *target = random_target(f);
 
 	switch (random_below(f, 7)) {
 	case 0:
-		mesh_cold(f->mesh, target);
+		cluster_restart_target(f->cluster, target);
 		break;
 	case 1:
 		target->dead = !target->dead;
@@ -266,7 +267,7 @@
 		target->draining = !target->draining;
 		break;
 	case 3:
-		target->lacks =
+		target->missing_snapshot =
 			random_below(f, 2) ? f->layout.snapshot : UINT64_MAX;
 		break;
 	case 4:
@@ -277,16 +278,16 @@
 			random_below(f, 2) ? f->layout.snapshot : 0;
 		break;
 	default:
-		target->never_replies = !target->never_replies;
+		target->drops_entry_replies = !target->drops_entry_replies;
 		break;
 	}
 }
 
 static void do_network_faults(struct fuzz *f)
 {
-	f->mesh->drop_pm = random_below(f, 2) ? (int)random_below(f, 60) : 0;
-	f->mesh->dup_pm = random_below(f, 2) ? (int)random_below(f, 200) : 0;
-	f->mesh->jitter_us =
+	f->cluster->drop_pm = random_below(f, 2) ? (int)random_below(f, 60) : 0;
+	f->cluster->dup_pm = random_below(f, 2) ? (int)random_below(f, 200) : 0;
+	f->cluster->jitter_us =
 		random_below(f, 2) ? (int)random_below(f, 30000) + 1 : 0;
 }
 
@@ -306,7 +307,7 @@
 	};
 	int roll = (int)random_below(f, 100);
 
-	mesh_run(f->mesh, (int64_t)random_below(f, 20000));
+	cluster_run(f->cluster, (int64_t)random_below(f, 20000));
 	for (size_t i = 0; i < sizeof(commands) / sizeof(*commands); i++) {
 		roll -= commands[i].weight;
 		if (roll >= 0)
@@ -320,33 +321,33 @@
 
 static void heal(struct fuzz *f)
 {
-	struct mesh *mesh = f->mesh;
+	struct cluster *cluster = f->cluster;
 
-	mesh->drop_pm = mesh->dup_pm = mesh->jitter_us = 0;
-	mesh->platform_down = false;
-	memset(mesh->cut, 0, sizeof(mesh->cut));
-	for (int i = 0; i < mesh->nnodes; i++) {
-		mesh->nodes[i].reads_stale_docs = 0;
-		if (!mesh->nodes[i].up)
-			mesh_start(mesh, i);
+	cluster->drop_pm = cluster->dup_pm = cluster->jitter_us = 0;
+	cluster->platform_down = false;
+	memset(cluster->cut, 0, sizeof(cluster->cut));
+	for (int i = 0; i < cluster->nnodes; i++) {
+		cluster->nodes[i].reads_stale_docs = 0;
+		if (!cluster->nodes[i].up)
+			cluster_start_node(cluster, i);
 	}
-	for (size_t i = 0; i < mesh->ntargets; i++) {
-		struct mesh_target *target = &mesh->targets[i];
+	for (size_t i = 0; i < cluster->ntargets; i++) {
+		struct cluster_target *target = &cluster->targets[i];
 
 		target->dead = target->draining = target->closes_after_run =
 			false;
-		target->never_replies = false;
-		target->lacks = UINT64_MAX;
+		target->drops_entry_replies = false;
+		target->missing_snapshot = UINT64_MAX;
 		target->reply_version = 0;
 	}
-	mesh_run(mesh, RECOVERY_US);
+	cluster_run(cluster, RECOVERY_US);
 }
 
 static void check_answer(struct fuzz *f, size_t id)
 {
-	struct mesh_answer *answer = &f->mesh->answers[id];
-	json_t *doc = json_loadb(answer->body.ptr ? answer->body.ptr : "",
-				 answer->body.len, 0, NULL);
+	struct cluster_call *call = &f->cluster->calls[id];
+	json_t *doc = json_loadb(call->body.ptr ? call->body.ptr : "",
+				 call->body.len, 0, NULL);
 	size_t missing = json_array_size(json_object_get(doc, "missing"));
 	size_t rows = json_array_size(json_object_get(doc, "rows"));
 	const char *fault;
@@ -368,20 +369,20 @@
 
 static void check_answers(struct fuzz *f)
 {
-	for (size_t id = 0; id < f->mesh->nanswers; id++) {
-		struct mesh_answer *answer = &f->mesh->answers[id];
+	for (size_t id = 0; id < f->cluster->ncalls; id++) {
+		struct cluster_call *call = &f->cluster->calls[id];
 
-		if (answer->count > 1)
+		if (call->answers > 1)
 			record_fault(f, "answered twice", id);
-		if (answer->count)
+		if (call->answers)
 			check_answer(f, id);
-		if (f->disturbed[answer->node] || !answer->node_up)
+		if (f->disturbed[call->node] || !call->node_up)
 			continue;
-		if (!answer->count)
+		if (!call->answers)
 			record_fault(f, "never answered", id);
-		else if (memmem(answer->body.ptr, answer->body.len, "\"rows\"",
+		else if (memmem(call->body.ptr, call->body.len, "\"rows\"",
 				6) &&
-			 answer->at - answer->asked_at >
+			 call->answered_at - call->sent_at >
 				 DEADLINE_MS * 1000 + ANSWER_SLACK_US)
 			record_fault(f, "answered late", id);
 	}
@@ -389,7 +390,7 @@
 
 static bool answer_contains(struct fuzz *f, size_t call, const char *outcome)
 {
-	const struct buf *body = &f->mesh->answers[call].body;
+	const struct buf *body = &f->cluster->calls[call].body;
 
 	/* A ticket error does not report the outcome of the entry. */
 	if (!body->len || memmem(body->ptr, body->len, "ticket_m", 8))
@@ -401,7 +402,7 @@
 {
 	for (size_t i = 0; i < f->nclients; i++) {
 		const struct client *client = &f->clients[i];
-		uint64_t runs = mesh_entry_runs(f->mesh, client->entry);
+		uint64_t runs = cluster_entry_runs(f->cluster, client->entry);
 
 		if (runs > 1)
 			record_fault(f, "an entry ran twice", i);
@@ -426,14 +427,14 @@
 {
 	for (int64_t t = 0; t < us; t += LOAD_INTERVAL_US) {
 		do_question(f);
-		mesh_run(f->mesh, LOAD_INTERVAL_US);
+		cluster_run(f->cluster, LOAD_INTERVAL_US);
 	}
 }
 
 static void check_no_work(struct fuzz *f, size_t target, int64_t since,
 			  const char *what)
 {
-	if (f->mesh->targets[target].last_start > since)
+	if (f->cluster->targets[target].last_start > since)
 		record_fault(f, what, target);
 }
 
@@ -443,23 +444,24 @@
 {
 	int out = (int)random_below(f, DOMAINS);
 	int leaving_target = (int)random_below(f, TARGETS);
-	struct mesh *mesh = f->mesh;
+	struct cluster *cluster = f->cluster;
 	int64_t since;
 
 	f->layout.out_domain = out;
 	f->layout.leaving_target = leaving_target;
 	publish_fleet(f);
-	since = mesh->now + TAKE_EFFECT_US;
+	since = cluster->now + TAKE_EFFECT_US;
 	send_load(f, TAKE_EFFECT_US * 5 / 4);
-	for (size_t i = 0; i < mesh->ntargets; i++)
+	for (size_t i = 0; i < cluster->ntargets; i++)
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
 				      "new work in a domain taken out");
 	check_no_work(f, (size_t)leaving_target, since,
 		      "new work at a leaving target");
-	for (int i = 0; i < mesh->nnodes; i++)
-		if (mesh->nodes[i].up &&
-		    mesh->nodes[i].doc_versions[DOC_FLEET] != f->layout.version)
+	for (int i = 0; i < cluster->nnodes; i++)
+		if (cluster->nodes[i].up &&
+		    cluster->nodes[i].doc_versions[DOC_FLEET] !=
+			    f->layout.version)
 			record_fault(f,
 				     "the published document is not in force",
 				     (size_t)i);
@@ -475,14 +477,14 @@
 	int out = (int)random_below(f, DOMAINS);
 	int64_t since;
 
-	mesh_pause(f->mesh, 0, 2 * TAKE_EFFECT_US);
+	cluster_pause_node(f->cluster, 0, 2 * TAKE_EFFECT_US);
 	f->disturbed[0] = true;
 	send_load(f, LOAD_INTERVAL_US * 10);
 	f->layout.out_domain = out;
 	publish_fleet(f);
-	since = f->mesh->now + TAKE_EFFECT_US;
+	since = f->cluster->now + TAKE_EFFECT_US;
 	send_load(f, 2 * TAKE_EFFECT_US);
-	for (size_t i = 0; i < f->mesh->ntargets; i++)
+	for (size_t i = 0; i < f->cluster->ntargets; i++)
 		if ((int)(i % DOMAINS) == out)
 			check_no_work(f, i, since,
 				      "new work by a node that was paused");
@@ -494,32 +496,32 @@
 /* With one gate per target, a cold target is never overloaded. */
 static void check_cold_start(struct fuzz *f)
 {
-	for (size_t i = 0; i < f->mesh->ntargets; i++) {
-		f->mesh->targets[i].overruns = 0;
-		mesh_cold(f->mesh, &f->mesh->targets[i]);
+	for (size_t i = 0; i < f->cluster->ntargets; i++) {
+		f->cluster->targets[i].overruns = 0;
+		cluster_restart_target(f->cluster, &f->cluster->targets[i]);
 	}
 	send_load(f, TAKE_EFFECT_US);
-	for (size_t i = 0; i < f->mesh->ntargets; i++)
-		if (f->mesh->targets[i].overruns)
+	for (size_t i = 0; i < f->cluster->ntargets; i++)
+		if (f->cluster->targets[i].overruns)
 			record_fault(f, "a cold target was overloaded", i);
 }
 
 /* A planned stop under load answers every request sent before its end. */
 static void check_stop(struct fuzz *f)
 {
-	size_t from = f->mesh->nanswers;
+	size_t from = f->cluster->ncalls;
 	size_t to;
 
 	for (int i = 0; i < STOP_QUESTIONS; i++)
 		do_question(f);
-	mesh_feed(f->mesh, 0, (struct event){ .type = EV_LEAVE });
+	cluster_deliver(f->cluster, 0, (struct event){ .type = EV_LEAVE });
 	send_load(f, TAKE_EFFECT_US);
-	to = f->mesh->nanswers;
-	mesh_run(f->mesh, 2000000);
+	to = f->cluster->ncalls;
+	cluster_run(f->cluster, 2000000);
 	for (size_t id = from; id < to; id++) {
-		const struct mesh_answer *answer = &f->mesh->answers[id];
+		const struct cluster_call *call = &f->cluster->calls[id];
 
-		if (!answer->count && answer->node_up)
+		if (!call->answers && call->node_up)
 			record_fault(f, "a planned stop lost a request", id);
 	}
 }
@@ -550,8 +552,8 @@
 	for (size_t i = 0; i < sizeof(safeguards) / sizeof(*safeguards); i++) {
 		if (strcmp(safeguards[i].name, disabled_safeguard))
 			continue;
-		for (int n = 0; n < f->mesh->nnodes; n++)
-			*((bool *)&f->mesh->nodes[n].opt.off +
+		for (int n = 0; n < f->cluster->nnodes; n++)
+			*((bool *)&f->cluster->nodes[n].opt.off +
 			  safeguards[i].offset) = true;
 		return;
 	}
@@ -566,15 +568,15 @@
 	bool passed;
 
 	f->rng.seed = seed;
-	f->layout = mesh_layout(3 + (int)(seed % 4), DOMAINS, TARGETS);
+	f->layout = cluster_default_layout(3 + (int)(seed % 4), DOMAINS, TARGETS);
 	f->lists_version = 1;
-	f->mesh = mesh_create(
+	f->cluster = cluster_create(
 		seed, &f->layout,
-		mesh_lists(1, 5000, 5000, DEADLINE_MS, DEADLINE_MS, 1));
+		cluster_lists_doc(1, 5000, 5000, DEADLINE_MS, DEADLINE_MS, 1));
 	if (disabled_safeguard)
 		disable_safeguard(f);
-	mesh_start_all(f->mesh);
-	for (int i = 0; i < steps && !f->mesh->fault; i++)
+	cluster_start_all(f->cluster);
+	for (int i = 0; i < steps && !f->cluster->fault; i++)
 		step(f);
 	heal(f);
 	check_domain_out(f);
@@ -583,11 +585,11 @@
 	check_stop(f);
 	check_answers(f);
 	check_entries(f);
-	if (f->mesh->fault)
-		record_fault(f, f->mesh->fault, 0);
+	if (f->cluster->fault)
+		record_fault(f, f->cluster->fault, 0);
 	passed = !*f->fault;
 	snprintf(fault, size, "%s", f->fault);
-	mesh_destroy(f->mesh);
+	cluster_destroy(f->cluster);
 	free(f);
 	return passed;
 }
--- a/tests/mesh.h
+++ b/tests/mesh.h
@@ -14,19 +14,19 @@
  */
 
 enum {
-	MESH_NODES_MAX = 9,
-	MESH_TARGETS_MAX = 128,
-	MESH_ANSWERS_MAX = 200000
+	CLUSTER_NODES_MAX = 9,
+	CLUSTER_TARGETS_MAX = 128,
+	CLUSTER_CALLS_MAX = 200000
 };
 
 /**
- * struct mesh_layout - parameters of a generated fleet document
+ * struct cluster_layout - parameters of a generated fleet document
  * @out_domain: failure domain in state "out", -1 for none
  * @leaving_target: target in state "leaving", -1 for none
  * @snapshot: newer of the two snapshot versions listed, 0 for 2
  * @split: the newer snapshot has twice as many shards (repartition)
  */
-struct mesh_layout {
+struct cluster_layout {
 	uint64_t version;
 	int nodes;
 	int domains;
@@ -39,7 +39,7 @@
 	bool split;
 };
 
-struct mesh_node {
+struct cluster_node {
 	struct node *node;
 	struct effects fx;
 	struct node_options opt;
@@ -53,20 +53,20 @@
 	uint64_t platform_cut;
 };
 
-/** struct mesh_target - state of a simulated target and its counters */
-struct mesh_target {
+/** struct cluster_target - state of a simulated target and its counters */
+struct cluster_target {
 	const struct fleet_target *config;
 	uint64_t boot;
 	int64_t up_at;
 	int64_t cold_until;
-	int64_t service_us; /* 0: default of struct mesh */
+	int64_t service_us; /* 0: default of struct cluster */
 	bool draining;
 	bool dead;
 	bool closes_after_run; /* runs, then closes without reply */
 	bool closes_without_run; /* reads an entry, closes, never runs */
 	bool hangs; /* accepts connections, never replies */
-	bool never_replies; /* runs entries without a reply */
-	uint64_t lacks; /* snapshot version that it does not have */
+	bool drops_entry_replies; /* runs entries without a reply */
+	uint64_t missing_snapshot; /* snapshot version that it does not have */
 	uint64_t reply_version; /* 0: requested version */
 	int busy;
 	int peak;
@@ -78,32 +78,32 @@
 	int queue_len;
 };
 
-struct mesh_answer {
-	int64_t asked_at;
-	int64_t at; /* 0: none yet */
+struct cluster_call {
+	int64_t sent_at;
+	int64_t answered_at; /* 0: no answer yet */
 	int status;
-	int count;
+	int answers;
 	int node;
-	bool node_up; /* at @asked_at */
+	bool node_up; /* at @sent_at */
 	struct buf body;
 };
 
-struct mesh {
-	struct mesh_node nodes[MESH_NODES_MAX];
+struct cluster {
+	struct cluster_node nodes[CLUSTER_NODES_MAX];
 	int nnodes;
-	struct mesh_target targets[MESH_TARGETS_MAX];
+	struct cluster_target targets[CLUSTER_TARGETS_MAX];
 	size_t ntargets;
 	struct fleet *fleet; /* document that lists @targets */
 	struct buf docs[DOC_KINDS];
-	struct buf old_docs[DOC_KINDS];
+	struct buf previous_docs[DOC_KINDS];
 	bool platform_down;
-	bool cut[MESH_NODES_MAX][MESH_NODES_MAX];
+	bool cut[CLUSTER_NODES_MAX][CLUSTER_NODES_MAX];
 	int64_t now;
 	int64_t latency_us; /* one way, between nodes and to targets */
 	/* Models leased permits optimistically: the gate sends the permit to a
 	 * front, which sends the leaf request to the target itself. The reply
 	 * goes directly to the front and returns the permit without delay. */
-	bool permits;
+	bool leased_permits;
 	int64_t far_us; /* added to @latency_us between failure domains */
 	int64_t service_us;
 	int64_t cold_us;
@@ -122,48 +122,55 @@
 	apr_hash_t *runs; /* hash of an entry's text -> count */
 	apr_hash_t *requests; /* number -> struct request */
 	apr_pool_t *pool;
-	struct mesh_answer *answers;
-	size_t nanswers;
+	struct cluster_call *calls;
+	size_t ncalls;
 	const char *fault; /* violated invariant, NULL if none */
 	struct buf *trace; /* if set, receives a dump of all effects */
 };
 
-/** mesh_create() - create a mesh for @layout; takes ownership of @lists. */
-struct mesh *mesh_create(uint64_t seed, const struct mesh_layout *layout,
-			 char *lists);
-void mesh_destroy(struct mesh *mesh);
-/** mesh_start() - start node @i, as a new incarnation. */
-void mesh_start(struct mesh *mesh, int i);
-void mesh_start_all(struct mesh *mesh);
-void mesh_kill(struct mesh *mesh, int i);
-void mesh_pause(struct mesh *mesh, int i, int64_t us);
-/** mesh_cut() - cut or restore the link between @a and @b, both ways. */
-void mesh_cut(struct mesh *mesh, int a, int b, bool cut);
-void mesh_publish(struct mesh *mesh, enum doc_kind kind, const char *body);
-void mesh_run(struct mesh *mesh, int64_t us);
+/** cluster_create() - create a cluster with @layout; takes ownership of @lists. */
+struct cluster *
+cluster_create(uint64_t seed, const struct cluster_layout *layout, char *lists);
+void cluster_destroy(struct cluster *cluster);
+/** cluster_start_node() - start node @i, as a new incarnation. */
+void cluster_start_node(struct cluster *cluster, int i);
+void cluster_start_all(struct cluster *cluster);
+void cluster_kill_node(struct cluster *cluster, int i);
+void cluster_pause_node(struct cluster *cluster, int i, int64_t us);
+/** cluster_set_link_cut() - cut or restore the link between @a and @b, both
+ * ways. */
+void cluster_set_link_cut(struct cluster *cluster, int a, int b, bool cut);
+void cluster_publish_doc(struct cluster *cluster, enum doc_kind kind,
+			 const char *body);
+void cluster_run(struct cluster *cluster, int64_t us);
 /**
- * mesh_call() - send a caller's request to node @i
+ * cluster_send_call() - send a caller's request to node @i
  *
  * Return: index of its answer.
  */
-size_t mesh_call(struct mesh *mesh, int i, enum event_type type,
-		 const char *body);
-struct mesh_target *mesh_target(struct mesh *mesh, const char *name);
-uint64_t mesh_entry_runs(struct mesh *mesh, const char *entry);
+size_t cluster_send_call(struct cluster *cluster, int i, enum event_type type,
+			 const char *body);
+struct cluster_target *cluster_find_target(struct cluster *cluster,
+				      const char *name);
+uint64_t cluster_entry_runs(struct cluster *cluster, const char *entry);
 
 /** Terms of a question that crashes every target that runs it. */
-#define MESH_DEADLY "deadly"
+#define CLUSTER_POISON_TERMS "deadly"
 
-/** mesh_feed() - pass an event to node @i and apply its effects. */
-void mesh_feed(struct mesh *mesh, int i, struct event event);
-/** mesh_cold() - restart @target, which breaks its running requests. */
-void mesh_cold(struct mesh *mesh, struct mesh_target *target);
+/** cluster_deliver() - pass an event to node @i and apply its effects. */
+void cluster_deliver(struct cluster *cluster, int i, struct event event);
+/** cluster_restart_target() - restart @target, which breaks its running
+ * requests. */
+void cluster_restart_target(struct cluster *cluster,
+			    struct cluster_target *target);
 
-/** mesh_layout() - two replicas per shard, two slots per target, all in. */
-struct mesh_layout mesh_layout(int nodes, int domains, int targets);
-/** mesh_fleet() - fleet document for @layout; the caller frees it. */
-char *mesh_fleet(const struct mesh_layout *layout);
-void mesh_publish_fleet(struct mesh *mesh, const struct mesh_layout *layout);
-/** mesh_lists() - lists document with one customer; the caller frees it. */
-char *mesh_lists(uint64_t version, double rate, double burst, int soft_ms,
-		 int deadline_ms, double floor);
+/** cluster_default_layout() - two replicas per shard, two slots per target, all in. */
+struct cluster_layout cluster_default_layout(int nodes, int domains, int targets);
+/** cluster_fleet_doc() - fleet document for @layout; the caller frees it. */
+char *cluster_fleet_doc(const struct cluster_layout *layout);
+void cluster_publish_fleet(struct cluster *cluster,
+			   const struct cluster_layout *layout);
+/** cluster_lists_doc() - lists document with one customer; the caller frees it.
+ */
+char *cluster_lists_doc(uint64_t version, double rate, double burst,
+			int soft_ms, int deadline_ms, double floor);
