--- a/bench/policy.c
+++ b/bench/policy.c
@@ -84,7 +84,8 @@
 
 static struct cluster *create_cluster(const struct scenario *scenario)
 {
-	struct cluster_layout layout = cluster_default_layout(NODES, DOMAINS, TARGETS);
+	struct cluster_layout layout =
+		cluster_default_layout(NODES, DOMAINS, TARGETS);
 	double plan_rate = scenario->plan_rate > 0 ? scenario->plan_rate : 1e6;
 	int soft_ms = scenario->soft_ms ? scenario->soft_ms : 400;
 	double coverage_floor =
@@ -110,8 +111,8 @@
 	return cluster;
 }
 
-static void drive_load(struct cluster *cluster, const struct scenario *scenario,
-		       int64_t us)
+static void send_load(struct cluster *cluster, const struct scenario *scenario,
+		      int64_t us)
 {
 	int64_t end = cluster->now + us;
 	int senders = scenario->senders ? scenario->senders : NODES;
@@ -246,16 +247,16 @@
 
 	warmup.rate = scenario->plan_rate > 0 ? scenario->plan_rate / 4 : 20;
 	configure(cluster, scenario);
-	drive_load(cluster, &warmup, 6 * SECOND);
+	send_load(cluster, &warmup, 6 * SECOND);
 	cluster_run(cluster, SECOND);
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		cluster->targets[i].overruns = 0;
 	from = cluster->ncalls;
 	before = requests_started(cluster);
-	drive_load(cluster, scenario, scenario->seconds * SECOND / 3);
+	send_load(cluster, scenario, scenario->seconds * SECOND / 3);
 	apply_target_faults(cluster, scenario);
 	apply_node_faults(cluster, scenario);
-	drive_load(cluster, scenario, scenario->seconds * SECOND * 2LL / 3);
+	send_load(cluster, scenario, scenario->seconds * SECOND * 2LL / 3);
 	cluster_run(cluster, SECOND);
 	report(cluster, scenario, part, from, before);
 	cluster_destroy(cluster);
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -344,7 +344,7 @@
 
 #define COUNT(table) ((int)(sizeof(table) / sizeof(*(table))))
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_published_configuration_is_in_force, 0,
@@ -361,5 +361,5 @@
 
 int main(void)
 {
-	return suite_run("configuration", add);
+	return suite_run("configuration", add_tests);
 }
--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -36,20 +36,20 @@
 };
 
 /**
- * struct deadly_case - how a deadly request is sent, and other faults
+ * struct poison_case - how a deadly request is sent, and other faults
  * @concurrent: number of nodes that receive it at the same time; 0: 1
  * @callers: number of caller addresses, used in turn; 0: 1
  * @requests: number of different deadly requests, sent in turn; 0: 1
  * @kill: one node is killed and restarted each round, in turn, and is the first
  *        to receive the request in the next round
  * @power_loss_round: before this round all nodes lose power; 0: never
- * @cut: for this round one failure domain, a third of the nodes, is cut off
- *       from the others; 0: never
+ * @cut_round: for this round one failure domain, a third of the nodes, is cut
+ * off from the others; 0: never
  * @keeps_id: targets keep their ids over a restart
- * @runs_us: time from its start to the crash; 0: usual service time
+ * @run_us: time from its start to the crash; 0: usual service time
  * @nodes: number of nodes; 0: NODES
  */
-struct deadly_case {
+struct poison_case {
 	const char *name;
 	enum sim_request_kind kind;
 	int concurrent;
@@ -57,13 +57,13 @@
 	int requests;
 	bool kill;
 	int power_loss_round;
-	int cut;
+	int cut_round;
 	bool keeps_id;
-	int64_t runs_us;
+	int64_t run_us;
 	int nodes;
 };
 
-static const struct deadly_case deadly_cases[] = {
+static const struct poison_case poison_cases[] = {
 	{ .name = "over all shards", .kind = SIM_MERGED },
 	{ .name = "nearly all shards needed", .kind = SIM_STRICT },
 	{ .name = "one target", .kind = SIM_SINGLE },
@@ -80,20 +80,20 @@
 	{ .name = "all nodes restart",
 	  .kind = SIM_MERGED,
 	  .power_loss_round = 5 },
-	{ .name = "a domain is cut off", .kind = SIM_MERGED, .cut = 1 },
+	{ .name = "a domain is cut off", .kind = SIM_MERGED, .cut_round = 1 },
 	{ .name = "targets keep their ids",
 	  .kind = SIM_MERGED,
 	  .keeps_id = true },
 	/* Its hedges are sent before the first target has crashed. */
-	{ .name = "slow to crash", .kind = SIM_MERGED, .runs_us = 40000 },
+	{ .name = "slow to crash", .kind = SIM_MERGED, .run_us = 40000 },
 	{ .name = "slow, all nodes restart",
 	  .kind = SIM_MERGED,
-	  .runs_us = 40000,
+	  .run_us = 40000,
 	  .power_loss_round = 5 },
 	{ .name = "slow, four at once",
 	  .kind = SIM_MERGED,
 	  .concurrent = 4,
-	  .runs_us = 40000 },
+	  .run_us = 40000 },
 	{ .name = "many nodes", .kind = SIM_MERGED, .nodes = 40 },
 };
 
@@ -112,18 +112,18 @@
 	sim_configure(sim, 1);
 	for (int i = 0; i < sim->nnodes; i++)
 		sim_start_node(sim, i);
-	sim_settle(sim);
+	sim_run_until_ready(sim);
 	return sim;
 }
 
 static int send_call(struct sim *sim, int node, enum sim_request_kind kind,
 		     const struct sim_request_spec *spec)
 {
-	return sim_call_with(sim, node % sim->nnodes, kind, spec);
+	return sim_send_call_with(sim, node % sim->nnodes, kind, spec);
 }
 
-static int send_deadly(struct sim *sim, const struct deadly_case *c, int round,
-		       int node)
+static int send_poison_request(struct sim *sim, const struct poison_case *c,
+			       int round, int node)
 {
 	int number = round % at_least_one(c->requests) + 1;
 	char caller[24];
@@ -147,16 +147,16 @@
 }
 
 /* Sends the deadly request, and retries it once where it failed. */
-static void run_round(struct sim *sim, const struct deadly_case *c, int round)
+static void run_round(struct sim *sim, const struct poison_case *c, int round)
 {
 	int first = sim->ncalls;
 
 	for (int i = 0; i < at_least_one(c->concurrent); i++)
-		send_deadly(sim, c, round, round + i);
+		send_poison_request(sim, c, round, round + i);
 	sim_run(sim, 2 * RETRY_US);
 	for (int i = 0; i < at_least_one(c->concurrent); i++)
 		if (sim->calls[first + i].status != 200)
-			send_deadly(sim, c, round, round + i + 1);
+			send_poison_request(sim, c, round, round + i + 1);
 	sim_run(sim, RETRY_US);
 }
 
@@ -167,7 +167,7 @@
 	sim_run(sim, SECOND_US);
 	for (int i = 0; i < sim->nnodes; i++)
 		sim_start_node(sim, i);
-	sim_settle(sim);
+	sim_run_until_ready(sim);
 }
 
 /* Cuts one failure domain off from other nodes, not from targets or store. */
@@ -204,9 +204,9 @@
 }
 
 /* True if no node loses evidence or is cut off from it. */
-static bool is_undisturbed(const struct deadly_case *c)
+static bool is_undisturbed(const struct poison_case *c)
 {
-	return !c->kill && !c->power_loss_round && !c->cut;
+	return !c->kill && !c->power_loss_round && !c->cut_round;
 }
 
 /*
@@ -214,26 +214,26 @@
  * seconds to another node under another id, which takes the service down for
  * all callers. It must be blocked, and harmless requests must be served.
  */
-START_TEST(test_deadly_request_is_stopped)
+START_TEST(test_poison_request_is_blocked)
 {
-	const struct deadly_case *c = &deadly_cases[_i];
+	const struct poison_case *c = &poison_cases[_i];
 	struct sim *sim = setup(c->nodes ? c->nodes : NODES, 11);
 	int failed = 0;
 	int first = 0;
 
-	sim->deadly_run_us = c->runs_us;
+	sim->poison_run_us = c->run_us;
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].keeps_id = c->keeps_id;
 	for (int round = 0; round < ROUNDS; round++) {
 		if (c->power_loss_round && round == c->power_loss_round)
 			restart_all(sim);
-		if (c->cut)
-			cut_domain(sim, round == c->cut);
+		if (c->cut_round)
+			cut_domain(sim, round == c->cut_round);
 		run_round(sim, c, round);
 		if (c->kill)
 			restart_one(sim, (round + 1) % NODES);
 		if (!round)
-			first = sim->deadly[1].crashes;
+			first = sim->poison[1].crashes;
 		failed = send_harmless_calls(sim, ROUND_US);
 		if (round >= at_least_one(c->requests) * SERVED_FROM_ROUND &&
 		    round != c->power_loss_round && !c->kill)
@@ -244,18 +244,18 @@
 	}
 	if (getenv("TELL"))
 		printf("%-28s late %d, crashed %d, %d after the first round\n",
-		       c->name, sim->deadly[1].late, sim->deadly[1].crashes,
-		       sim->deadly[1].crashes - first);
+		       c->name, sim->poison[1].late, sim->poison[1].crashes,
+		       sim->poison[1].crashes - first);
 	if (is_undisturbed(c))
-		ck_assert_msg(sim->deadly[1].crashes - first <=
+		ck_assert_msg(sim->poison[1].crashes - first <=
 				      CRASHES_AFTER_FIRST_ROUND_MAX,
 			      "%s: %d targets crashed after the first round",
-			      c->name, sim->deadly[1].crashes - first);
+			      c->name, sim->poison[1].crashes - first);
 	for (int i = 1; i <= at_least_one(c->requests); i++)
-		ck_assert_msg(sim->deadly[i].crashes >= 3 &&
-				      sim->deadly[i].late <= LATE_RUNS_MAX,
+		ck_assert_msg(sim->poison[i].crashes >= 3 &&
+				      sim->poison[i].late <= LATE_RUNS_MAX,
 			      "%s: %d late calls, %d targets crashed", c->name,
-			      sim->deadly[i].late, sim->deadly[i].crashes);
+			      sim->poison[i].late, sim->poison[i].crashes);
 	sim_destroy(sim);
 }
 END_TEST
@@ -263,7 +263,7 @@
 /**
  * struct other_case - a harmless request beside a deadly one
  * @spec: the request and its caller
- * @gap_us: interval at which it is also sent continuously; 0: never
+ * @call_interval_us: interval at which it is also sent continuously; 0: never
  * @since_round: first round in which it is sent
  *
  * In each round it is in flight when the deadly request crashes its targets,
@@ -273,7 +273,7 @@
 	const char *name;
 	enum sim_request_kind kind;
 	struct sim_request_spec spec;
-	int64_t gap_us;
+	int64_t call_interval_us;
 	int since_round;
 };
 
@@ -321,25 +321,25 @@
 START_TEST(test_other_request_is_served)
 {
 	const struct other_case *o = &other_cases[_i];
-	const struct deadly_case c = { .name = "beside", .kind = o->kind };
+	const struct poison_case c = { .name = "beside", .kind = o->kind };
 	struct sim *sim = setup(NODES, 11);
 
 	for (int round = 0; round < ROUNDS; round++) {
-		send_deadly(sim, &c, round, round);
+		send_poison_request(sim, &c, round, round);
 		sim_run(sim, BEFORE_CRASH_US);
 		for (int i = 0; i < NODES && round >= o->since_round; i++)
 			send_call(sim, i, o->kind, &o->spec);
-		for (int64_t t = 0; o->gap_us && t < ROUND_US / 2;
-		     t += o->gap_us) {
+		for (int64_t t = 0; o->call_interval_us && t < ROUND_US / 2;
+		     t += o->call_interval_us) {
 			send_call(sim, sim->ncalls, o->kind, &o->spec);
-			sim_run(sim, o->gap_us);
+			sim_run(sim, o->call_interval_us);
 		}
 		sim_run(sim, ROUND_US / 2);
 		if (round >= o->since_round)
 			check_complete(sim, o, round);
 		sim_run(sim, ROUND_US / 2);
 	}
-	ck_assert_int_le(sim->deadly[1].late, LATE_RUNS_MAX);
+	ck_assert_int_le(sim->poison[1].late, LATE_RUNS_MAX);
 	sim_destroy(sim);
 }
 END_TEST
@@ -348,14 +348,14 @@
  * struct crash_case - crashes of targets that no request has caused
  * @domains: all targets of a failure domain crash at once, domains in turn;
  *           otherwise single targets in turn
- * @gap_us: interval of these crashes
+ * @crash_interval_us: interval of these crashes
  * @kind: kind of a harmless request that is sent meanwhile
  * @call_interval_us: interval of that request
  */
 struct crash_case {
 	const char *name;
 	bool domains;
-	int64_t gap_us;
+	int64_t crash_interval_us;
 	enum sim_request_kind kind;
 	int64_t call_interval_us;
 };
@@ -399,7 +399,7 @@
 		sim_run(sim, c->call_interval_us / 2);
 		if (sim->now >= next) {
 			crash_some(sim, c, n++);
-			next = sim->now + c->gap_us;
+			next = sim->now + c->crash_interval_us;
 		}
 		sim_run(sim, c->call_interval_us / 2);
 	}
@@ -457,10 +457,10 @@
 	return found;
 }
 
-/** struct propagation_case - @runs_us: as in struct deadly_case */
+/** struct propagation_case - @run_us: as in struct poison_case */
 struct propagation_case {
 	int nodes;
-	int64_t runs_us;
+	int64_t run_us;
 };
 
 static const struct propagation_case propagation_cases[] = {
@@ -478,12 +478,12 @@
 START_TEST(test_evidence_reaches_all_nodes)
 {
 	const struct propagation_case *c = &propagation_cases[_i];
-	static const struct deadly_case once = { .kind = SIM_MERGED };
+	static const struct poison_case once = { .kind = SIM_MERGED };
 	struct sim *sim = setup(c->nodes, 11);
 	int call;
 
-	sim->deadly_run_us = c->runs_us;
-	call = send_deadly(sim, &once, 0, 0);
+	sim->poison_run_us = c->run_us;
+	call = send_poison_request(sim, &once, 0, 0);
 	while (!sim->calls[call].answered_at)
 		sim_run(sim, STEP_US);
 	sim_run(sim, PROPAGATION_US);
@@ -494,10 +494,10 @@
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
-	tcase_add_loop_test(tcase, test_deadly_request_is_stopped, 0,
-			    COUNT(deadly_cases));
+	tcase_add_loop_test(tcase, test_poison_request_is_blocked, 0,
+			    COUNT(poison_cases));
 	tcase_add_loop_test(tcase, test_evidence_reaches_all_nodes, 0,
 			    COUNT(propagation_cases));
 	tcase_add_loop_test(tcase, test_other_request_is_served, 0,
@@ -510,5 +510,5 @@
 
 int main(void)
 {
-	return suite_run("deadly", add);
+	return suite_run("deadly", add_tests);
 }
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -26,7 +26,8 @@
 
 static struct cluster *create_started_cluster(void)
 {
-	struct cluster_layout layout = cluster_default_layout(NODES, DOMAINS, TARGETS);
+	struct cluster_layout layout =
+		cluster_default_layout(NODES, DOMAINS, TARGETS);
 	struct cluster *cluster = cluster_create(
 		7, &layout, cluster_lists_doc(1, 5000, 5000, 400, 400, 1));
 
@@ -56,15 +57,15 @@
 }
 
 /**
- * struct deadly_case - a variant of the test
+ * struct poison_case - a variant of the test
  * @kill: restart one node per round, all in turn
  */
-struct deadly_case {
+struct poison_case {
 	const char *name;
 	bool kill;
 };
 
-static const struct deadly_case deadly_cases[] = {
+static const struct poison_case poison_cases[] = {
 	{ "calm", false },
 	{ "nodes restart in turn", true },
 };
@@ -74,9 +75,9 @@
  * at their other replicas and repeated at another node, so that all other
  * questions lose their answers.
  */
-START_TEST(test_deadly_question_is_stopped)
+START_TEST(test_poison_question_is_blocked)
 {
-	const struct deadly_case *c = &deadly_cases[_i];
+	const struct poison_case *c = &poison_cases[_i];
 	struct cluster *cluster = create_started_cluster();
 	int64_t third_crash_at = 0;
 	int late_rounds = 0;
@@ -136,8 +137,8 @@
 
 static void add_tests(TCase *tcase)
 {
-	tcase_add_loop_test(tcase, test_deadly_question_is_stopped, 0,
-			    sizeof(deadly_cases) / sizeof(*deadly_cases));
+	tcase_add_loop_test(tcase, test_poison_question_is_blocked, 0,
+			    sizeof(poison_cases) / sizeof(*poison_cases));
 	tcase_add_test(tcase, test_other_question_is_served);
 }
 
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -101,11 +101,11 @@
  * domain with fewer nearby nodes. The capacity left is sufficient; a node that
  * uses too few of its connections there makes shards queue for the target.
  */
-static void silence_domain(struct sim *sim)
+static void hang_domain(struct sim *sim)
 {
 	for (int i = 0; i < 2 * SIM_SHARDS; i++)
 		if (sim->targets[i].domain == 0)
-			sim->targets[i].silent = true;
+			sim->targets[i].hangs = true;
 }
 
 /* All targets lose three of ten replies after execution. */
@@ -127,9 +127,9 @@
 	{ "slow in a burst", 190, overload_every_fourth_shard, 0.98, 0, 1,
 	  false },
 	{ "short of room", 60, slow_two_shards, 0, 43, 4, false },
-	{ "dark domain", 185, silence_domain, 0.99, 0, 2, false },
+	{ "dark domain", 185, hang_domain, 0.99, 0, 2, false },
 	/* The capacity of some shards is 200 per second. */
-	{ "dark domain, no room", 215, silence_domain, 0.7, 15, 5, false },
+	{ "dark domain, no room", 215, hang_domain, 0.7, 15, 5, false },
 	{ "replies lost", 10, lose_replies, 0.65, 30, 60, true },
 	{ "shedding across", 120, reject_at_one_target_per_shard, 0.99, 0, 1.5,
 	  false },
@@ -148,7 +148,7 @@
 			printf("  question %d: status %d after %.1f ms\n", i,
 			       sim->calls[i].status,
 			       (sim->calls[i].answered_at -
-				sim->calls[i].start) /
+				sim->calls[i].sent_at) /
 				       1000.0);
 }
 
@@ -168,18 +168,18 @@
 			sim->nodes[i].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
 		sim_start_node(sim, i);
-	sim_settle(sim);
+	sim_run_until_ready(sim);
 	return sim;
 }
 
-static void apply_load(struct sim *sim, const struct pattern *pattern,
-		       int64_t length)
+static void send_load(struct sim *sim, const struct pattern *pattern,
+		      int64_t length)
 {
 	int64_t gap = SECOND_US / pattern->rate;
 
 	for (int64_t at = 0; at < length; at += gap) {
 		pattern->inject(sim);
-		sim_call(sim, sim->ncalls % NODES, SIM_STRICT);
+		sim_send_call(sim, sim->ncalls % NODES, SIM_STRICT);
 		sim_run(sim, gap);
 	}
 }
@@ -207,7 +207,7 @@
 
 		if (call->status != 200)
 			result.failed += 1.0 / count;
-		else if (call->answered_at - call->start <= GOAL_US)
+		else if (call->answered_at - call->sent_at <= GOAL_US)
 			result.credit += fraction * fraction / count;
 	}
 	return result;
@@ -225,10 +225,10 @@
 
 	if (traced)
 		sim->traced_call = atoi(traced);
-	apply_load(sim, pattern, WARMUP_US);
+	send_load(sim, pattern, WARMUP_US);
 	from = sim->ncalls;
 	sim->first_sends = sim->extra_sends = 0;
-	apply_load(sim, pattern, MEASURED_US);
+	send_load(sim, pattern, MEASURED_US);
 	sim_run(sim, 2 * SECOND_US);
 	result = measure(sim, from);
 	result.extra = 100.0 * sim->extra_sends / sim->first_sends;
@@ -299,7 +299,7 @@
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_pattern, 0,
 			    sizeof(patterns) / sizeof(*patterns));
@@ -309,5 +309,5 @@
 
 int main(void)
 {
-	return suite_run("load", add);
+	return suite_run("load", add_tests);
 }
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -843,7 +843,7 @@
 
 #define COUNT(table) ((int)(sizeof(table) / sizeof(*(table))))
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_records, 0, COUNT(merge_cases));
@@ -873,5 +873,5 @@
 
 int main(void)
 {
-	return suite_run("parts", add);
+	return suite_run("parts", add_tests);
 }
--- a/tests/check_peer.c
+++ b/tests/check_peer.c
@@ -237,7 +237,7 @@
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_burst_in_one_round, 0,
 			    (int)(sizeof(bursts) / sizeof(*bursts)));
@@ -246,5 +246,5 @@
 
 int main(void)
 {
-	return suite_run("peer", add);
+	return suite_run("peer", add_tests);
 }
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -236,7 +236,7 @@
 
 #define COUNT(table) ((int)(sizeof(table) / sizeof(*(table))))
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_checked_fixture(tcase, create_pool, destroy_pool);
 	tcase_add_loop_test(tcase, test_settings, 0, COUNT(settings));
@@ -250,5 +250,5 @@
 
 int main(void)
 {
-	return suite_run("platform", add);
+	return suite_run("platform", add_tests);
 }
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -26,7 +26,8 @@
 
 static struct cluster *create_cluster(int nodes)
 {
-	struct cluster_layout layout = cluster_default_layout(nodes, DOMAINS, TARGETS);
+	struct cluster_layout layout =
+		cluster_default_layout(nodes, DOMAINS, TARGETS);
 
 	return cluster_create(7, &layout,
 			      cluster_lists_doc(1, 5000, 5000, 400, 400, 1));
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -390,12 +390,12 @@
  */
 START_TEST(test_many_suspects)
 {
-	struct fingerprint deadly = make_fingerprint(0, 0);
+	struct fingerprint poison_request = make_fingerprint(0, 0);
 	struct fixture fixture;
 
 	fixture_init(&fixture);
 	for (int i = 0; i < 3; i++)
-		break_connection(&fixture, &deadly, i + 1, i);
+		break_connection(&fixture, &poison_request, i + 1, i);
 	for (int i = 1; i < 3 * POISON_ENTRIES_MAX; i++) {
 		struct fingerprint fp = make_fingerprint(i, 0);
 
@@ -404,7 +404,7 @@
 		break_connection(&fixture, &fp, 1, 1);
 	}
 	ck_assert_uint_le(fixture.poison.count, POISON_ENTRIES_MAX);
-	ck_assert_int_eq(poison_verdict(&fixture.poison, &deadly),
+	ck_assert_int_eq(poison_verdict(&fixture.poison, &poison_request),
 			 POISON_BLOCKED);
 	fixture_destroy(&fixture);
 }
@@ -427,7 +427,7 @@
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_fingerprint, 0,
 			    COUNT(fingerprint_cases));
@@ -440,5 +440,5 @@
 
 int main(void)
 {
-	return suite_run("poison", add);
+	return suite_run("poison", add_tests);
 }
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -30,7 +30,7 @@
 	sim_configure(sim, 1);
 	for (int i = 0; i < nodes; i++)
 		sim_start_node(sim, i);
-	sim_settle(sim);
+	sim_run_until_ready(sim);
 	return sim;
 }
 
@@ -44,7 +44,7 @@
 
 static int64_t elapsed_us(const struct sim_call *call)
 {
-	return call->answered_at - call->start;
+	return call->answered_at - call->sent_at;
 }
 
 static int max_targets_per_shard(const struct sim_call *call)
@@ -72,9 +72,9 @@
 START_TEST(test_no_faults)
 {
 	struct sim *sim = setup(NODES);
-	int merged = sim_call(sim, _i, SIM_MERGED);
-	int single = sim_call(sim, _i, SIM_SINGLE);
-	int once = sim_call(sim, _i, SIM_ONCE);
+	int merged = sim_send_call(sim, _i, SIM_MERGED);
+	int single = sim_send_call(sim, _i, SIM_SINGLE);
+	int once = sim_send_call(sim, _i, SIM_ONCE);
 
 	sim_run(sim, SECOND_US);
 	check_merged(&sim->calls[merged], ALL_SHARDS);
@@ -99,9 +99,9 @@
 
 	for (int i = 0; i < 2 * ALL_SHARDS; i += 6)
 		sim->targets[i].paused_until = sim->now + 3 * GOAL_US;
-	first = sim_call(sim, 0, SIM_MERGED);
+	first = sim_send_call(sim, 0, SIM_MERGED);
 	sim_run(sim, GOAL_US);
-	second = sim_call(sim, 0, SIM_MERGED);
+	second = sim_send_call(sim, 0, SIM_MERGED);
 	sim_run(sim, SECOND_US);
 	check_merged(&sim->calls[first], ALL_SHARDS);
 	check_merged(&sim->calls[second], ALL_SHARDS);
@@ -114,7 +114,7 @@
 /** struct outage - shards without a working target, and the expected answer */
 struct outage {
 	int shards;
-	bool silent; /* requests get no reply, connections are accepted */
+	bool hangs; /* requests get no reply, connections are accepted */
 	int status;
 	bool in_time;
 };
@@ -140,13 +140,13 @@
 	int index;
 
 	for (int i = 0; i < 2 * outage->shards; i++) {
-		sim->targets[i].silent = outage->silent;
-		sim->targets[i].up = outage->silent;
+		sim->targets[i].hangs = outage->hangs;
+		sim->targets[i].up = outage->hangs;
 	}
 	/* Refused connections mark the targets as down for the next call. */
-	previous = sim_call(sim, 2, SIM_MERGED);
+	previous = sim_send_call(sim, 2, SIM_MERGED);
 	sim_run(sim, GOAL_US / 4);
-	index = sim_call(sim, 2, SIM_MERGED);
+	index = sim_send_call(sim, 2, SIM_MERGED);
 	sim_run(sim, 3 * SECOND_US);
 	call = &sim->calls[index];
 	ck_assert_int_ne(sim->calls[previous].status, 0);
@@ -194,7 +194,7 @@
 		sim->targets[i].reply_loss = c->reply_loss;
 		sim->targets[i].up = !c->down;
 	}
-	index = sim_call(sim, 1, SIM_ONCE);
+	index = sim_send_call(sim, 1, SIM_ONCE);
 	sim_run(sim, 3 * SECOND_US);
 	ck_assert_int_eq(sim->calls[index].status, c->status);
 	ck_assert_int_eq(sim->calls[index].runs, c->runs);
@@ -216,7 +216,7 @@
 	for (int i = 2 * ALL_SHARDS; i < sim->ntargets - 1; i++)
 		sim->targets[i].reject_rate = 0.4;
 	for (int i = 0; i < 20; i++) {
-		int index = sim_call(sim, 1, SIM_ONCE);
+		int index = sim_send_call(sim, 1, SIM_ONCE);
 
 		sim_run(sim, SECOND_US);
 		served += sim->calls[index].status == 200;
@@ -231,7 +231,7 @@
 struct node_fault {
 	const char *name;
 	bool kill;
-	bool freeze;
+	bool pause;
 	bool cut;
 };
 
@@ -261,8 +261,8 @@
 {
 	if (fault->kill)
 		sim_kill_node(sim, node);
-	if (fault->freeze)
-		sim->nodes[node].frozen_until = sim->now + 2 * SECOND_US;
+	if (fault->pause)
+		sim->nodes[node].paused_until = sim->now + 2 * SECOND_US;
 	for (int i = 0; fault->cut && i < sim->nnodes; i++)
 		sim->links_cut[i][node] = sim->links_cut[node][i] = true;
 }
@@ -275,7 +275,7 @@
 START_TEST(test_merging_node_lost)
 {
 	struct sim *sim = setup_three_per_shard();
-	int index = sim_call(sim, 0, SIM_MERGED);
+	int index = sim_send_call(sim, 0, SIM_MERGED);
 	int next;
 
 	/* Slow enough for the first requests of the other nodes to be late. */
@@ -287,7 +287,7 @@
 	sim_run(sim, SECOND_US / 2);
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].service_us = 8000;
-	next = sim_call(sim, 0, SIM_MERGED);
+	next = sim_send_call(sim, 0, SIM_MERGED);
 	sim_run(sim, SECOND_US);
 	ck_assert_int_eq(sim->calls[index].status, 200);
 	ck_assert_int_le(elapsed_us(&sim->calls[index]), 3 * GOAL_US / 2);
@@ -316,10 +316,10 @@
 	sim->nodes[5].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
 		sim_start_node(sim, i);
-	sim_settle(sim);
+	sim_run_until_ready(sim);
 	for (int i = ALL_SHARDS; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].paused_until = sim->now + 60000;
-	index = sim_call(sim, 5, SIM_STRICT);
+	index = sim_send_call(sim, 5, SIM_STRICT);
 	sim_run(sim, 45000);
 	sim_kill_node(sim, 2);
 	sim_run(sim, SECOND_US);
@@ -345,8 +345,8 @@
 	int sent;
 
 	for (int i = 1; i < NODES; i++)
-		sim->nodes[i].frozen_until = sim->now + 3 * SECOND_US;
-	index = sim_call(sim, 0, SIM_MERGED);
+		sim->nodes[i].paused_until = sim->now + 3 * SECOND_US;
+	index = sim_send_call(sim, 0, SIM_MERGED);
 	sim_run(sim, 2 * SECOND_US);
 	sent = sim->first_sends + sim->extra_sends;
 	ck_assert_int_eq(sim->calls[index].status, 200);
@@ -370,7 +370,7 @@
 	for (int i = 0; i < 60; i++) {
 		if (i == 30)
 			sim_configure(sim, 10);
-		calls[i] = sim_call(sim, i % NODES, SIM_MERGED);
+		calls[i] = sim_send_call(sim, i % NODES, SIM_MERGED);
 		sim_run(sim, 10000);
 	}
 	sim_run(sim, SECOND_US);
@@ -380,10 +380,11 @@
 }
 END_TEST
 
-static void call_repeatedly(struct sim *sim, int64_t us)
+static void send_load(struct sim *sim, int64_t us)
 {
 	for (int64_t passed = 0; passed < us; passed += 20000) {
-		sim_call(sim, (int)(passed / 20000) % sim->nnodes, SIM_MERGED);
+		sim_send_call(sim, (int)(passed / 20000) % sim->nnodes,
+			      SIM_MERGED);
 		sim_run(sim, 20000);
 	}
 }
@@ -397,11 +398,11 @@
 	struct sim *sim = setup(NODES);
 	int index;
 
-	call_repeatedly(sim, SECOND_US);
+	send_load(sim, SECOND_US);
 	sim_set_domain_out(sim, 1, true);
-	call_repeatedly(sim, 7 * SECOND_US);
-	ck_assert_int_eq(sim->late_to_out_domain, 0);
-	index = sim_call(sim, 1, SIM_MERGED);
+	send_load(sim, 7 * SECOND_US);
+	ck_assert_int_eq(sim->late_arrivals_out_domain, 0);
+	index = sim_send_call(sim, 1, SIM_MERGED);
 	sim_run(sim, SECOND_US);
 	check_merged(&sim->calls[index], ALL_SHARDS);
 	sim_destroy(sim);
@@ -418,14 +419,14 @@
 
 	for (int i = 0; i < NODES; i += 2)
 		sim->nodes[i].store_cut = true;
-	call_repeatedly(sim, SECOND_US);
+	send_load(sim, SECOND_US);
 	sim->targets[0].leaving = true;
 	sim->targets[0].leaving_since = sim->now;
 	sim_publish_target(sim, 0);
 	sim->targets[3].leaving_since = sim->now;
 	sim_unpublish_target(sim, 3);
-	call_repeatedly(sim, 5 * SECOND_US);
-	ck_assert_int_eq(sim->late_to_leaving, 0);
+	send_load(sim, 5 * SECOND_US);
+	ck_assert_int_eq(sim->late_arrivals_leaving, 0);
 	sim_destroy(sim);
 }
 END_TEST
@@ -447,7 +448,7 @@
 	sim_run(sim, 3 * SECOND_US);
 	for (int i = 0; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].up = false;
-	index = sim_call(sim, 4, SIM_MERGED);
+	index = sim_send_call(sim, 4, SIM_MERGED);
 	sim_run(sim, SECOND_US);
 	check_merged(&sim->calls[index], ALL_SHARDS);
 	sim_destroy(sim);
@@ -467,7 +468,7 @@
 	sim_configure(sim, 1);
 	sim_start_node(sim, 0);
 	sim_run(sim, 2 * SECOND_US);
-	index = sim_call(sim, 0, SIM_ONCE);
+	index = sim_send_call(sim, 0, SIM_ONCE);
 	ck_assert(!sim->nodes[0].ready);
 	ck_assert_int_eq(sim->calls[index].status, 503);
 	ck_assert_int_gt(sim->calls[index].retry_after_us, 0);
@@ -494,7 +495,7 @@
 	for (int i = 0; i < NODES; i++)
 		sim_start_node(sim, i);
 	sim_run(sim, 2 * SECOND_US);
-	index = sim_call(sim, 5, SIM_MERGED);
+	index = sim_send_call(sim, 5, SIM_MERGED);
 	sim_run(sim, SECOND_US);
 	check_merged(&sim->calls[index], ALL_SHARDS);
 	ck_assert_int_eq(sim->calls[index].targets_of_shard[0], 0);
@@ -552,7 +553,7 @@
 	sim->store_down = start->store_down;
 	sim_start_node(sim, 0);
 	sim_run(sim, start->after_us);
-	call = &sim->calls[sim_call(sim, 0, SIM_MERGED)];
+	call = &sim->calls[sim_send_call(sim, 0, SIM_MERGED)];
 	ck_assert_int_eq(call->status, 503);
 	ck_assert_int_ge(call->retry_after_us, start->min_us);
 	ck_assert_int_le(call->retry_after_us, start->max_us);
@@ -590,7 +591,7 @@
 
 	for (int i = 0; i < 4; i++)
 		sim->targets[i].up = false;
-	call = &sim->calls[sim_call(sim, 0, SIM_STRICT)];
+	call = &sim->calls[sim_send_call(sim, 0, SIM_STRICT)];
 	sim_run(sim, 2 * SECOND_US);
 	ck_assert_int_ne(call->status, 200);
 	ck_assert_int_le(elapsed_us(call), GOAL_US);
@@ -611,7 +612,7 @@
 	sim_unpublish_target(sim, 0);
 	sim_unpublish_target(sim, 1);
 	for (int i = 0; i < 1200; i++) {
-		sim_call(sim, i % NODES, SIM_MERGED);
+		sim_send_call(sim, i % NODES, SIM_MERGED);
 		sim_run(sim, SECOND_US / 40);
 	}
 	for (int i = 0; i < NODES; i++) {
@@ -659,7 +660,7 @@
 	sim_stop_node(sim, 3);
 	ck_assert(!sim->nodes[3].ready);
 	sim_run(sim, 100000);
-	index = sim_call(sim, 3, SIM_MERGED);
+	index = sim_send_call(sim, 3, SIM_MERGED);
 	sim_run(sim, 2 * SECOND_US);
 	check_merged(&sim->calls[index], ALL_SHARDS);
 	ck_assert(!sim->nodes[3].exited);
@@ -680,7 +681,7 @@
 	for (int i = 0; i < 2 * ALL_SHARDS; i++)
 		sim->targets[i].reject_rate = i % 5 ? 0.66 : 0;
 	for (int i = 0; i < 500; i++) {
-		sim_call(sim, i % NODES, SIM_MERGED);
+		sim_send_call(sim, i % NODES, SIM_MERGED);
 		sim_run(sim, 20000);
 	}
 	ck_assert_int_gt(sim->first_sends, 0);
@@ -737,7 +738,7 @@
 	}
 	sim->first_sends = sim->extra_sends = 0;
 	for (int i = 0; i < 300; i++) {
-		sim_call(sim, i % SMALL_FLEET, SIM_MERGED);
+		sim_send_call(sim, i % SMALL_FLEET, SIM_MERGED);
 		sim_run(sim, 30000);
 	}
 	ck_assert_int_gt(sim->first_sends, 0);
@@ -773,7 +774,7 @@
 
 	sim->store_down = true;
 	for (int i = 0; i < 10; i++) {
-		int index = sim_call(sim, i % NODES, SIM_MERGED);
+		int index = sim_send_call(sim, i % NODES, SIM_MERGED);
 
 		sim_run(sim, SECOND_US);
 		check_merged(&sim->calls[index], ALL_SHARDS);
@@ -785,7 +786,7 @@
 	for (int i = 0; i < 2 * ALL_SHARDS; i += 2)
 		sim_publish_target(sim, i);
 	sim_run(sim, SECOND_US / 2);
-	int index = sim_call(sim, 1, SIM_MERGED);
+	int index = sim_send_call(sim, 1, SIM_MERGED);
 
 	sim_run(sim, SECOND_US);
 	check_merged(&sim->calls[index], ALL_SHARDS);
@@ -795,7 +796,7 @@
 
 #define COUNT(table) ((int)(sizeof(table) / sizeof(*(table))))
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_no_faults, 0, NODES);
 	tcase_add_test(tcase, test_paused_targets);
@@ -828,5 +829,5 @@
 
 int main(void)
 {
-	return suite_run("tier", add);
+	return suite_run("tier", add_tests);
 }
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -441,7 +441,7 @@
 }
 END_TEST
 
-static void add(TCase *tcase)
+static void add_tests(TCase *tcase)
 {
 	tcase_add_loop_test(tcase, test_script, 0,
 			    (int)(sizeof(scripts) / sizeof(*scripts)));
@@ -454,5 +454,5 @@
 
 int main(void)
 {
-	return suite_run("upstream", add);
+	return suite_run("upstream", add_tests);
 }
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -319,7 +319,7 @@
 
 /* Oracle. */
 
-static void heal(struct fuzz *f)
+static void remove_faults(struct fuzz *f)
 {
 	struct cluster *cluster = f->cluster;
 
@@ -568,7 +568,8 @@
 	bool passed;
 
 	f->rng.seed = seed;
-	f->layout = cluster_default_layout(3 + (int)(seed % 4), DOMAINS, TARGETS);
+	f->layout =
+		cluster_default_layout(3 + (int)(seed % 4), DOMAINS, TARGETS);
 	f->lists_version = 1;
 	f->cluster = cluster_create(
 		seed, &f->layout,
@@ -578,7 +579,7 @@
 	cluster_start_all(f->cluster);
 	for (int i = 0; i < steps && !f->cluster->fault; i++)
 		step(f);
-	heal(f);
+	remove_faults(f);
 	check_domain_out(f);
 	check_pause(f);
 	check_cold_start(f);
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -27,10 +27,10 @@
 	 * A deadly request is sent at this interval, over a longer time with
 	 * fewer faults: nodes with a recent fault are not judged by it.
 	 */
-	DEADLY_INTERVAL_STEPS = 30,
-	DEADLY_STEPS = 750,
-	DEADLY_FAULT_STEPS = 16,
-	DEADLY_LATE_RUNS_MAX = 3,
+	POISON_INTERVAL_STEPS = 30,
+	POISON_STEPS = 750,
+	POISON_FAULT_STEPS = 16,
+	POISON_LATE_RUNS_MAX = 3,
 };
 
 /** struct scenario - the run of one seed: simulation and active faults */
@@ -38,7 +38,7 @@
 	struct sim *sim;
 	uint64_t version;
 	int64_t down_until[SIM_NODES_MAX];
-	int64_t heal_at;
+	int64_t faults_removed_at;
 	bool resharded;
 	const char *violation;
 };
@@ -114,15 +114,15 @@
 	scenario->down_until[node] = scenario->sim->now + RESTART_US;
 }
 
-static void freeze_node(struct scenario *scenario)
+static void pause_node(struct scenario *scenario)
 {
 	int node = (int)random_below(scenario, (uint64_t)scenario->sim->nnodes);
 
-	scenario->sim->nodes[node].frozen_until =
+	scenario->sim->nodes[node].paused_until =
 		scenario->sim->now +
 		1000 * (int64_t)random_below(scenario, 2000);
 	scenario->sim->nodes[node].fault_at =
-		scenario->sim->nodes[node].frozen_until;
+		scenario->sim->nodes[node].paused_until;
 }
 
 static void cut_link(struct scenario *scenario)
@@ -164,7 +164,7 @@
 	sim_configure(sim, ++scenario->version);
 }
 
-static void heal(struct scenario *scenario)
+static void remove_faults(struct scenario *scenario)
 {
 	struct sim *sim = scenario->sim;
 
@@ -182,10 +182,9 @@
 }
 
 static void (*const faults[])(struct scenario *) = {
-	pause_target, pause_target, slow_target,  reject_at_target,
-	lose_replies, crash_target, drain_target, kill_node,
-	freeze_node,  cut_link,	    cut_store,	  fail_store,
-	configure,    heal,
+	pause_target, pause_target, slow_target, reject_at_target, lose_replies,
+	crash_target, drain_target, kill_node,	 pause_node,	   cut_link,
+	cut_store,    fail_store,   configure,	 remove_faults,
 };
 
 /* Invariants. */
@@ -208,7 +207,7 @@
 	if (call->status == 404)
 		return "an existing route was not found";
 	if (call->answered_at &&
-	    call->answered_at - call->start > TIMEOUT_US + ANSWER_GRACE_US)
+	    call->answered_at - call->sent_at > TIMEOUT_US + ANSWER_GRACE_US)
 		return "a request was answered after its timeout";
 	return NULL;
 }
@@ -230,8 +229,8 @@
 				max = call->targets_of_shard[j];
 		over_limit += max > 2;
 	}
-	for (int i = 1; i < SIM_DEADLY_MAX; i++)
-		if (sim->deadly[i].late > DEADLY_LATE_RUNS_MAX)
+	for (int i = 1; i < SIM_POISON_MAX; i++)
+		if (sim->poison[i].late > POISON_LATE_RUNS_MAX)
 			return "a deadly request reached targets too often";
 	if (over_limit > 3)
 		return "shards were sent to more targets than the route allows";
@@ -241,13 +240,13 @@
 }
 
 /* Ignores late answers: a node that was frozen answers late for that reason. */
-static void excuse_frozen_nodes(struct sim *sim)
+static void ignore_late_answers(struct sim *sim)
 {
 	for (int i = 0; i < sim->ncalls; i++)
-		if (sim->calls[i].answered_at - sim->calls[i].start >
+		if (sim->calls[i].answered_at - sim->calls[i].sent_at >
 		    TIMEOUT_US + ANSWER_GRACE_US)
 			sim->calls[i].answered_at =
-				sim->calls[i].start + TIMEOUT_US;
+				sim->calls[i].sent_at + TIMEOUT_US;
 }
 
 static void restart_nodes(struct scenario *scenario)
@@ -262,7 +261,7 @@
 }
 
 /* Sends a deadly request to a ready node; each kind is counted separately. */
-static void send_deadly(struct scenario *scenario)
+static void send_poison_request(struct scenario *scenario)
 {
 	struct sim *sim = scenario->sim;
 	struct sim_request_spec spec = { "deadly", "10.1.0.1", 0 };
@@ -270,18 +269,18 @@
 	enum sim_request_kind kind =
 		(enum sim_request_kind)random_below(scenario, 3);
 
-	spec.deadly = (int)kind + 1;
+	spec.poison = (int)kind + 1;
 	if (sim->nodes[node].up && sim->nodes[node].ready)
-		sim_call_with(sim, node, kind, &spec);
+		sim_send_call_with(sim, node, kind, &spec);
 }
 
-static int count_served_after_heal(struct sim *sim)
+static int count_served_after_faults(struct sim *sim)
 {
 	int first = sim->ncalls;
 	int served = 0;
 
 	for (int i = 0; i < sim->nnodes; i++) {
-		sim_call(sim, i, SIM_SINGLE);
+		sim_send_call(sim, i, SIM_SINGLE);
 		sim_run(sim, 200000);
 	}
 	sim_run(sim, 2000000);
@@ -290,12 +289,12 @@
 	return served;
 }
 
-static const char *run_seed(uint64_t seed, bool deadly)
+static const char *run_seed(uint64_t seed, bool poison)
 {
 	struct scenario scenario = { .version = 1 };
 	struct sim *sim = sim_create(6, seed);
-	int steps = deadly ? DEADLY_STEPS : STEPS;
-	uint64_t fault_steps = deadly ? DEADLY_FAULT_STEPS : FAULT_STEPS;
+	int steps = poison ? POISON_STEPS : STEPS;
+	uint64_t fault_steps = poison ? POISON_FAULT_STEPS : FAULT_STEPS;
 	const char *violation;
 
 	scenario.sim = sim;
@@ -305,7 +304,7 @@
 	sim_configure(sim, 1);
 	for (int i = 0; i < sim->nnodes; i++)
 		sim_start_node(sim, i);
-	sim_settle(sim);
+	sim_run_until_ready(sim);
 	for (int step = 0; step < steps; step++) {
 		int node = (int)random_below(&scenario, (uint64_t)sim->nnodes);
 
@@ -314,23 +313,23 @@
 					    sizeof(faults) / sizeof(*faults))](
 				&scenario);
 		restart_nodes(&scenario);
-		if (deadly && step % DEADLY_INTERVAL_STEPS == 0)
-			send_deadly(&scenario);
+		if (poison && step % POISON_INTERVAL_STEPS == 0)
+			send_poison_request(&scenario);
 		if (sim->nodes[node].up && sim->nodes[node].ready)
-			sim_call(sim, node,
-				 (enum sim_request_kind)random_below(&scenario,
-								     3));
+			sim_send_call(sim, node,
+				      (enum sim_request_kind)random_below(
+					      &scenario, 3));
 		sim_run(sim, STEP_US);
 	}
-	heal(&scenario);
+	remove_faults(&scenario);
 	for (int i = 0; i < sim->ntargets; i++)
 		sim->targets[i].up = true;
 	sim_run(sim, RESTART_US);
 	restart_nodes(&scenario);
 	sim_run(sim, 6000000);
-	excuse_frozen_nodes(sim);
+	ignore_late_answers(sim);
 	violation = find_violation(&scenario);
-	if (!violation && count_served_after_heal(sim) < sim->nnodes)
+	if (!violation && count_served_after_faults(sim) < sim->nnodes)
 		violation =
 			"a node did not serve after all faults were removed";
 	sim_destroy(sim);
@@ -341,12 +340,12 @@
 {
 	uint64_t first = argc > 1 ? strtoull(argv[1], NULL, 10) : 1;
 	uint64_t count = argc > 2 ? strtoull(argv[2], NULL, 10) : 20;
-	bool deadly = argc > 3 && !strcmp(argv[3], "deadly");
+	bool poison = argc > 3 && !strcmp(argv[3], "deadly");
 	int failed = 0;
 
 	apr_initialize();
 	for (uint64_t seed = first; seed < first + count; seed++) {
-		const char *violation = run_seed(seed, deadly);
+		const char *violation = run_seed(seed, poison);
 
 		if (!violation)
 			continue;
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -836,7 +836,8 @@
 	cluster->cut[b][a] = cut;
 }
 
-struct cluster_target *cluster_find_target(struct cluster *cluster, const char *name)
+struct cluster_target *cluster_find_target(struct cluster *cluster,
+					   const char *name)
 {
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		if (str_eq(cluster->targets[i].config->name, str_of(name)))
@@ -854,8 +855,7 @@
 	apr_pool_create(&cluster->pool, NULL);
 	cluster->runs = apr_hash_make(cluster->pool);
 	cluster->requests = apr_hash_make(cluster->pool);
-	cluster->calls =
-		xcalloc(CLUSTER_CALLS_MAX, sizeof(*cluster->calls));
+	cluster->calls = xcalloc(CLUSTER_CALLS_MAX, sizeof(*cluster->calls));
 	cluster->now = 1000000;
 	cluster->rng.seed = seed;
 	cluster->latency_us = 200;
@@ -980,7 +980,8 @@
 	return out.ptr;
 }
 
-struct cluster_layout cluster_default_layout(int nodes, int domains, int targets)
+struct cluster_layout cluster_default_layout(int nodes, int domains,
+					     int targets)
 {
 	return (struct cluster_layout){ .version = 1,
 					.nodes = nodes,
--- a/tests/mesh.h
+++ b/tests/mesh.h
@@ -128,7 +128,8 @@
 	struct buf *trace; /* if set, receives a dump of all effects */
 };
 
-/** cluster_create() - create a cluster with @layout; takes ownership of @lists. */
+/** cluster_create() - create a cluster with @layout; takes ownership of @lists.
+ */
 struct cluster *
 cluster_create(uint64_t seed, const struct cluster_layout *layout, char *lists);
 void cluster_destroy(struct cluster *cluster);
@@ -151,7 +152,7 @@
 size_t cluster_send_call(struct cluster *cluster, int i, enum event_type type,
 			 const char *body);
 struct cluster_target *cluster_find_target(struct cluster *cluster,
-				      const char *name);
+					   const char *name);
 uint64_t cluster_entry_runs(struct cluster *cluster, const char *entry);
 
 /** Terms of a question that crashes every target that runs it. */
@@ -164,8 +165,10 @@
 void cluster_restart_target(struct cluster *cluster,
 			    struct cluster_target *target);
 
-/** cluster_default_layout() - two replicas per shard, two slots per target, all in. */
-struct cluster_layout cluster_default_layout(int nodes, int domains, int targets);
+/** cluster_default_layout() - two replicas per shard, two slots per target, all
+ * in. */
+struct cluster_layout cluster_default_layout(int nodes, int domains,
+					     int targets);
 /** cluster_fleet_doc() - fleet document for @layout; the caller frees it. */
 char *cluster_fleet_doc(const struct cluster_layout *layout);
 void cluster_publish_fleet(struct cluster *cluster,
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -52,7 +52,7 @@
 	struct sim_node *n = &sim->nodes[node];
 
 	input.now = sim->now;
-	if (sim->now == n->frozen_until)
+	if (sim->now == n->paused_until)
 		input.queued_us = sim->now - n->last_event_at;
 	else
 		n->last_event_at = sim->now;
@@ -372,7 +372,7 @@
 		if (!event->id || event->incarnation != n->incarnation)
 			break;
 		if (event->crash)
-			sim_deadly_run_ended(sim, event);
+			sim_poison_run_ended(sim, event);
 		sim_deliver(sim, event->node,
 			    (struct flow_event){ .type = FLOW_REPLY,
 						 .id = event->id,
@@ -409,9 +409,9 @@
 	}
 }
 
-static int64_t node_frozen_until(const struct sim *sim, int node)
+static int64_t node_paused_until(const struct sim *sim, int node)
 {
-	return sim->nodes[node].frozen_until;
+	return sim->nodes[node].paused_until;
 }
 
 /* Index of the next event; events at a frozen node wait until it runs. */
@@ -424,8 +424,8 @@
 		struct sim_event *event = &queue->list[i];
 
 		if (event->type < SIM_EVENT_ARRIVAL &&
-		    event->when < node_frozen_until(sim, event->node))
-			event->when = node_frozen_until(sim, event->node);
+		    event->when < node_paused_until(sim, event->node))
+			event->when = node_paused_until(sim, event->node);
 		if (best == SIZE_MAX || event->when < queue->list[best].when ||
 		    (event->when == queue->list[best].when &&
 		     event->order < queue->list[best].order))
@@ -444,8 +444,8 @@
 		if (!sim->nodes[i].up)
 			continue;
 		at = tier_wake_at(sim->nodes[i].tier);
-		if (at < node_frozen_until(sim, i))
-			at = node_frozen_until(sim, i);
+		if (at < node_paused_until(sim, i))
+			at = node_paused_until(sim, i);
 		if (best < 0 || at < *when) {
 			best = i;
 			*when = at;
@@ -486,7 +486,7 @@
 	sim->now = until;
 }
 
-void sim_settle(struct sim *sim)
+void sim_run_until_ready(struct sim *sim)
 {
 	for (int64_t waited = 0; waited < SETTLE_US; waited += 100000) {
 		int ready = 0;
@@ -501,8 +501,8 @@
 	sim_run(sim, 3000000);
 }
 
-int sim_call_with(struct sim *sim, int node, enum sim_request_kind kind,
-		  const struct sim_request_spec *spec)
+int sim_send_call_with(struct sim *sim, int node, enum sim_request_kind kind,
+		       const struct sim_request_spec *spec)
 {
 	static const char *const paths[] = { "/all/", "/strict/", "/one/",
 					     "/once/" };
@@ -521,8 +521,8 @@
 	request.request_id = str_of(id);
 	request.uri = str_of(uri);
 	sim->calls[index] = (struct sim_call){ .kind = kind,
-					       .start = sim->now,
-					       .deadly = spec->deadly };
+					       .sent_at = sim->now,
+					       .poison = spec->poison };
 	sim_deliver(sim, node,
 		    (struct flow_event){ .type = FLOW_REQUEST,
 					 .id = (uint64_t)index + 1,
@@ -530,8 +530,8 @@
 	return index;
 }
 
-int sim_call(struct sim *sim, int node, enum sim_request_kind kind)
+int sim_send_call(struct sim *sim, int node, enum sim_request_kind kind)
 {
-	return sim_call_with(sim, node, kind,
-			     &(struct sim_request_spec){ .query = "x" });
+	return sim_send_call_with(sim, node, kind,
+				  &(struct sim_request_spec){ .query = "x" });
 }
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -18,7 +18,7 @@
 	SIM_SHARDS = 12,
 	SIM_DOMAINS = 3,
 	SIM_SLOTS_MAX = 4,
-	SIM_DEADLY_MAX = 4,
+	SIM_POISON_MAX = 4,
 	SIM_CONVERGENCE_US = 4000000,
 };
 
@@ -45,7 +45,7 @@
 	char service[16];
 	int domain;
 	bool up;
-	bool silent; /* accepts requests and never replies */
+	bool hangs; /* accepts requests and never replies */
 	bool leaving;
 	int64_t leaving_since;
 	int64_t paused_until;
@@ -64,22 +64,22 @@
  * struct sim_request_spec - a request and its caller
  * @query: end of the path
  * @caller: address of the caller
- * @deadly: index in sim.deadly of a request that crashes each target that runs
+ * @poison: index in sim.deadly of a request that crashes each target that runs
  *          it, 0 for a harmless one
  */
 struct sim_request_spec {
 	const char *query;
 	const char *caller;
-	int deadly;
+	int poison;
 };
 
 /**
- * struct sim_deadly - effects of a deadly request
+ * struct sim_poison - effects of a deadly request
  * @crashes: targets that it has crashed
  * @third_crash_at: time of the third crash
  * @late: calls that reached targets more than SIM_CONVERGENCE_US after that
  */
-struct sim_deadly {
+struct sim_poison {
 	int crashes;
 	int64_t third_crash_at;
 	int late;
@@ -88,7 +88,7 @@
 /** struct sim_call - a caller's request and its outcome */
 struct sim_call {
 	enum sim_request_kind kind;
-	int64_t start;
+	int64_t sent_at;
 	int64_t answered_at;
 	int status;
 	size_t parts;
@@ -102,7 +102,7 @@
 	/* Bit set of the targets that received the request, per shard. */
 	uint64_t sent_to[2 * SIM_SHARDS][SIM_TARGETS_MAX / 64];
 	uint64_t version;
-	int deadly;
+	int poison;
 	bool reached_late;
 };
 
@@ -120,7 +120,7 @@
 	int domain;
 	bool up;
 	bool store_cut;
-	int64_t frozen_until;
+	int64_t paused_until;
 	int64_t last_event_at;
 	bool ready;
 	bool exited;
@@ -145,10 +145,10 @@
 	/* Arrival of the last message, by sender and receiver. */
 	int64_t last_arrival_at[SIM_NODES_MAX][SIM_NODES_MAX];
 	int64_t out_since[SIM_DOMAINS];
-	int late_to_out_domain;
-	int late_to_leaving;
-	struct sim_deadly deadly[SIM_DEADLY_MAX];
-	int64_t deadly_run_us; /* time to the crash; 0: usual service time */
+	int late_arrivals_out_domain;
+	int late_arrivals_leaving;
+	struct sim_poison poison[SIM_POISON_MAX];
+	int64_t poison_run_us; /* time to the crash; 0: usual service time */
 	int extra_sends;
 	int first_sends;
 	uint64_t store_calls;
@@ -173,13 +173,14 @@
 /** sim_kill_node() - stop a node abruptly; peers lose their connections */
 void sim_kill_node(struct sim *sim, int node);
 void sim_stop_node(struct sim *sim, int node);
-/** sim_call() - send a request to @node now; returns the call's index */
-int sim_call(struct sim *sim, int node, enum sim_request_kind kind);
-int sim_call_with(struct sim *sim, int node, enum sim_request_kind kind,
-		  const struct sim_request_spec *spec);
+/** sim_send_call() - send a request to @node now; returns the call's index */
+int sim_send_call(struct sim *sim, int node, enum sim_request_kind kind);
+int sim_send_call_with(struct sim *sim, int node, enum sim_request_kind kind,
+		       const struct sim_request_spec *spec);
 /** sim_crash_target() - crash a target with all its requests; it restarts */
 void sim_crash_target(struct sim *sim, int target);
 /** sim_run() - advance virtual time by @us */
 void sim_run(struct sim *sim, int64_t us);
-/** sim_settle() - run until all nodes are ready, at most ten seconds */
-void sim_settle(struct sim *sim);
+/** sim_run_until_ready() - run until all nodes are ready, at most ten seconds
+ */
+void sim_run_until_ready(struct sim *sim);
--- a/tests/sim_targets.c
+++ b/tests/sim_targets.c
@@ -147,10 +147,10 @@
 
 	t->arrivals++;
 	if (t->leaving_since && sim->now - t->leaving_since > SIM_DRAIN_US)
-		sim->late_to_leaving++;
+		sim->late_arrivals_leaving++;
 	if (sim->out_since[t->domain] &&
 	    sim->now - sim->out_since[t->domain] > DOMAIN_OUT_GRACE_US)
-		sim->late_to_out_domain++;
+		sim->late_arrivals_out_domain++;
 	if (shard < 0)
 		return;
 	if (call->targets_of_shard[shard])
@@ -193,10 +193,10 @@
 }
 
 /* All requests that run at the target lose their connections. */
-static void crash(struct sim *sim, int target, int deadly)
+static void crash(struct sim *sim, int target, int poison)
 {
 	struct sim_target *t = &sim->targets[target];
-	struct sim_deadly *record = &sim->deadly[deadly];
+	struct sim_poison *record = &sim->poison[poison];
 	struct sim_event *expiry;
 
 	if (!t->up)
@@ -225,9 +225,9 @@
 	expiry->expected = str_keep(str_of(t->id));
 }
 
-void sim_deadly_run_ended(struct sim *sim, const struct sim_event *event)
+void sim_poison_run_ended(struct sim *sim, const struct sim_event *event)
 {
-	crash(sim, event->target, sim->calls[event->call_id - 1].deadly);
+	crash(sim, event->target, sim->calls[event->call_id - 1].poison);
 }
 
 void sim_crash_target(struct sim *sim, int target)
@@ -250,7 +250,7 @@
 
 static void count_late_run(struct sim *sim, struct sim_call *call, int node)
 {
-	struct sim_deadly *record = &sim->deadly[call->deadly];
+	struct sim_poison *record = &sim->poison[call->poison];
 	int64_t fault_at = sim->nodes[node].fault_at;
 
 	if (call->reached_late || !record->third_crash_at ||
@@ -310,12 +310,12 @@
 		return;
 	}
 	sim->calls[call_id - 1].runs++;
-	if (t->silent)
+	if (t->hangs)
 		return;
 	run_us = t->service_us / 2 +
 		 (int64_t)rng_below(&sim->rng, (uint64_t)t->service_us);
 	run_us = run_end(sim, t, run_us) - sim->now;
-	if (sim->calls[call_id - 1].deadly) {
+	if (sim->calls[call_id - 1].poison) {
 		count_late_run(sim, &sim->calls[call_id - 1], event->node);
 		reply.result = FETCH_BROKEN;
 		/*
@@ -323,7 +323,7 @@
 		 * that other requests lose all their connections at once.
 		 */
 		run_us =
-			sim->deadly_run_us ? sim->deadly_run_us : t->service_us;
+			sim->poison_run_us ? sim->poison_run_us : t->service_us;
 		crash_event = schedule_reply(sim, event, run_us, reply);
 		crash_event->crash = true;
 		crash_event->call_id = call_id;
