--- a/bench/load.c
+++ b/bench/load.c
@@ -79,7 +79,7 @@
 	char terms[32];
 
 	snprintf(terms, sizeof(terms), "q%llu", (unsigned long long)id);
-	return !rows_fault(doc, terms);
+	return !rows_find_error(doc, terms);
 }
 
 static void record_answer(struct load *load, uint64_t id, json_t *doc)
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -19,8 +19,8 @@
 #include "../xmalloc.h"
 
 enum {
-	MS = 1000,
-	SECOND = 1000000,
+	MS_US = 1000,
+	SECOND_US = 1000000,
 	TARGETS = 113,
 	NODES = 6,
 	DOMAINS = 4
@@ -100,8 +100,8 @@
 	cluster->straggle_factor = 10;
 	cluster->leased_permits = scenario->leased_permits;
 	cluster->service_us =
-		scenario->service_us ? scenario->service_us : 3 * MS;
-	cluster->cold_us = scenario->cold_us ? scenario->cold_us : SECOND;
+		scenario->service_us ? scenario->service_us : 3 * MS_US;
+	cluster->cold_us = scenario->cold_us ? scenario->cold_us : SECOND_US;
 	for (int i = 0; i < NODES; i++) {
 		cluster->nodes[i].opt.direct = scenario->direct;
 		cluster->nodes[i].opt.max_open = 4000;
@@ -217,7 +217,7 @@
 		else
 			partial++;
 		latency[answered++] =
-			(double)(call->answered_at - call->sent_at) / MS;
+			(double)(call->answered_at - call->sent_at) / MS_US;
 	}
 	qsort(latency, answered, sizeof(*latency), compare_doubles);
 	printf("{\"part\":\"%s\",\"choice\":\"%s\",\"asked\":%zu,"
@@ -247,17 +247,17 @@
 
 	warmup.rate = scenario->plan_rate > 0 ? scenario->plan_rate / 4 : 20;
 	configure(cluster, scenario);
-	send_load(cluster, &warmup, 6 * SECOND);
-	cluster_run(cluster, SECOND);
+	send_load(cluster, &warmup, 6 * SECOND_US);
+	cluster_run(cluster, SECOND_US);
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		cluster->targets[i].overruns = 0;
 	from = cluster->ncalls;
 	before = requests_started(cluster);
-	send_load(cluster, scenario, scenario->seconds * SECOND / 3);
+	send_load(cluster, scenario, scenario->seconds * SECOND_US / 3);
 	apply_target_faults(cluster, scenario);
 	apply_node_faults(cluster, scenario);
-	send_load(cluster, scenario, scenario->seconds * SECOND * 2LL / 3);
-	cluster_run(cluster, SECOND);
+	send_load(cluster, scenario, scenario->seconds * SECOND_US * 2LL / 3);
+	cluster_run(cluster, SECOND_US);
 	report(cluster, scenario, part, from, before);
 	cluster_destroy(cluster);
 }
@@ -312,17 +312,17 @@
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .fixed_us = 5 * MS },
+	  .fixed_us = 5 * MS_US },
 	{ .name = "fixed 10 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .fixed_us = 10 * MS },
+	  .fixed_us = 10 * MS_US },
 	{ .name = "fixed 20 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .fixed_us = 20 * MS },
+	  .fixed_us = 20 * MS_US },
 	{ .name = "quantile 0.90",
 	  .rate = 60,
 	  .seconds = 15,
@@ -350,24 +350,24 @@
 	{ .name = "1.0x, steered",
 	  .rate = 66,
 	  .seconds = 9,
-	  .service_us = 30 * MS },
+	  .service_us = 30 * MS_US },
 	{ .name = "1.2x, steered",
 	  .rate = 80,
 	  .seconds = 9,
-	  .service_us = 30 * MS },
+	  .service_us = 30 * MS_US },
 	{ .name = "1.2x, off",
 	  .rate = 80,
 	  .seconds = 9,
-	  .service_us = 30 * MS,
+	  .service_us = 30 * MS_US,
 	  .no_admission = true },
 	{ .name = "2.0x, steered",
 	  .rate = 133,
 	  .seconds = 9,
-	  .service_us = 30 * MS },
+	  .service_us = 30 * MS_US },
 	{ .name = "2.0x, off",
 	  .rate = 133,
 	  .seconds = 9,
-	  .service_us = 30 * MS,
+	  .service_us = 30 * MS_US,
 	  .no_admission = true },
 };
 
@@ -385,12 +385,12 @@
 	  .rate = 100,
 	  .seconds = 12,
 	  .restart_every = 10,
-	  .cold_us = 4 * SECOND },
+	  .cold_us = 4 * SECOND_US },
 	{ .name = "no ramp, cold 4 s",
 	  .rate = 100,
 	  .seconds = 12,
 	  .restart_every = 10,
-	  .cold_us = 4 * SECOND,
+	  .cold_us = 4 * SECOND_US,
 	  .no_ramp = true },
 };
 
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -19,7 +19,7 @@
 #include "../xmalloc.h"
 
 enum {
-	US_PER_S = 1000000,
+	SECOND_US = 1000000,
 	WARMUP_QUESTIONS = 20,
 	OPEN_QUESTIONS = 200
 };
@@ -162,7 +162,7 @@
 	char *fleet = make_fleet(targets, asked, vms);
 	char *lists = make_lists(customers);
 
-	*fixture = (struct fixture){ .now = US_PER_S };
+	*fixture = (struct fixture){ .now = SECOND_US };
 	effects_init(&fixture->fx, NULL);
 	fixture->node = node_create(&opt, fixture->now, &fixture->fx);
 	run_effects(fixture);
@@ -173,7 +173,7 @@
 				      .doc = DOC_FLEET,
 				      .body = str_of(fleet) });
 	run_effects(fixture);
-	advance_time(fixture, 4 * US_PER_S);
+	advance_time(fixture, 4 * SECOND_US);
 	free(fleet);
 	free(lists);
 }
@@ -322,7 +322,7 @@
 	       "\"bytes_per_s_each_way\":%.0f}\n",
 	       vms, spent * 1e6, spent * 1e6 * 100 / HEARTBEAT_PERIOD_US,
 	       bytes.len,
-	       (double)bytes.len * (vms - 1) * US_PER_S / HEARTBEAT_PERIOD_US);
+	       (double)bytes.len * (vms - 1) * SECOND_US / HEARTBEAT_PERIOD_US);
 	buf_free(&bytes);
 	stop(&fixture);
 }
@@ -342,7 +342,7 @@
 	for (int i = 1; i < vms; i++) {
 		char addr[32];
 
-		fixture.now += US_PER_S / vms;
+		fixture.now += SECOND_US / vms;
 		snprintf(addr, sizeof(addr), "10.0.%d.%d:7", i / 250, i % 250);
 		feed(&fixture, (struct event){ .type = EV_MSG,
 					       .from = str_of(addr),
--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -160,7 +160,7 @@
 	sim_run(sim, RETRY_US);
 }
 
-static void restart_all(struct sim *sim)
+static void restart_all_nodes(struct sim *sim)
 {
 	for (int i = 0; i < sim->nnodes; i++)
 		sim_kill_node(sim, i);
@@ -180,7 +180,7 @@
 				sim->links_cut[i][j] = cut;
 }
 
-static void restart_one(struct sim *sim, int node)
+static void restart_node(struct sim *sim, int node)
 {
 	sim_kill_node(sim, node);
 	sim_run(sim, SECOND_US / 2);
@@ -226,12 +226,12 @@
 		sim->targets[i].keeps_id = c->keeps_id;
 	for (int round = 0; round < ROUNDS; round++) {
 		if (c->power_loss_round && round == c->power_loss_round)
-			restart_all(sim);
+			restart_all_nodes(sim);
 		if (c->cut_round)
 			cut_domain(sim, round == c->cut_round);
 		run_round(sim, c, round);
 		if (c->kill)
-			restart_one(sim, (round + 1) % NODES);
+			restart_node(sim, (round + 1) % NODES);
 		if (!round)
 			first = sim->poison[1].crashes;
 		failed = send_harmless_calls(sim, ROUND_US);
@@ -369,7 +369,8 @@
 	{ "in turn, one target", false, 100000, SIM_SINGLE, 20000 },
 };
 
-static void crash_some(struct sim *sim, const struct crash_case *c, int n)
+static void crash_next_targets(struct sim *sim, const struct crash_case *c,
+			       int n)
 {
 	if (!c->domains) {
 		sim_crash_target(sim, n % sim->ntargets);
@@ -398,7 +399,7 @@
 		send_call(sim, sim->ncalls, c->kind, &spec);
 		sim_run(sim, c->call_interval_us / 2);
 		if (sim->now >= next) {
-			crash_some(sim, c, n++);
+			crash_next_targets(sim, c, n++);
 			next = sim->now + c->crash_interval_us;
 		}
 		sim_run(sim, c->call_interval_us / 2);
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -11,15 +11,15 @@
 #include "suite.h"
 
 enum {
-	MS = 1000,
-	SECOND = 1000000,
+	MS_US = 1000,
+	SECOND_US = 1000000,
 	NODES = 3,
 	DOMAINS = 3,
 	TARGETS = 6,
 	ROUNDS = 12,
 	/* Rounds with a crash later than DETECTION_US after the third crash. */
 	LATE_ROUNDS_MAX = 3,
-	DETECTION_US = 4 * SECOND,
+	DETECTION_US = 4 * SECOND_US,
 	/* From this round on, other questions must get complete answers. */
 	RECOVERED_ROUND = 5,
 };
@@ -88,19 +88,19 @@
 
 		if (c->kill) {
 			cluster_kill_node(cluster, round % NODES);
-			cluster_run(cluster, SECOND / 2);
+			cluster_run(cluster, SECOND_US / 2);
 			cluster_start_node(cluster, round % NODES);
-			cluster_run(cluster, 4 * SECOND);
+			cluster_run(cluster, 4 * SECOND_US);
 		}
 		send_question(cluster, round % NODES, CLUSTER_POISON_TERMS);
-		cluster_run(cluster, 2 * SECOND);
+		cluster_run(cluster, 2 * SECOND_US);
 		late_rounds += third_crash_at &&
 			       cluster->now - third_crash_at > DETECTION_US &&
 			       cluster->crashes > before;
 		if (!third_crash_at && cluster->crashes >= 3)
 			third_crash_at = cluster->now;
 		other = send_question(cluster, (round + 1) % NODES, "other");
-		cluster_run(cluster, SECOND);
+		cluster_run(cluster, SECOND_US);
 		if (round >= RECOVERED_ROUND)
 			ck_assert_msg(is_complete(cluster, other),
 				      "%s: round %d", c->name, round);
@@ -126,9 +126,9 @@
 		send_question(cluster, round % NODES, "other");
 		send_question(cluster, round % NODES, CLUSTER_POISON_TERMS);
 		send_question(cluster, (round + 1) % NODES, "other");
-		cluster_run(cluster, 2 * SECOND);
+		cluster_run(cluster, 2 * SECOND_US);
 		other = send_question(cluster, (round + 2) % NODES, "other");
-		cluster_run(cluster, SECOND);
+		cluster_run(cluster, SECOND_US);
 		ck_assert_msg(is_complete(cluster, other), "round %d", round);
 	}
 	cluster_destroy(cluster);
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -32,7 +32,7 @@
  * @credit: minimum mean of the squared coverage by the goal
  * @failed: maximum percentage of questions without an answer
  * @extra: maximum hedges and retries, in percent of the first sends
- * @small: two of three VMs are too small to merge
+ * @small_vms: two of three VMs are too small to merge
  */
 struct pattern {
 	const char *name;
@@ -41,7 +41,7 @@
 	double credit;
 	double failed;
 	double extra;
-	bool small;
+	bool small_vms;
 };
 
 /* The targets of shard i are those with the indexes 2 i and 2 i + 1. */
@@ -63,15 +63,15 @@
 /* Each target is paused for 150 ms every 3.6 s, at different times. */
 static void pause_in_rotation(struct sim *sim)
 {
-	static const int64_t every = 3600000;
-	static const int64_t length = 150000;
+	static const int64_t interval_us = 3600000;
+	static const int64_t length_us = 150000;
 
 	for (int i = 0; i < 2 * SIM_SHARDS; i++) {
-		int64_t at = sim->now + every - i * every / 29;
+		int64_t at = sim->now + interval_us - i * interval_us / 29;
 
-		if (at % every < length)
+		if (at % interval_us < length_us)
 			sim->targets[i].paused_until =
-				sim->now + length - at % every;
+				sim->now + length_us - at % interval_us;
 	}
 }
 
@@ -152,7 +152,7 @@
 				       1000.0);
 }
 
-static struct sim *setup(bool small, uint32_t without)
+static struct sim *setup(bool small_vms, uint32_t without)
 {
 	struct sim *sim = sim_create(NODES, 11);
 
@@ -163,7 +163,7 @@
 		sim->targets[i].service_us = BASE_SERVICE_US;
 	}
 	sim_configure(sim, 1);
-	for (int i = 0; small && i < NODES; i++)
+	for (int i = 0; small_vms && i < NODES; i++)
 		if (i % 3)
 			sim->nodes[i].settings.core = 0.05;
 	for (int i = 0; i < NODES; i++)
@@ -173,11 +173,11 @@
 }
 
 static void send_load(struct sim *sim, const struct pattern *pattern,
-		      int64_t length)
+		      int64_t length_us)
 {
 	int64_t gap = SECOND_US / pattern->rate;
 
-	for (int64_t at = 0; at < length; at += gap) {
+	for (int64_t at = 0; at < length_us; at += gap) {
 		pattern->inject(sim);
 		sim_send_call(sim, sim->ncalls % NODES, SIM_STRICT);
 		sim_run(sim, gap);
@@ -217,7 +217,7 @@
 static struct result run_pattern(const struct pattern *pattern,
 				 uint32_t without)
 {
-	struct sim *sim = setup(pattern->small, without);
+	struct sim *sim = setup(pattern->small_vms, without);
 	/* Number of the question whose log lines are printed. */
 	const char *traced = getenv("TRACE");
 	struct result result;
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -18,8 +18,8 @@
 #include "../member.h"
 
 enum {
-	MS = 1000,
-	SECOND = 1000000,
+	MS_US = 1000,
+	SECOND_US = 1000000,
 	TARGETS = 6,
 	DOMAINS = 3
 };
@@ -41,8 +41,8 @@
 	return cluster;
 }
 
-static struct cluster_layout layout_of(const struct cluster *cluster,
-				       uint64_t version)
+static struct cluster_layout make_layout(const struct cluster *cluster,
+					 uint64_t version)
 {
 	struct cluster_layout layout =
 		cluster_default_layout(cluster->nnodes, DOMAINS, TARGETS);
@@ -54,7 +54,7 @@
 /* Publishes version 2 of the fleet document with @domain out. */
 static void publish_domain_out(struct cluster *cluster, int domain)
 {
-	struct cluster_layout layout = layout_of(cluster, 2);
+	struct cluster_layout layout = make_layout(cluster, 2);
 
 	layout.out_domain = domain;
 	cluster_publish_fleet(cluster, &layout);
@@ -62,7 +62,7 @@
 
 static void publish_version(struct cluster *cluster, uint64_t version)
 {
-	struct cluster_layout layout = layout_of(cluster, version);
+	struct cluster_layout layout = make_layout(cluster, version);
 
 	cluster_publish_fleet(cluster, &layout);
 }
@@ -77,12 +77,12 @@
 
 static void send_load_except(struct cluster *cluster, int64_t us, int skipped)
 {
-	for (int64_t t = 0; t < us; t += 10 * MS) {
-		int i = (int)(t / (10 * MS)) % cluster->nnodes;
+	for (int64_t t = 0; t < us; t += 10 * MS_US) {
+		int i = (int)(t / (10 * MS_US)) % cluster->nnodes;
 
 		if (i != skipped)
 			send_question(cluster, i);
-		cluster_run(cluster, 10 * MS);
+		cluster_run(cluster, 10 * MS_US);
 	}
 }
 
@@ -125,7 +125,7 @@
 		"{\"customer\":\"mill\",\"request_id\":\"e\"}");
 	json_t *doc;
 
-	cluster_run(cluster, 20 * MS);
+	cluster_run(cluster, 20 * MS_US);
 	doc = answer_json(cluster, id);
 	snprintf(ticket, size, "%s",
 		 json_string_value(json_object_get(doc, "ticket")));
@@ -192,7 +192,7 @@
 	for (int i = 0; i < TARGETS; i += 2)
 		cluster->targets[i].reply_version = 3;
 	id = send_question(cluster, 0);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) < 1e-9);
 	ck_assert(answer_number(cluster, id, "snapshot") == 2);
 	ck_assert(!answer_contains(cluster, id, "\"version\":3"));
@@ -203,19 +203,19 @@
  * shard map of 2; the next one uses 3. No key range is counted twice. */
 static void repartition(struct cluster *cluster)
 {
-	struct cluster_layout layout = layout_of(cluster, 2);
+	struct cluster_layout layout = make_layout(cluster, 2);
 	size_t before;
 	size_t after;
 
 	for (size_t i = 0; i < cluster->ntargets; i++)
-		cluster->targets[i].service_us = 100 * MS;
+		cluster->targets[i].service_us = 100 * MS_US;
 	before = send_question(cluster, 0);
 	layout.snapshot = 3;
 	layout.split = true;
 	cluster_publish_fleet(cluster, &layout);
-	cluster_run(cluster, 3 * SECOND);
+	cluster_run(cluster, 3 * SECOND_US);
 	after = send_question(cluster, 0);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(answer_number(cluster, before, "snapshot") == 2);
 	ck_assert(answer_number(cluster, after, "snapshot") == 3);
 	ck_assert(answer_number(cluster, before, "coverage") <= 1);
@@ -232,7 +232,7 @@
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		cluster->targets[i].missing_snapshot = 2;
 	id = send_question(cluster, 0);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(answer_number(cluster, id, "snapshot") == 1);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) < 1e-9);
 }
@@ -246,7 +246,7 @@
 
 	cluster->targets[0].dead = cluster->targets[1].dead = true;
 	id = send_question(cluster, 0);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 0.833333) <
 		  1e-9);
 	ck_assert(answer_contains(cluster, id,
@@ -263,7 +263,7 @@
 	for (size_t i = 0; i < cluster->ntargets; i += DOMAINS)
 		cluster->targets[i].dead = true;
 	id = send_question(cluster, 0);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) < 1e-9);
 }
 
@@ -274,11 +274,11 @@
 {
 	size_t id;
 
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	cluster_restart_target(cluster, cluster_find_target(cluster, "t0"));
 	cluster_restart_target(cluster, cluster_find_target(cluster, "t1"));
 	id = send_question(cluster, 0);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) < 1e-9);
 }
 
@@ -288,10 +288,10 @@
 static void cold_start(struct cluster *cluster)
 {
 	for (size_t i = 0; i < cluster->ntargets; i++) {
-		send_load(cluster, 300 * MS);
+		send_load(cluster, 300 * MS_US);
 		cluster_restart_target(cluster, &cluster->targets[i]);
 	}
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	for (size_t i = 0; i < cluster->ntargets; i++) {
 		ck_assert_int_eq((int)cluster->targets[i].overruns, 0);
 		ck_assert_int_le(cluster->targets[i].peak_cold, 1);
@@ -304,12 +304,12 @@
 static void cold_start_two_gates(struct cluster *cluster)
 {
 	cluster->cold_max_inflight = 8;
-	cluster->cold_us = 6 * SECOND;
+	cluster->cold_us = 6 * SECOND_US;
 	cluster_set_link_cut(cluster, 0, 1, true);
 	cluster_set_link_cut(cluster, 0, 2, true);
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		cluster_restart_target(cluster, &cluster->targets[i]);
-	send_load(cluster, 4 * SECOND);
+	send_load(cluster, 4 * SECOND_US);
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		ck_assert_int_le(cluster->targets[i].peak_cold, 2);
 }
@@ -318,11 +318,11 @@
  * The next gate has no state of the target and treats it as cold too. */
 static void cold_start_gate_killed(struct cluster *cluster)
 {
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	cluster_restart_target(cluster, cluster_find_target(cluster, "t0"));
-	send_load(cluster, 200 * MS);
+	send_load(cluster, 200 * MS_US);
 	cluster_kill_node(cluster, find_gate(cluster, "t0"));
-	send_load(cluster, SECOND);
+	send_load(cluster, SECOND_US);
 	ck_assert_int_le(cluster_find_target(cluster, "t0")->peak_cold, 2);
 	ck_assert_int_eq((int)cluster_find_target(cluster, "t0")->overruns, 0);
 }
@@ -336,11 +336,11 @@
 	int gate = find_gate(cluster, "t0");
 	uint64_t key = str_hash(STR("t3"));
 
-	cluster->cold_us = 3 * SECOND;
-	send_load(cluster, 4 * SECOND);
+	cluster->cold_us = 3 * SECOND_US;
+	send_load(cluster, 4 * SECOND_US);
 	cluster_restart_target(cluster, cluster_find_target(cluster, "t0"));
-	send_load(cluster, 500 * MS);
-	cluster_find_target(cluster, "t0")->service_us = 40 * MS;
+	send_load(cluster, 500 * MS_US);
+	cluster_find_target(cluster, "t0")->service_us = 40 * MS_US;
 	cluster_find_target(cluster, "t1")->dead =
 		true; /* leaves t0 as the only replica */
 	for (int i = 0; i < 60; i++) {
@@ -350,7 +350,7 @@
 		cluster_send_call(cluster, (gate + 1) % 3, EV_ASK,
 				  "{\"customer\":\"mill\",\"request_id\":\"r\","
 				  "\"indexes\":[\"orders\"],\"shards\":[1]}");
-		cluster_run(cluster, 5 * MS);
+		cluster_run(cluster, 5 * MS_US);
 	}
 	ck_assert_int_le(cluster_find_target(cluster, "t0")->peak_cold, 1);
 	ck_assert_int_eq(
@@ -368,10 +368,10 @@
 	int64_t since;
 
 	publish_domain_out(cluster, 1);
-	send_load(cluster, 1500 * MS);
+	send_load(cluster, 1500 * MS_US);
 	cluster->platform_down = true;
-	since = cluster->now + SECOND;
-	send_load(cluster, 4 * SECOND);
+	since = cluster->now + SECOND_US;
+	send_load(cluster, 4 * SECOND_US);
 	ck_assert(!domain_started_since(cluster, 1, since));
 }
 
@@ -383,8 +383,8 @@
 
 	cluster->nodes[0].platform_cut = true;
 	publish_domain_out(cluster, 1);
-	since = cluster->now + 3 * SECOND;
-	send_load(cluster, 5 * SECOND);
+	since = cluster->now + 3 * SECOND_US;
+	send_load(cluster, 5 * SECOND_US);
 	ck_assert(!domain_started_since(cluster, 1, since));
 }
 
@@ -398,10 +398,10 @@
 	for (int i = 0; i < 3; i++)
 		cluster->nodes[i].platform_cut =
 			member_rank(cluster->nodes[i].node, DOC_FLEET + 1) < 2;
-	send_load(cluster, 2500 * MS);
+	send_load(cluster, 2500 * MS_US);
 	publish_domain_out(cluster, 1);
-	since = cluster->now + 3 * SECOND;
-	send_load(cluster, 6 * SECOND);
+	since = cluster->now + 3 * SECOND_US;
+	send_load(cluster, 6 * SECOND_US);
 	ck_assert(!domain_started_since(cluster, 1, since));
 }
 
@@ -417,8 +417,8 @@
 	cluster_set_link_cut(cluster, 0, 1, true);
 	cluster_set_link_cut(cluster, 0, 2, true);
 	publish_domain_out(cluster, 1);
-	since = cluster->now + 4500 * MS;
-	send_load(cluster, 7 * SECOND);
+	since = cluster->now + 4500 * MS_US;
+	send_load(cluster, 7 * SECOND_US);
 	ck_assert(!domain_started_since(cluster, 1, since));
 	id = send_question(cluster, 0);
 	ck_assert(answer_contains(cluster, id, "\"isolated\""));
@@ -430,12 +430,12 @@
 {
 	int64_t since;
 
-	send_load(cluster, SECOND);
-	cluster_pause_node(cluster, find_gate(cluster, "t1"), 5 * SECOND);
-	send_load(cluster, 100 * MS);
+	send_load(cluster, SECOND_US);
+	cluster_pause_node(cluster, find_gate(cluster, "t1"), 5 * SECOND_US);
+	send_load(cluster, 100 * MS_US);
 	publish_domain_out(cluster, 1);
-	since = cluster->now + 4 * SECOND;
-	send_load(cluster, 8 * SECOND);
+	since = cluster->now + 4 * SECOND_US;
+	send_load(cluster, 8 * SECOND_US);
 	ck_assert(!domain_started_since(cluster, 1, since));
 }
 
@@ -450,12 +450,12 @@
 
 	while (member_rank(cluster->nodes[watcher].node, DOC_FLEET + 1) > 1)
 		watcher++;
-	send_load(cluster, SECOND);
-	cluster_pause_node(cluster, watcher, 6 * SECOND);
-	send_load(cluster, 1200 * MS);
+	send_load(cluster, SECOND_US);
+	cluster_pause_node(cluster, watcher, 6 * SECOND_US);
+	send_load(cluster, 1200 * MS_US);
 	publish_domain_out(cluster, watcher); /* node i is in domain i */
-	since = cluster->now + 4 * SECOND;
-	send_load(cluster, 8 * SECOND);
+	since = cluster->now + 4 * SECOND_US;
+	send_load(cluster, 8 * SECOND_US);
 	ck_assert(!domain_started_since(cluster, watcher, since));
 }
 
@@ -464,12 +464,12 @@
 static void domain_returns(struct cluster *cluster)
 {
 	publish_domain_out(cluster, 1);
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	for (size_t i = 1; i < cluster->ntargets; i += DOMAINS)
 		cluster_restart_target(cluster, &cluster->targets[i]);
-	cluster_run(cluster, 100 * MS);
+	cluster_run(cluster, 100 * MS_US);
 	publish_version(cluster, 3);
-	send_load(cluster, 4 * SECOND);
+	send_load(cluster, 4 * SECOND_US);
 	for (size_t i = 1; i < cluster->ntargets; i += DOMAINS) {
 		ck_assert(cluster->targets[i].started > 0);
 		ck_assert_int_eq((int)cluster->targets[i].overruns, 0);
@@ -483,7 +483,7 @@
 {
 	size_t ids[60];
 
-	cluster->jitter_us = 80 * MS;
+	cluster->jitter_us = 80 * MS_US;
 	cluster->dup_pm = 300;
 	for (int i = 0; i < 60; i++) {
 		char body[160];
@@ -493,9 +493,9 @@
 			 "\"terms\":\"own-%d-\",\"indexes\":[\"orders\"]}",
 			 i);
 		ids[i] = cluster_send_call(cluster, i % 3, EV_ASK, body);
-		cluster_run(cluster, 4 * MS);
+		cluster_run(cluster, 4 * MS_US);
 	}
-	cluster_run(cluster, 2 * SECOND);
+	cluster_run(cluster, 2 * SECOND_US);
 	for (int i = 0; i < 60; i++) {
 		char own[24];
 		json_t *doc = answer_json(cluster, ids[i]);
@@ -524,11 +524,11 @@
 	request_ticket(cluster, issuer, ticket, sizeof(ticket));
 	id = send_entry(cluster, issuer, ticket);
 	run_until_grant(cluster, gate);
-	cluster_pause_node(cluster, gate, 5 * SECOND);
-	cluster_run(cluster, 3 * SECOND);
+	cluster_pause_node(cluster, gate, 5 * SECOND_US);
+	cluster_run(cluster, 3 * SECOND_US);
 	ck_assert(answer_contains(cluster, id, "\"unknown\"") ||
 		  answer_contains(cluster, id, "\"not_run\""));
-	cluster_run(cluster, 6 * SECOND);
+	cluster_run(cluster, 6 * SECOND_US);
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 0);
 }
 
@@ -544,7 +544,7 @@
 	send_entry(cluster, issuer, ticket);
 	run_until_grant(cluster, gate);
 	cluster_kill_node(cluster, issuer);
-	cluster_run(cluster, 3 * SECOND);
+	cluster_run(cluster, 3 * SECOND_US);
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 0);
 	ck_assert_int_eq((int)gate_open(cluster->nodes[gate].node), 0);
 }
@@ -560,7 +560,7 @@
 		cluster->targets[i].draining = true;
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	id = send_entry(cluster, 0, ticket);
-	cluster_run(cluster, 4 * SECOND);
+	cluster_run(cluster, 4 * SECOND_US);
 	ck_assert(answer_contains(cluster, id, "\"not_run\""));
 	ck_assert(answer_contains(cluster, id, "retry_after_ms"));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 0);
@@ -577,7 +577,7 @@
 		cluster->targets[i].closes_without_run = true;
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	id = send_entry(cluster, 0, ticket);
-	cluster_run(cluster, 4 * SECOND);
+	cluster_run(cluster, 4 * SECOND_US);
 	ck_assert(answer_contains(cluster, id, "\"unknown\""));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 0);
 }
@@ -593,7 +593,7 @@
 	char body[400];
 	size_t id;
 
-	cluster->latency_us = MS;
+	cluster->latency_us = MS_US;
 	request_ticket(cluster, issuer, ticket, sizeof(ticket));
 	snprintf(body, sizeof(body),
 		 "{\"customer\":\"mill\",\"request_id\":\"e\",\"ticket\":"
@@ -603,7 +603,7 @@
 	id = cluster_send_call(cluster, issuer, EV_ENTRY, body);
 	cluster_run(cluster, 1500);
 	ck_assert(answer_contains(cluster, id, "\"not_run\""));
-	cluster_run(cluster, 4 * SECOND);
+	cluster_run(cluster, 4 * SECOND_US);
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 0);
 	ck_assert_int_eq((int)gate_open(cluster->nodes[gate].node), 0);
 }
@@ -618,9 +618,9 @@
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	ids[0] = send_entry(cluster, 1, ticket);
 	ids[1] = send_entry(cluster, 2, ticket);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ids[2] = send_entry(cluster, 0, ticket);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	for (int i = 0; i < 3; i++)
 		ck_assert(answer_contains(cluster, ids[i], "\"done\""));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 1);
@@ -633,7 +633,7 @@
 	size_t a = send_entry(cluster, 0, "");
 	size_t b = send_entry(cluster, 1, "");
 
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(answer_contains(cluster, a, "ticket_required"));
 	ck_assert(answer_contains(cluster, b, "ticket_required"));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 0);
@@ -648,12 +648,12 @@
 
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	send_entry(cluster, 0, ticket);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	cluster_kill_node(cluster, 0);
 	cluster_start_node(cluster, 0);
-	cluster_run(cluster, 4 * SECOND);
+	cluster_run(cluster, 4 * SECOND_US);
 	id = send_entry(cluster, 0, ticket);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(answer_contains(cluster, id, "\"unknown\""));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 1);
 }
@@ -670,10 +670,10 @@
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	cluster_set_link_cut(cluster, 0, 1, true);
 	cluster_set_link_cut(cluster, 0, 2, true);
-	cluster_run(cluster, 2 * SECOND);
+	cluster_run(cluster, 2 * SECOND_US);
 	a = send_entry(cluster, 0, ticket);
 	b = send_entry(cluster, 1, ticket);
-	cluster_run(cluster, 10 * SECOND);
+	cluster_run(cluster, 10 * SECOND_US);
 	ck_assert(answer_contains(cluster, a, "\"done\""));
 	ck_assert(answer_contains(cluster, b, "\"unknown\""));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 1);
@@ -690,9 +690,9 @@
 		cluster->targets[i].closes_after_run = true;
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	id = send_entry(cluster, 0, ticket);
-	cluster_run(cluster, 2 * MS);
-	cluster_pause_node(cluster, 0, 3 * SECOND);
-	cluster_run(cluster, 6 * SECOND);
+	cluster_run(cluster, 2 * MS_US);
+	cluster_pause_node(cluster, 0, 3 * SECOND_US);
+	cluster_run(cluster, 6 * SECOND_US);
 	ck_assert(answer_contains(cluster, id, "\"unknown\""));
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 1);
 }
@@ -704,14 +704,14 @@
 	int64_t since;
 	uint64_t started;
 
-	send_load(cluster, SECOND);
+	send_load(cluster, SECOND_US);
 	cluster_find_target(cluster, "t2")->draining = true;
 	since = cluster->now;
-	send_load(cluster, SECOND);
+	send_load(cluster, SECOND_US);
 	started = cluster_find_target(cluster, "t2")->started;
 	ck_assert(cluster_find_target(cluster, "t2")->last_start <=
-		  since + 100 * MS);
-	send_load(cluster, SECOND);
+		  since + 100 * MS_US);
+	send_load(cluster, SECOND_US);
 	ck_assert(cluster_find_target(cluster, "t2")->started == started);
 	ck_assert(
 		fabs(answer_number(cluster, cluster->ncalls - 20, "coverage") -
@@ -721,13 +721,13 @@
 /* 8. The fleet document lists a target as leaving that still accepts work. */
 static void target_listed_leaving(struct cluster *cluster)
 {
-	struct cluster_layout layout = layout_of(cluster, 2);
+	struct cluster_layout layout = make_layout(cluster, 2);
 	int64_t since;
 
 	layout.leaving_target = 2;
 	cluster_publish_fleet(cluster, &layout);
-	since = cluster->now + 2500 * MS;
-	send_load(cluster, 4 * SECOND);
+	since = cluster->now + 2500 * MS_US;
+	send_load(cluster, 4 * SECOND_US);
 	ck_assert(cluster_find_target(cluster, "t2")->last_start <= since);
 }
 
@@ -737,16 +737,16 @@
 static void rolling_stop(struct cluster *cluster)
 {
 	for (int i = 0; i < 3; i++) {
-		send_load(cluster, 500 * MS);
+		send_load(cluster, 500 * MS_US);
 		cluster_deliver(cluster, i, (struct event){ .type = EV_LEAVE });
 		cluster_deliver(cluster, i, (struct event){ .type = EV_LEAVE });
-		send_load(cluster, SECOND);
-		send_load_except(cluster, 3 * SECOND, i);
+		send_load(cluster, SECOND_US);
+		send_load_except(cluster, 3 * SECOND_US, i);
 		ck_assert(!cluster->nodes[i].up);
 		cluster_start_node(cluster, i);
-		send_load_except(cluster, 4 * SECOND, i);
+		send_load_except(cluster, 4 * SECOND_US, i);
 	}
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	for (size_t id = 0; id < cluster->ncalls; id++) {
 		if (!cluster->calls[id].node_up)
 			continue;
@@ -762,7 +762,7 @@
 	size_t from;
 	size_t entry;
 
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	from = cluster->ncalls;
 	for (int i = 0; i < 12; i++)
@@ -772,9 +772,9 @@
 	cluster_deliver(cluster, 1, (struct event){ .type = EV_LEAVE });
 	for (int i = 0; i < 300; i++) {
 		send_question(cluster, 2);
-		cluster_run(cluster, 10 * MS);
+		cluster_run(cluster, 10 * MS_US);
 	}
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(!cluster->nodes[0].up && !cluster->nodes[1].up);
 	ck_assert(answer_contains(cluster, entry, "\"done\""));
 	for (size_t id = from; id < cluster->ncalls; id++)
@@ -791,9 +791,9 @@
 	cluster_deliver(cluster, 0, (struct event){ .type = EV_LEAVE });
 	request_ticket(cluster, 0, ticket, sizeof(ticket));
 	ck_assert(strncmp(ticket, "127.0.0.1:7000/", 15));
-	cluster_run(cluster, 4 * SECOND);
+	cluster_run(cluster, 4 * SECOND_US);
 	id = send_entry(cluster, 1, ticket);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(answer_contains(cluster, id, "\"done\""));
 }
 
@@ -803,12 +803,12 @@
 static void stale_platform_new_node(struct cluster *cluster)
 {
 	publish_version(cluster, 2);
-	cluster_run(cluster, 2 * SECOND);
+	cluster_run(cluster, 2 * SECOND_US);
 	cluster_kill_node(cluster, 0);
 	cluster->nodes[0].reads_stale_docs = 1;
 	cluster_start_node(cluster, 0);
 	for (int i = 0; i < 500; i++) {
-		cluster_run(cluster, 10 * MS);
+		cluster_run(cluster, 10 * MS_US);
 		ck_assert(cluster->nodes[0].doc_versions[DOC_FLEET] != 1);
 	}
 	ck_assert_int_eq((int)cluster->nodes[0].doc_versions[DOC_FLEET], 2);
@@ -821,7 +821,7 @@
 	char *lists = cluster_lists_doc(3, 10, 10, 400, 400, 1);
 
 	cluster_publish_doc(cluster, DOC_LISTS, "{\"version\":2,\"plans\":[]}");
-	cluster_run(cluster, 3 * SECOND);
+	cluster_run(cluster, 3 * SECOND_US);
 	for (int i = 0; i < 3; i++) {
 		ck_assert_int_eq((int)cluster->nodes[i].doc_versions[DOC_LISTS],
 				 1);
@@ -829,7 +829,7 @@
 			  0);
 	}
 	cluster_publish_doc(cluster, DOC_LISTS, lists);
-	cluster_run(cluster, 3 * SECOND);
+	cluster_run(cluster, 3 * SECOND_US);
 	for (int i = 0; i < 3; i++)
 		ck_assert_int_eq((int)cluster->nodes[i].doc_versions[DOC_LISTS],
 				 3);
@@ -842,9 +842,9 @@
 {
 	cluster->nodes[1].reads_stale_docs = 1;
 	publish_version(cluster, 2);
-	cluster_run(cluster, 5 * MS);
+	cluster_run(cluster, 5 * MS_US);
 	publish_version(cluster, 3);
-	cluster_run(cluster, 4 * SECOND);
+	cluster_run(cluster, 4 * SECOND_US);
 	for (int i = 0; i < 3; i++)
 		ck_assert_int_eq((int)cluster->nodes[i].doc_versions[DOC_FLEET],
 				 3);
@@ -857,9 +857,9 @@
 	size_t id;
 
 	cluster->platform_down = true;
-	cluster_run(cluster, 3600LL * SECOND);
+	cluster_run(cluster, 3600LL * SECOND_US);
 	id = send_question(cluster, 1);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) < 1e-9);
 }
 
@@ -872,13 +872,13 @@
 
 	cluster_publish_doc(cluster, DOC_LISTS, lists);
 	free(lists);
-	cluster_run(cluster, 3 * SECOND);
+	cluster_run(cluster, 3 * SECOND_US);
 	from = cluster->ncalls;
 	for (int i = 0; i < 2000; i++) {
 		send_question(cluster, i % 3);
-		cluster_run(cluster, 2 * MS);
+		cluster_run(cluster, 2 * MS_US);
 	}
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	for (size_t id = from; id < cluster->ncalls; id++)
 		accepted += cluster->calls[id].status == 200;
 	/* 4 s at 50/s, and the burst. */
@@ -894,17 +894,17 @@
 {
 	uint64_t started;
 
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	cluster_find_target(cluster, "t0")->hangs = true;
-	send_load(cluster, 6 * SECOND);
+	send_load(cluster, 6 * SECOND_US);
 	started = cluster_find_target(cluster, "t0")->started;
-	send_load(cluster, 2 * SECOND);
+	send_load(cluster, 2 * SECOND_US);
 	ck_assert(cluster_find_target(cluster, "t0")->started == started);
 	for (size_t id = cluster->ncalls - 200; id < cluster->ncalls - 50; id++)
 		ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) <
 			  1e-9);
 	cluster_find_target(cluster, "t0")->hangs = false;
-	send_load(cluster, 3 * SECOND);
+	send_load(cluster, 3 * SECOND_US);
 	ck_assert(cluster_find_target(cluster, "t0")->started > started);
 }
 
@@ -914,11 +914,11 @@
 	size_t id;
 	int gate = find_gate(cluster, "t0");
 
-	send_load(cluster, SECOND);
+	send_load(cluster, SECOND_US);
 	id = send_question(cluster, (gate + 1) % 3);
 	cluster_run(cluster, cluster->latency_us * 2);
 	cluster_kill_node(cluster, gate);
-	cluster_run(cluster, SECOND);
+	cluster_run(cluster, SECOND_US);
 	ck_assert(fabs(answer_number(cluster, id, "coverage") - 1) < 1e-9);
 }
 
@@ -976,8 +976,8 @@
 	struct cluster *cluster = create_started_cluster(3);
 
 	cases[_i].fn(cluster);
-	ck_assert_msg(!cluster->fault, "%s: %s", cases[_i].name,
-		      cluster->fault);
+	ck_assert_msg(!cluster->violation, "%s: %s", cases[_i].name,
+		      cluster->violation);
 	cluster_destroy(cluster);
 }
 END_TEST
@@ -997,8 +997,8 @@
 	request_ticket(cluster, (gate + 1) % 3, ticket, sizeof(ticket));
 	send_entry(cluster, (gate + 1) % 3, ticket);
 	run_until_grant(cluster, gate);
-	cluster_pause_node(cluster, gate, 5 * SECOND);
-	cluster_run(cluster, 9 * SECOND);
+	cluster_pause_node(cluster, gate, 5 * SECOND_US);
+	cluster_run(cluster, 9 * SECOND_US);
 	ck_assert_int_eq((int)cluster_entry_runs(cluster, ENTRY), 1);
 	cluster_destroy(cluster);
 }
@@ -1014,9 +1014,9 @@
 
 		cluster->trace = &traces[n];
 		cluster_start_all(cluster);
-		send_load(cluster, 2 * SECOND);
+		send_load(cluster, 2 * SECOND_US);
 		cluster_kill_node(cluster, 1);
-		send_load(cluster, 2 * SECOND);
+		send_load(cluster, 2 * SECOND_US);
 		cluster_destroy(cluster);
 	}
 	ck_assert(traces[0].len > 1000);
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -525,15 +525,15 @@
 }
 END_TEST
 
-/** struct start - a node that is starting, and its range of retry times */
-struct start {
+/** struct start_case - a node that is starting, and its range of retry times */
+struct start_case {
 	bool store_down;
 	int64_t after_us;
 	int64_t min_us;
 	int64_t max_us;
 };
 
-static const struct start start_cases[] = {
+static const struct start_case start_cases[] = {
 	{ false, 0, 200000, 300000 },
 	{ true, 0, 200000, 300000 },
 	{ true, 2 * SECOND_US, 700000, SECOND_US },
@@ -546,23 +546,23 @@
  */
 START_TEST(test_refused_at_start)
 {
-	const struct start *start = &start_cases[_i];
+	const struct start_case *start_case = &start_cases[_i];
 	struct sim *sim = sim_create(1, 7);
 	struct sim_call *call;
 
-	sim->store_down = start->store_down;
+	sim->store_down = start_case->store_down;
 	sim_start_node(sim, 0);
-	sim_run(sim, start->after_us);
+	sim_run(sim, start_case->after_us);
 	call = &sim->calls[sim_send_call(sim, 0, SIM_MERGED)];
 	ck_assert_int_eq(call->status, 503);
-	ck_assert_int_ge(call->retry_after_us, start->min_us);
-	ck_assert_int_le(call->retry_after_us, start->max_us);
+	ck_assert_int_ge(call->retry_after_us, start_case->min_us);
+	ck_assert_int_le(call->retry_after_us, start_case->max_us);
 	sim_destroy(sim);
 }
 END_TEST
 
 /* Return: the value of the gauge @name of a node, -1 if it has none. */
-static int gauge(const struct sim *sim, int node, const char *name)
+static int read_gauge(const struct sim *sim, int node, const char *name)
 {
 	struct buf text = { 0 };
 	char key[64];
@@ -616,7 +616,7 @@
 		sim_run(sim, SECOND_US / 40);
 	}
 	for (int i = 0; i < NODES; i++) {
-		int waiting = gauge(sim, i, "waiting");
+		int waiting = read_gauge(sim, i, "waiting");
 
 		ck_assert_int_ge(waiting, 0);
 		ck_assert_int_le(waiting, 2 * ALL_SHARDS);
@@ -642,7 +642,7 @@
 	}
 	sim_run(sim, SECOND_US * 8 / 10);
 	for (int i = 0; i < SMALL_FLEET; i++)
-		ck_assert_int_eq(gauge(sim, i, "nodes"), SMALL_FLEET);
+		ck_assert_int_eq(read_gauge(sim, i, "nodes"), SMALL_FLEET);
 	sim_destroy(sim);
 }
 END_TEST
--- a/tests/mesh.c
+++ b/tests/mesh.c
@@ -71,7 +71,7 @@
 	*b = tmp;
 }
 
-static void push(struct cluster *cluster, struct delivery delivery)
+static void schedule(struct cluster *cluster, struct delivery delivery)
 {
 	size_t i = cluster->count++;
 
@@ -89,7 +89,7 @@
 	}
 }
 
-static struct delivery pop(struct cluster *cluster)
+static struct delivery pop_earliest(struct cluster *cluster)
 {
 	struct delivery first = cluster->heap[0];
 	size_t i = 0;
@@ -110,13 +110,13 @@
 	}
 }
 
-static bool chance(struct cluster *cluster, int per_mille)
+static bool random_chance(struct cluster *cluster, int per_mille)
 {
 	return per_mille && (int)rng_below(&cluster->rng, 1000) < per_mille;
 }
 
-static int64_t network_delay(struct cluster *cluster, struct str from,
-			     struct str to)
+static int64_t network_delay_us(struct cluster *cluster, struct str from,
+				struct str to)
 {
 	int64_t us = cluster->latency_us;
 
@@ -129,7 +129,7 @@
 }
 
 /* Delay between a front in a random failure domain and another process. */
-static int64_t front_network_delay(struct cluster *cluster)
+static int64_t front_network_delay_us(struct cluster *cluster)
 {
 	bool same_domain =
 		rng_below(&cluster->rng, cluster->fleet->ndomains) == 0;
@@ -137,7 +137,7 @@
 	return cluster->latency_us + (same_domain ? 0 : cluster->far_us);
 }
 
-static int node_index(const struct cluster *cluster, struct str addr)
+static int find_node(const struct cluster *cluster, struct str addr)
 {
 	for (int i = 0; i < cluster->nnodes; i++)
 		if (str_eq(addr, str_of(cluster->nodes[i].addr)))
@@ -172,16 +172,17 @@
 	request->fetched.job = request->job;
 
 	int64_t delay_us =
-		network_delay(cluster, request->target->config->domain->name,
-			      node->opt.domain);
+		network_delay_us(cluster, request->target->config->domain->name,
+				 node->opt.domain);
 
 	if (cluster->leased_permits && request->kind == FETCH_LEAF)
-		delay_us = front_network_delay(cluster);
-	push(cluster, (struct delivery){ .at = cluster->now + delay_us,
-					 .kind = DELIVER_REPLY,
-					 .node = request->node,
-					 .incarnation = request->incarnation,
-					 .id = request->number });
+		delay_us = front_network_delay_us(cluster);
+	schedule(cluster,
+		 (struct delivery){ .at = cluster->now + delay_us,
+				    .kind = DELIVER_REPLY,
+				    .node = request->node,
+				    .incarnation = request->incarnation,
+				    .id = request->number });
 }
 
 static void finish_request(struct cluster *cluster, struct request *request,
@@ -221,7 +222,7 @@
 	int64_t time = mean / 2 +
 		       (int64_t)rng_below(&cluster->rng, (uint64_t)mean + 1);
 
-	if (chance(cluster, cluster->straggle_pm))
+	if (random_chance(cluster, cluster->straggle_pm))
 		time *= cluster->straggle_factor;
 	request->running = true;
 	target->busy++;
@@ -236,9 +237,9 @@
 	}
 	if (request->kind == FETCH_ENTRY)
 		count_run(cluster, request);
-	push(cluster, (struct delivery){ .at = cluster->now + time,
-					 .kind = DELIVER_SERVICE_DONE,
-					 .id = request->number });
+	schedule(cluster, (struct delivery){ .at = cluster->now + time,
+					     .kind = DELIVER_SERVICE_DONE,
+					     .id = request->number });
 }
 
 /* A cold target over its limit crashes: all its running requests break. */
@@ -323,12 +324,12 @@
 		}
 		request->fetched.result = FETCH_TIMEOUT;
 		target->started += request->kind != FETCH_HEALTH;
-		push(cluster,
-		     (struct delivery){ .at = request->timeout_at,
-					.kind = DELIVER_REPLY,
-					.node = request->node,
-					.incarnation = request->incarnation,
-					.id = request->number });
+		schedule(cluster,
+			 (struct delivery){ .at = request->timeout_at,
+					    .kind = DELIVER_REPLY,
+					    .node = request->node,
+					    .incarnation = request->incarnation,
+					    .id = request->number });
 	} else if (request->kind == FETCH_CANCEL) {
 		cancel(cluster, target, request->node, request->job);
 		start_queued(cluster, target);
@@ -419,7 +420,8 @@
 
 /* Effects. */
 
-static void do_fetch(struct cluster *cluster, int i, const struct effect *fx)
+static void send_request(struct cluster *cluster, int i,
+			 const struct effect *fx)
 {
 	struct cluster_node *node = &cluster->nodes[i];
 	struct request *request = xcalloc(1, sizeof(*request));
@@ -446,21 +448,21 @@
 	buf_str_add(&request->body, fx->body);
 	apr_hash_set(cluster->requests, &request->number,
 		     sizeof(request->number), request);
-	int64_t delay_us = network_delay(cluster, node->opt.domain,
-					 target->config->domain->name);
+	int64_t delay_us = network_delay_us(cluster, node->opt.domain,
+					    target->config->domain->name);
 
 	if (cluster->leased_permits && request->kind == FETCH_LEAF)
-		delay_us = front_network_delay(cluster) +
-			   front_network_delay(cluster);
-	push(cluster, (struct delivery){ .at = cluster->now + delay_us,
-					 .kind = DELIVER_REQUEST,
-					 .id = request->number });
+		delay_us = front_network_delay_us(cluster) +
+			   front_network_delay_us(cluster);
+	schedule(cluster, (struct delivery){ .at = cluster->now + delay_us,
+					     .kind = DELIVER_REQUEST,
+					     .id = request->number });
 }
 
-static void do_send(struct cluster *cluster, int i, const struct effect *fx)
+static void send_msg(struct cluster *cluster, int i, const struct effect *fx)
 {
 	struct cluster_node *node = &cluster->nodes[i];
-	int to = node_index(cluster, fx->addr);
+	int to = find_node(cluster, fx->addr);
 	struct msg msg = fx->msg;
 	struct frame frame = {
 		.from = str_of(node->addr),
@@ -469,22 +471,25 @@
 		.msgs = &msg,
 		.count = 1,
 	};
-	int copies = chance(cluster, cluster->dup_pm) ? 2 : 1;
+	int copies = random_chance(cluster, cluster->dup_pm) ? 2 : 1;
 
-	if (to < 0 || cluster->cut[i][to] || chance(cluster, cluster->drop_pm))
+	if (to < 0 || cluster->links_cut[i][to] ||
+	    random_chance(cluster, cluster->drop_pm))
 		return;
 	if (!cluster->nodes[to].up) {
-		push(cluster, (struct delivery){
-				      .at = cluster->now + cluster->latency_us,
-				      .kind = DELIVER_PEER_LOST,
-				      .node = i,
-				      .incarnation = node->opt.incarnation,
-				      .from = to });
+		schedule(cluster,
+			 (struct delivery){
+				 .at = cluster->now + cluster->latency_us,
+				 .kind = DELIVER_PEER_LOST,
+				 .node = i,
+				 .incarnation = node->opt.incarnation,
+				 .from = to });
 		return;
 	}
 	while (copies--) {
-		int64_t delay_us = network_delay(cluster, node->opt.domain,
-						 cluster->nodes[to].opt.domain);
+		int64_t delay_us =
+			network_delay_us(cluster, node->opt.domain,
+					 cluster->nodes[to].opt.domain);
 
 		/* The front has the reply already, see @leased_permits. */
 		if (cluster->leased_permits && msg.kind == MSG_LEAF_REPLY)
@@ -498,24 +503,24 @@
 		};
 
 		frame_encode(&frame, &delivery.bytes);
-		push(cluster, delivery);
+		schedule(cluster, delivery);
 	}
 }
 
-static void do_read_doc(struct cluster *cluster, int i, const struct effect *fx)
+static void read_doc(struct cluster *cluster, int i, const struct effect *fx)
 {
 	struct cluster_node *node = &cluster->nodes[i];
 
-	push(cluster,
-	     (struct delivery){ .at = cluster->now + cluster->latency_us +
-				      (fx->wait_us ? fx->wait_us : 0),
-				.kind = DELIVER_DOC,
-				.node = i,
-				.incarnation = node->opt.incarnation,
-				.doc = fx->doc });
+	schedule(cluster,
+		 (struct delivery){ .at = cluster->now + cluster->latency_us +
+					  (fx->wait_us ? fx->wait_us : 0),
+				    .kind = DELIVER_DOC,
+				    .node = i,
+				    .incarnation = node->opt.incarnation,
+				    .doc = fx->doc });
 }
 
-static void do_answer(struct cluster *cluster, const struct effect *fx)
+static void record_answer(struct cluster *cluster, const struct effect *fx)
 {
 	struct cluster_call *call = &cluster->calls[fx->id];
 
@@ -534,16 +539,16 @@
 
 		switch (fx->type) {
 		case FX_SEND:
-			do_send(cluster, i, fx);
+			send_msg(cluster, i, fx);
 			break;
 		case FX_FETCH:
-			do_fetch(cluster, i, fx);
+			send_request(cluster, i, fx);
 			break;
 		case FX_READ_DOC:
-			do_read_doc(cluster, i, fx);
+			read_doc(cluster, i, fx);
 			break;
 		case FX_ANSWER:
-			do_answer(cluster, fx);
+			record_answer(cluster, fx);
 			break;
 		case FX_STOP:
 			node->stopped = true;
@@ -569,11 +574,11 @@
 	if (node->tick_at > cluster->now && node->tick_at <= at)
 		return;
 	node->tick_at = at;
-	push(cluster,
-	     (struct delivery){ .at = at,
-				.kind = DELIVER_TICK,
-				.node = i,
-				.incarnation = node->opt.incarnation });
+	schedule(cluster,
+		 (struct delivery){ .at = at,
+				    .kind = DELIVER_TICK,
+				    .node = i,
+				    .incarnation = node->opt.incarnation });
 }
 
 void cluster_deliver(struct cluster *cluster, int i, struct event event)
@@ -592,7 +597,7 @@
 
 		/* Invariant, checked after every event. */
 		if (version < node->doc_versions[kind])
-			cluster->fault = "a document's version decreased";
+			cluster->violation = "a document's version decreased";
 		node->doc_versions[kind] = version;
 	}
 	apply_effects(cluster, i);
@@ -663,7 +668,7 @@
 			buf_str_add(&delivery->bytes,
 				    platform_doc(cluster, delivery));
 		delivery->at = node->paused_until;
-		push(cluster, *delivery);
+		schedule(cluster, *delivery);
 		return true;
 	}
 	switch (delivery->kind) {
@@ -715,7 +720,7 @@
 			request_free(cluster, request);
 		} else if (cluster->now < node->paused_until) {
 			delivery->at = node->paused_until;
-			push(cluster, *delivery);
+			schedule(cluster, *delivery);
 			return true;
 		} else {
 			deliver_reply(cluster, request);
@@ -729,7 +734,7 @@
 	int64_t until = cluster->now + us;
 
 	while (cluster->count && cluster->heap[0].at <= until) {
-		struct delivery delivery = pop(cluster);
+		struct delivery delivery = pop_earliest(cluster);
 		bool requeued;
 
 		cluster->now =
@@ -814,15 +819,17 @@
 	node_destroy(node->node);
 	effects_free(&node->fx);
 	for (int j = 0; j < cluster->nnodes; j++)
-		if (j != i && cluster->nodes[j].up && !cluster->cut[i][j])
-			push(cluster,
-			     (struct delivery){
-				     .at = cluster->now + cluster->latency_us,
-				     .kind = DELIVER_PEER_LOST,
-				     .node = j,
-				     .incarnation =
-					     cluster->nodes[j].opt.incarnation,
-				     .from = i });
+		if (j != i && cluster->nodes[j].up && !cluster->links_cut[i][j])
+			schedule(
+				cluster,
+				(struct delivery){
+					.at = cluster->now +
+					      cluster->latency_us,
+					.kind = DELIVER_PEER_LOST,
+					.node = j,
+					.incarnation = cluster->nodes[j]
+							       .opt.incarnation,
+					.from = i });
 }
 
 void cluster_pause_node(struct cluster *cluster, int i, int64_t us)
@@ -832,8 +839,8 @@
 
 void cluster_set_link_cut(struct cluster *cluster, int a, int b, bool cut)
 {
-	cluster->cut[a][b] = cut;
-	cluster->cut[b][a] = cut;
+	cluster->links_cut[a][b] = cut;
+	cluster->links_cut[b][a] = cut;
 }
 
 struct cluster_target *cluster_find_target(struct cluster *cluster,
--- a/tests/mesh.h
+++ b/tests/mesh.h
@@ -97,7 +97,7 @@
 	struct buf docs[DOC_KINDS];
 	struct buf previous_docs[DOC_KINDS];
 	bool platform_down;
-	bool cut[CLUSTER_NODES_MAX][CLUSTER_NODES_MAX];
+	bool links_cut[CLUSTER_NODES_MAX][CLUSTER_NODES_MAX];
 	int64_t now;
 	int64_t latency_us; /* one way, between nodes and to targets */
 	/* Models leased permits optimistically: the gate sends the permit to a
@@ -124,7 +124,7 @@
 	apr_pool_t *pool;
 	struct cluster_call *calls;
 	size_t ncalls;
-	const char *fault; /* violated invariant, NULL if none */
+	const char *violation; /* violated invariant, NULL if none */
 	struct buf *trace; /* if set, receives a dump of all effects */
 };
 
--- a/tests/rows.c
+++ b/tests/rows.c
@@ -5,8 +5,8 @@
 
 #define ROUNDING_ERROR 2e-6
 
-static const char *row_fault(json_t *row, json_t *seen_shards,
-			     json_int_t snapshot, const char *terms)
+static const char *row_find_error(json_t *row, json_t *seen_shards,
+				  json_int_t snapshot, const char *terms)
 {
 	const char *text = json_string_value(json_object_get(row, "terms"));
 	char shard[24];
@@ -23,7 +23,7 @@
 	return NULL;
 }
 
-const char *rows_fault(json_t *doc, const char *terms)
+const char *rows_find_error(json_t *doc, const char *terms)
 {
 	json_t *rows = json_object_get(doc, "rows");
 	double merged = (double)json_array_size(rows);
@@ -33,18 +33,19 @@
 		json_integer_value(json_object_get(doc, "snapshot"));
 	double coverage = json_number_value(json_object_get(doc, "coverage"));
 	json_t *seen_shards = json_object();
-	const char *fault = NULL;
+	const char *error = NULL;
 	json_t *row;
 	size_t i;
 
 	json_array_foreach(rows, i, row)
 	{
-		if (!fault)
-			fault = row_fault(row, seen_shards, snapshot, terms);
+		if (!error)
+			error = row_find_error(row, seen_shards, snapshot,
+					       terms);
 	}
 	json_decref(seen_shards);
-	if (fault)
-		return fault;
+	if (error)
+		return error;
 	if (total < 1)
 		return "the answer covers no shard";
 	if (coverage > merged / total ||
--- a/tests/rows.h
+++ b/tests/rows.h
@@ -3,7 +3,7 @@
 #include <jansson.h>
 
 /**
- * rows_fault() - check an answer merged from the fake targets' rows
+ * rows_find_error() - check an answer merged from the fake targets' rows
  * @doc: the answer; each row names its shard, snapshot and terms
  * @terms: terms of the question
  *
@@ -13,4 +13,4 @@
  *
  * Return: description of the first fault, NULL if there is none.
  */
-const char *rows_fault(json_t *doc, const char *terms);
+const char *rows_find_error(json_t *doc, const char *terms);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -60,7 +60,7 @@
 	apply_effects(sim, node);
 }
 
-static int node_at(struct sim *sim, struct str addr)
+static int find_node(struct sim *sim, struct str addr)
 {
 	for (int i = 0; i < sim->nnodes; i++)
 		if (str_eq(addr, str_of(sim->nodes[i].addr)))
@@ -68,7 +68,7 @@
 	return -1;
 }
 
-static int64_t hop_us(struct sim *sim, int domain, int other)
+static int64_t network_delay_us(struct sim *sim, int domain, int other)
 {
 	int64_t us = domain == other ? SIM_NEAR_HOP_US : SIM_FAR_HOP_US;
 
@@ -89,7 +89,7 @@
 
 static void send_msg(struct sim *sim, int node, const struct flow_effect *fx)
 {
-	int to = node_at(sim, fx->addr);
+	int to = find_node(sim, fx->addr);
 	struct sim_event *event;
 	int64_t after;
 
@@ -103,7 +103,8 @@
 	}
 	if (sim->links_cut[node][to])
 		return;
-	after = hop_us(sim, sim->nodes[node].domain, sim->nodes[to].domain);
+	after = network_delay_us(sim, sim->nodes[node].domain,
+				 sim->nodes[to].domain);
 	event = sim_schedule(sim, ordered_delay_us(sim, node, to, after),
 			     SIM_EVENT_MSG, to);
 	event->from = node;
@@ -513,7 +514,7 @@
 		.method = kind == SIM_ONCE ? STR("POST") : STR("GET"),
 		.host = STR("h"),
 		.caller = str_of(spec->caller),
-		.time_left_us = TIMEOUT_US,
+		.time_left_us = SIM_TIMEOUT_US,
 	};
 
 	snprintf(id, sizeof(id), "%d", index + 1);
--- a/tests/sim_dialect.c
+++ b/tests/sim_dialect.c
@@ -52,7 +52,7 @@
 				 .host = STR("h"),
 				 .prefix = str_of(name),
 				 .idempotent = true,
-				 .timeout_us = TIMEOUT_US,
+				 .timeout_us = SIM_TIMEOUT_US,
 				 .goal_us = GOAL_US,
 				 .max_attempts = 2 };
 	return route;
--- a/tests/sim_dialect.h
+++ b/tests/sim_dialect.h
@@ -11,7 +11,7 @@
 
 enum {
 	/* Timeout of all routes. */
-	TIMEOUT_US = 1000000,
+	SIM_TIMEOUT_US = 1000000,
 };
 
 extern const struct dialect sim_dialect;
