--- a/bench/load.c
+++ b/bench/load.c
@@ -52,7 +52,7 @@
 	size_t cap;
 	uint64_t complete;
 	uint64_t requests;
-	uint64_t leafs;
+	uint64_t shards;
 	uint64_t hedges;
 	uint64_t broken;
 	uint64_t wrong;
@@ -101,7 +101,7 @@
 		(uint64_t)json_integer_value(json_object_get(doc, "requests"));
 	load->hedges +=
 		(uint64_t)json_integer_value(json_object_get(doc, "hedges"));
-	load->leafs += rows + missing;
+	load->shards += rows + missing;
 	if (!is_valid_answer(id, doc))
 		load->wrong++;
 }
@@ -126,7 +126,7 @@
 	json_decref(doc);
 }
 
-static void ask(struct load *load)
+static void send_question(struct load *load)
 {
 	uint64_t id = load->sent++;
 	struct buf body = { 0 };
@@ -163,7 +163,7 @@
 		double u = (double)(rng_next(&load->rng) >> 11) /
 			   (double)(1ULL << 53);
 
-		ask(load);
+		send_question(load);
 		load->next_due += -log(1 - u) / load->rate * 1e6;
 	}
 	if (load->done == load->sent && now >= (double)load->end)
@@ -237,7 +237,7 @@
 	       mean(load->coverage, n), quantile(load->coverage, n, 0.01),
 	       quantile(load->coverage, n, 0));
 	printf(",\"requests_per_leaf\":%.4f,\"hedges\":%llu",
-	       load->leafs ? (double)load->requests / (double)load->leafs : 0,
+	       load->shards ? (double)load->requests / (double)load->shards : 0,
 	       (unsigned long long)load->hedges);
 	print_kinds("refused", load->refused);
 	print_kinds("missing", load->missing);
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -35,8 +35,8 @@
 	bool direct;
 	bool leased_permits;
 	bool no_hedge;
-	int64_t fixed_us;
-	double quantile; /* of the hedge delay, 0 for the default */
+	int64_t fixed_hedge_us;
+	double hedge_quantile; /* of the hedge delay, 0 for the default */
 	bool no_admission;
 	bool no_ramp;
 	int64_t service_us;
@@ -47,12 +47,14 @@
 	int restart_every; /* every n-th target restarts */
 	int missing_snapshot_every; /* every n-th target lacks the newest
 				       snapshot */
-	bool split; /* quota: 1/n of the rate per node instead of leases */
+	bool split_quota; /* quota: 1/n of the rate per node instead of leases
+			   */
 	double plan_rate; /* questions per second, 0 for no limit */
-	int senders; /* nodes that receive questions, 0 for all */
-	bool kill; /* the last node is killed */
-	bool stop; /* the last node is stopped as planned */
-	bool kill_owner; /* the owner of the customer's bucket is killed */
+	int receiving_nodes; /* nodes that receive questions, 0 for all */
+	bool kill_node; /* the last node is killed */
+	bool stop_node; /* the last node is stopped as planned */
+	bool kill_bucket_owner; /* the owner of the customer's bucket is killed
+				 */
 };
 
 static uint64_t seed = 1;
@@ -72,11 +74,11 @@
 			&cluster->nodes[i].node->front->config;
 
 		config->hedge = !scenario->no_hedge;
-		config->hedge_fixed_us = scenario->fixed_us;
-		if (scenario->quantile > 0)
-			config->hedge_quantile = scenario->quantile;
+		config->hedge_fixed_us = scenario->fixed_hedge_us;
+		if (scenario->hedge_quantile > 0)
+			config->hedge_quantile = scenario->hedge_quantile;
 		config->admission = !scenario->no_admission;
-		if (scenario->split)
+		if (scenario->split_quota)
 			cluster->nodes[i].node->quota->policy = QUOTA_SPLIT;
 	}
 	cluster->straggle_pm = scenario->straggle_pm;
@@ -115,18 +117,19 @@
 		      int64_t us)
 {
 	int64_t end = cluster->now + us;
-	int senders = scenario->senders ? scenario->senders : NODES;
+	int receiving_nodes =
+		scenario->receiving_nodes ? scenario->receiving_nodes : NODES;
 	struct rng rng = { .seed = seed + 99 };
 
 	while (cluster->now < end) {
 		double u =
 			(double)(rng_next(&rng) >> 11) / (double)(1ULL << 53);
 
-		cluster_send_call(cluster,
-				  (int)rng_below(&rng, (uint64_t)senders),
-				  EV_ASK,
-				  "{\"customer\":\"mill\",\"request_id\":\"r\","
-				  "\"indexes\":[\"orders\"]}");
+		cluster_send_call(
+			cluster,
+			(int)rng_below(&rng, (uint64_t)receiving_nodes), EV_ASK,
+			"{\"customer\":\"mill\",\"request_id\":\"r\","
+			"\"indexes\":[\"orders\"]}");
 		cluster_run(cluster,
 			    (int64_t)(-log(1 - u) / scenario->rate * 1e6));
 	}
@@ -159,12 +162,12 @@
 static void apply_node_faults(struct cluster *cluster,
 			      const struct scenario *scenario)
 {
-	if (scenario->kill)
+	if (scenario->kill_node)
 		cluster_kill_node(cluster, NODES - 1);
-	if (scenario->stop)
+	if (scenario->stop_node)
 		cluster_deliver(cluster, NODES - 1,
 				(struct event){ .type = EV_LEAVE });
-	if (scenario->kill_owner)
+	if (scenario->kill_bucket_owner)
 		cluster_kill_node(cluster, bucket_owner(cluster));
 }
 
@@ -193,10 +196,10 @@
 static void report(struct cluster *cluster, const struct scenario *scenario,
 		   const char *part, size_t from, uint64_t before)
 {
-	size_t asked = cluster->ncalls - from;
-	double *latency = xcalloc(asked + 1, sizeof(*latency));
+	size_t sent = cluster->ncalls - from;
+	double *latency = xcalloc(sent + 1, sizeof(*latency));
 	size_t answered = 0;
-	size_t whole = 0;
+	size_t complete = 0;
 	size_t partial = 0;
 	double coverage = 0;
 	uint64_t overruns;
@@ -213,7 +216,7 @@
 		json_decref(doc);
 		coverage += share;
 		if (share >= 1)
-			whole++;
+			complete++;
 		else
 			partial++;
 		latency[answered++] =
@@ -222,7 +225,7 @@
 	qsort(latency, answered, sizeof(*latency), compare_doubles);
 	printf("{\"part\":\"%s\",\"choice\":\"%s\",\"asked\":%zu,"
 	       "\"answered\":%zu,\"whole\":%zu,\"partial\":%zu",
-	       part, scenario->name, asked, answered, whole, partial);
+	       part, scenario->name, sent, answered, complete, partial);
 	if (answered)
 		printf(",\"p50_ms\":%.2f,\"p99_ms\":%.2f,"
 		       "\"coverage_mean\":%.4f,\"requests_per_leaf\":%.4f",
@@ -233,7 +236,8 @@
 			       ((double)answered * TARGETS));
 	printf(",\"peak_cold\":%d", peak_cold(cluster, &overruns));
 	printf(",\"overruns\":%llu,\"goodput\":%.1f}\n",
-	       (unsigned long long)overruns, (double)whole / scenario->seconds);
+	       (unsigned long long)overruns,
+	       (double)complete / scenario->seconds);
 	fflush(stdout);
 	free(latency);
 }
@@ -312,37 +316,37 @@
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .fixed_us = 5 * MS_US },
+	  .fixed_hedge_us = 5 * MS_US },
 	{ .name = "fixed 10 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .fixed_us = 10 * MS_US },
+	  .fixed_hedge_us = 10 * MS_US },
 	{ .name = "fixed 20 ms",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .fixed_us = 20 * MS_US },
+	  .fixed_hedge_us = 20 * MS_US },
 	{ .name = "quantile 0.90",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .quantile = 0.90 },
+	  .hedge_quantile = 0.90 },
 	{ .name = "quantile 0.95",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .quantile = 0.95 },
+	  .hedge_quantile = 0.95 },
 	{ .name = "quantile 0.97",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .quantile = 0.97 },
+	  .hedge_quantile = 0.97 },
 	{ .name = "quantile 0.99",
 	  .rate = 60,
 	  .seconds = 15,
 	  .straggle_pm = 9,
-	  .quantile = 0.99 },
+	  .hedge_quantile = 0.99 },
 };
 
 /* Capacity of the slots: 113 * 2 / 30 ms / 113 = 66 questions per second. */
@@ -400,37 +404,40 @@
 	  .rate = 90,
 	  .seconds = 9,
 	  .plan_rate = 30,
-	  .split = true },
+	  .split_quota = true },
 	{ .name = "leases, two nodes",
 	  .rate = 90,
 	  .seconds = 9,
 	  .plan_rate = 30,
-	  .senders = 2 },
+	  .receiving_nodes = 2 },
 	{ .name = "split, two nodes",
 	  .rate = 90,
 	  .seconds = 9,
 	  .plan_rate = 30,
-	  .split = true,
-	  .senders = 2 },
+	  .split_quota = true,
+	  .receiving_nodes = 2 },
 	{ .name = "leases, owner killed",
 	  .rate = 90,
 	  .seconds = 9,
 	  .plan_rate = 30,
-	  .kill_owner = true },
+	  .kill_bucket_owner = true },
 };
 
 static const struct scenario moves[] = {
-	{ .name = "no move", .rate = 120, .seconds = 9, .senders = NODES - 1 },
+	{ .name = "no move",
+	  .rate = 120,
+	  .seconds = 9,
+	  .receiving_nodes = NODES - 1 },
 	{ .name = "gate killed",
 	  .rate = 120,
 	  .seconds = 9,
-	  .senders = NODES - 1,
-	  .kill = true },
+	  .receiving_nodes = NODES - 1,
+	  .kill_node = true },
 	{ .name = "gate stopped as planned",
 	  .rate = 120,
 	  .seconds = 9,
-	  .senders = NODES - 1,
-	  .stop = true },
+	  .receiving_nodes = NODES - 1,
+	  .stop_node = true },
 };
 
 static const struct scenario snapshots[] = {
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -46,8 +46,8 @@
 	return (double)resident * (double)sysconf(_SC_PAGESIZE);
 }
 
-/* @targets leafs; index "asked" has @asked of their shards. */
-static char *make_fleet(int targets, int asked, int vms)
+/* @targets leafs; index "asked" has @asked_shards of their shards. */
+static char *make_fleet(int targets, int asked_shards, int vms)
 {
 	struct buf out = { 0 };
 
@@ -73,8 +73,9 @@
 		buf_printf(&out,
 			   "%s{\"id\":%d,\"index\":\"%s\",\"from\":%d,"
 			   "\"to\":%d,\"replicas\":[\"t%d\",\"t%d\"]}",
-			   i ? "," : "", i + 1, i < asked ? "asked" : "rest", i,
-			   i + 1, i, (i + 1) % targets);
+			   i ? "," : "", i + 1,
+			   i < asked_shards ? "asked" : "rest", i, i + 1, i,
+			   (i + 1) % targets);
 	buf_str_add(&out, STR("]}]}"));
 	return out.ptr ? (buf_add(&out, "", 1), out.ptr) : NULL;
 }
@@ -100,20 +101,21 @@
 	struct node *node;
 	struct effects fx;
 	int64_t now;
-	uint64_t caller;
-	uint64_t leafs;
+	uint64_t last_call_id;
+	uint64_t leaf_requests;
 	uint64_t events;
 	bool withhold_replies; /* leave requests open */
 };
 
-static void feed(struct fixture *fixture, struct event event)
+static void deliver(struct fixture *fixture, struct event event)
 {
 	event.now = fixture->now;
 	fixture->events++;
 	node_reduce(fixture->node, &event, &fixture->fx);
 }
 
-static void answer_leaf(struct fixture *fixture, const struct effect *fx)
+static void reply_to_leaf_request(struct fixture *fixture,
+				  const struct effect *fx)
 {
 	struct fetch_response response = { .result = FETCH_OK,
 					   .status = 200,
@@ -124,10 +126,10 @@
 					   .load = -1,
 					   .body = STR("[{\"a\":1}]") };
 
-	fixture->leafs++;
-	feed(fixture, (struct event){ .type = EV_FETCHED,
-				      .id = fx->id,
-				      .fetch_response = &response });
+	fixture->leaf_requests++;
+	deliver(fixture, (struct event){ .type = EV_FETCHED,
+					 .id = fx->id,
+					 .fetch_response = &response });
 }
 
 static void run_effects(struct fixture *fixture)
@@ -137,7 +139,7 @@
 
 		if (fx.type == FX_FETCH && fx.fetch == FETCH_LEAF &&
 		    !fixture->withhold_replies)
-			answer_leaf(fixture, &fx);
+			reply_to_leaf_request(fixture, &fx);
 	}
 	effects_clear(&fixture->fx);
 }
@@ -146,86 +148,88 @@
 {
 	for (int64_t end = fixture->now + us; fixture->now < end;) {
 		fixture->now += 50000;
-		feed(fixture, (struct event){ .type = EV_TICK });
+		deliver(fixture, (struct event){ .type = EV_TICK });
 		run_effects(fixture);
 	}
 }
 
-static void start(struct fixture *fixture, int targets, int asked, int vms,
-		  int customers)
+static void start_node(struct fixture *fixture, int targets, int asked_shards,
+		       int vms, int customers)
 {
 	struct node_options opt = { .addr = STR("10.0.0.0:7"),
 				    .domain = STR("d0"),
 				    .incarnation = 1,
 				    .seed = 1,
 				    .max_open = 100000 };
-	char *fleet = make_fleet(targets, asked, vms);
+	char *fleet = make_fleet(targets, asked_shards, vms);
 	char *lists = make_lists(customers);
 
 	*fixture = (struct fixture){ .now = SECOND_US };
 	effects_init(&fixture->fx, NULL);
 	fixture->node = node_create(&opt, fixture->now, &fixture->fx);
 	run_effects(fixture);
-	feed(fixture, (struct event){ .type = EV_DOC,
-				      .doc = DOC_LISTS,
-				      .body = str_of(lists) });
-	feed(fixture, (struct event){ .type = EV_DOC,
-				      .doc = DOC_FLEET,
-				      .body = str_of(fleet) });
+	deliver(fixture, (struct event){ .type = EV_DOC,
+					 .doc = DOC_LISTS,
+					 .body = str_of(lists) });
+	deliver(fixture, (struct event){ .type = EV_DOC,
+					 .doc = DOC_FLEET,
+					 .body = str_of(fleet) });
 	run_effects(fixture);
 	advance_time(fixture, 4 * SECOND_US);
 	free(fleet);
 	free(lists);
 }
 
-static void stop(struct fixture *fixture)
+static void stop_node(struct fixture *fixture)
 {
 	effects_clear(&fixture->fx);
 	node_destroy(fixture->node);
 	effects_free(&fixture->fx);
 }
 
-static void ask(struct fixture *fixture)
+static void send_question(struct fixture *fixture)
 {
-	feed(fixture,
-	     (struct event){ .type = EV_ASK,
-			     .id = ++fixture->caller,
-			     .body = STR("{\"customer\":\"c0\",\"request_id\":"
-					 "\"r\",\"indexes\":[\"asked\"]}") });
+	deliver(fixture,
+		(struct event){
+			.type = EV_ASK,
+			.id = ++fixture->last_call_id,
+			.body = STR("{\"customer\":\"c0\",\"request_id\":"
+				    "\"r\",\"indexes\":[\"asked\"]}") });
 	run_effects(fixture);
 }
 
 /* Fan-out: CPU time per leaf request, events per second, and bytes per open
  * question without the allocations for effects. */
-static void bench_leafs(int asked, int targets)
+static void bench_leafs(int asked_shards, int targets)
 {
 	struct fixture fixture;
-	int rounds = 200000 / asked + 10;
+	int rounds = 200000 / asked_shards + 10;
 	double begin;
 	double spent;
 	double memory;
 
-	start(&fixture, targets, asked, 1, 1);
+	start_node(&fixture, targets, asked_shards, 1, 1);
 	for (int i = 0; i < WARMUP_QUESTIONS; i++)
-		ask(&fixture);
-	fixture.leafs = fixture.events = 0;
+		send_question(&fixture);
+	fixture.leaf_requests = fixture.events = 0;
 	begin = cpu_seconds();
 	for (int i = 0; i < rounds; i++) {
 		fixture.now += 1000;
-		ask(&fixture);
+		send_question(&fixture);
 	}
 	spent = cpu_seconds() - begin;
 	fixture.withhold_replies = true;
 	memory = resident_bytes();
 	for (int i = 0; i < OPEN_QUESTIONS; i++)
-		ask(&fixture);
+		send_question(&fixture);
 	memory = (resident_bytes() - memory) / OPEN_QUESTIONS;
 	printf("{\"bench\":\"leafs\",\"x\":%d,\"targets\":%d,"
 	       "\"ns_per_leaf\":%.0f,\"us_per_question\":%.1f,"
 	       "\"events_per_s\":%.0f,\"bytes_per_question\":%.0f}\n",
-	       asked, targets, spent * 1e9 / (double)fixture.leafs,
+	       asked_shards, targets,
+	       spent * 1e9 / (double)fixture.leaf_requests,
 	       spent * 1e6 / rounds, (double)fixture.events / spent, memory);
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 /* Targets listed in the fleet: bytes, and CPU time of a view change. */
@@ -236,7 +240,7 @@
 	double begin;
 	double spent;
 
-	start(&fixture, targets, 10, vms, 1);
+	start_node(&fixture, targets, 10, vms, 1);
 	memory = resident_bytes() - memory;
 	begin = cpu_seconds();
 	for (int i = 0; i < 20; i++) {
@@ -249,7 +253,7 @@
 	printf("{\"bench\":\"targets\",\"x\":%d,\"vms\":%d,\"bytes\":%.0f,"
 	       "\"view_change_ms\":%.3f}\n",
 	       targets, vms, memory, spent * 1e3);
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 /* VMs: CPU time and bytes on the wire per period of all-to-all heartbeats. */
@@ -268,7 +272,7 @@
 	int rounds = 2000 / vms + 5;
 	double spent;
 
-	start(&fixture, 10, 10, vms, 1);
+	start_node(&fixture, 10, 10, vms, 1);
 	frame_encode(&(struct frame){ .from = STR("10.0.0.0:7"),
 				      .from_incarnation = 1ULL << 60,
 				      .msgs = &msg,
@@ -294,13 +298,13 @@
 			/* Receiving costs a decode, sending an encode. */
 			if (frame_decode(buf_str(&bytes), &frame, &err) > 0)
 				frame_free(&frame);
-			feed(&fixture,
-			     (struct event){ .type = EV_MSG,
-					     .from = str_of(addr),
-					     .incarnation = 1ULL << 60,
-					     .msg = &msg });
+			deliver(&fixture,
+				(struct event){ .type = EV_MSG,
+						.from = str_of(addr),
+						.incarnation = 1ULL << 60,
+						.msg = &msg });
 		}
-		feed(&fixture, (struct event){ .type = EV_TICK });
+		deliver(&fixture, (struct event){ .type = EV_TICK });
 		for (size_t i = 0; i < fixture.fx.count; i++) {
 			struct buf out = { 0 };
 			struct frame frame = {
@@ -324,7 +328,7 @@
 	       bytes.len,
 	       (double)bytes.len * (vms - 1) * SECOND_US / HEARTBEAT_PERIOD_US);
 	buf_free(&bytes);
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 /* A node starts in the largest fleet: heartbeats of all others arrive within a
@@ -337,23 +341,23 @@
 			   .name = STR("d3") };
 	double spent;
 
-	start(&fixture, 5600, 10, vms, 1);
+	start_node(&fixture, 5600, 10, vms, 1);
 	spent = cpu_seconds();
 	for (int i = 1; i < vms; i++) {
 		char addr[32];
 
 		fixture.now += SECOND_US / vms;
 		snprintf(addr, sizeof(addr), "10.0.%d.%d:7", i / 250, i % 250);
-		feed(&fixture, (struct event){ .type = EV_MSG,
-					       .from = str_of(addr),
-					       .incarnation = 1,
-					       .msg = &msg });
+		deliver(&fixture, (struct event){ .type = EV_MSG,
+						  .from = str_of(addr),
+						  .incarnation = 1,
+						  .msg = &msg });
 		effects_clear(&fixture.fx);
 	}
 	printf("{\"bench\":\"joins\",\"x\":%d,\"targets\":5600,"
 	       "\"cpu_ms\":%.1f}\n",
 	       vms, (cpu_seconds() - spent) * 1e3);
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 /* Documents: size, CPU time to parse and memory of a fleet document. */
@@ -380,7 +384,7 @@
 	struct fixture fixture;
 	double memory;
 
-	start(&fixture, 10, 10, 1, customers);
+	start_node(&fixture, 10, 10, 1, customers);
 	memory = resident_bytes();
 	for (int i = 0; i < customers; i++) {
 		char body[120];
@@ -389,15 +393,15 @@
 			 "{\"customer\":\"c%d\",\"request_id\":\"r\","
 			 "\"indexes\":[\"asked\"]}",
 			 i);
-		feed(&fixture, (struct event){ .type = EV_ASK,
-					       .id = ++fixture.caller,
-					       .body = str_of(body) });
+		deliver(&fixture, (struct event){ .type = EV_ASK,
+						  .id = ++fixture.last_call_id,
+						  .body = str_of(body) });
 		run_effects(&fixture);
 	}
 	memory = resident_bytes() - memory;
 	printf("{\"bench\":\"customers\",\"x\":%d,\"bytes\":%.0f}\n", customers,
 	       memory);
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 /* Resident memory over a long run; with valgrind, allocations per leaf. */
@@ -405,18 +409,18 @@
 {
 	struct fixture fixture;
 
-	start(&fixture, 260, 260, 1, 1);
+	start_node(&fixture, 260, 260, 1, 1);
 	for (int step = 0; step < 6; step++) {
 		for (int i = 0; i < questions; i++) {
 			fixture.now += 2000;
-			ask(&fixture);
+			send_question(&fixture);
 		}
 		printf("{\"bench\":\"growth\",\"leafs\":%llu,"
 		       "\"resident_kb\":%.0f}\n",
-		       (unsigned long long)fixture.leafs,
+		       (unsigned long long)fixture.leaf_requests,
 		       resident_bytes() / 1024);
 	}
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 /* Bytes of the records of concluded entries. */
@@ -425,17 +429,17 @@
 	struct fixture fixture;
 	double memory;
 
-	start(&fixture, 10, 10, 1, 1);
+	start_node(&fixture, 10, 10, 1, 1);
 	memory = resident_bytes();
 	for (int i = 0; i < records; i++) {
 		char body[400];
 		char ticket[160] = "";
 
-		feed(&fixture,
-		     (struct event){ .type = EV_TICKET,
-				     .id = ++fixture.caller,
-				     .body = STR("{\"customer\":\"c0\","
-						 "\"request_id\":\"r\"}") });
+		deliver(&fixture,
+			(struct event){ .type = EV_TICKET,
+					.id = ++fixture.last_call_id,
+					.body = STR("{\"customer\":\"c0\","
+						    "\"request_id\":\"r\"}") });
 		for (size_t n = 0; n < fixture.fx.count; n++) {
 			struct str answer = fixture.fx.list[n].body;
 			const char *at =
@@ -451,9 +455,9 @@
 			 "\"ticket\":\"%s\",\"index\":\"rest\","
 			 "\"key\":1,\"entry\":{\"tubes\":40}}",
 			 ticket);
-		feed(&fixture, (struct event){ .type = EV_ENTRY,
-					       .id = ++fixture.caller,
-					       .body = str_of(body) });
+		deliver(&fixture, (struct event){ .type = EV_ENTRY,
+						  .id = ++fixture.last_call_id,
+						  .body = str_of(body) });
 		run_effects(&fixture);
 	}
 	memory = resident_bytes() - memory;
@@ -461,7 +465,7 @@
 	       "\"not_run\":%llu}\n",
 	       records, memory,
 	       (unsigned long long)fixture.node->counters[CNT_ENTRIES_NOT_RUN]);
-	stop(&fixture);
+	stop_node(&fixture);
 }
 
 int main(int argc, char **argv)
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -62,8 +62,9 @@
 	flow_effects_free(&node_copy->fx);
 }
 
-/* A configuration with @routes routes; @more is added to each of them. */
-static struct str config_text(int version, int routes, const char *more)
+/* A configuration with @routes routes; @extra_fields is added to each of them.
+ */
+static struct str config_text(int version, int routes, const char *extra_fields)
 {
 	struct buf text = { 0 };
 	struct str out;
@@ -74,7 +75,7 @@
 			   "%s{\"name\":\"r%d\",\"host\":\"h.example\","
 			   "\"prefix\":\"/r%d/\",\"kind\":\"idempotent\","
 			   "\"timeout_ms\":1200,\"service\":\"s\"%s}",
-			   i ? "," : "", i, i, more);
+			   i ? "," : "", i, i, extra_fields);
 	buf_printf(&text, "],\"services\":[{\"name\":\"s\","
 			  "\"health_path\":\"/health\",\"max_conns\":9}]}");
 	out = str_dup(pool, buf_str(&text));
@@ -83,8 +84,8 @@
 	return out;
 }
 
-static void publish(struct node_copy *node_copy, struct str text,
-		    uint64_t revision)
+static void apply_config(struct node_copy *node_copy, struct str text,
+			 uint64_t revision)
 {
 	struct store_item item = { .key = STR("op/config"),
 				   .value = text,
@@ -132,8 +133,8 @@
 	struct node_copy *other = node_copy_create();
 	char last[16];
 
-	publish(reader, config_text(1, 1, ""), 1);
-	publish(reader, config_text(2, routes, ""), 2);
+	apply_config(reader, config_text(1, 1, ""), 1);
+	apply_config(reader, config_text(2, routes, ""), 2);
 	send_copy(reader, other);
 	ck_assert_uint_eq(reader->dir.catalog->version, 2);
 	ck_assert_uint_eq(other->dir.catalog->version, 2);
@@ -146,7 +147,7 @@
 END_TEST
 
 /* Further fields of a route, all accepted by the store. */
-static const char *const route_texts[] = {
+static const char *const extra_route_fields[] = {
 	",\"max_attempts\":1000",
 	",\"max_attempts\":0",
 	",\"priority\":100000",
@@ -166,8 +167,8 @@
 {
 	struct node_copy *node_copy = node_copy_create();
 
-	publish(node_copy, config_text(1, 1, ""), 1);
-	publish(node_copy, config_text(2, 3, route_texts[_i]), 2);
+	apply_config(node_copy, config_text(1, 1, ""), 1);
+	apply_config(node_copy, config_text(2, 3, extra_route_fields[_i]), 2);
 	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
 	ck_assert_uint_eq(node_copy->dir.catalog->nroutes, 3);
 	node_copy_destroy(node_copy);
@@ -186,8 +187,8 @@
 		   "{\"name\":\"r\",\"host\":\"h\",\"service\":\"s\","
 		   "\"kind\":\"idempotent\",\"prefix\":\"/%0*d/\"}]}",
 		   4000, 7);
-	publish(node_copy, config_text(1, 1, ""), 1);
-	publish(node_copy, buf_str(&text), 2);
+	apply_config(node_copy, config_text(1, 1, ""), 1);
+	apply_config(node_copy, buf_str(&text), 2);
 	ck_assert_uint_eq(node_copy->dir.catalog->version, 2);
 	path = node_copy->dir.catalog->routes[0].prefix;
 	ck_assert_uint_eq(path.len, 4002);
@@ -271,8 +272,8 @@
 {
 	struct node_copy *node_copy = node_copy_create();
 
-	publish(node_copy, config_text(3, 1, ""), 1);
-	publish(node_copy, config_text(2, 1, ""), 2);
+	apply_config(node_copy, config_text(3, 1, ""), 1);
+	apply_config(node_copy, config_text(2, 1, ""), 2);
 	ck_assert_uint_eq(node_copy->dir.catalog->version, 3);
 	ck_assert_uint_eq(node_copy->fx.count, 2);
 	ck_assert_ptr_nonnull(
@@ -288,8 +289,8 @@
 	struct node_copy *node_copy = node_copy_create();
 	bool logged = false;
 
-	publish(node_copy, config_text(1, 1, ""), 1);
-	publish(node_copy, STR("{\"version\":2"), 2);
+	apply_config(node_copy, config_text(1, 1, ""), 1);
+	apply_config(node_copy, STR("{\"version\":2"), 2);
 	for (size_t i = 0; i < node_copy->fx.count; i++)
 		logged = logged || node_copy->fx.list[i].severe;
 	ck_assert(logged);
@@ -305,8 +306,8 @@
 
 /** struct corruption - corruption of a packed list */
 struct corruption {
-	int at; /* changed byte, from the end if negative; 0: none */
-	int cut; /* bytes cut off at the end */
+	int offset; /* changed byte, from the end if negative; 0: none */
+	int truncated_bytes; /* bytes cut off at the end */
 };
 
 static const struct corruption corruptions[] = {
@@ -323,16 +324,17 @@
 	struct store_item *items;
 	size_t count;
 
-	publish(node_copy, config_text(1, 1400, ""), 1);
+	apply_config(node_copy, config_text(1, 1400, ""), 1);
 	directory_encode(&node_copy->dir, 0, &body);
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count), 0);
 	ck_assert_uint_eq(count, 1);
-	if (corruption->at)
-		body.ptr[corruption->at > 0
-				 ? (size_t)corruption->at
-				 : body.len - (size_t)-corruption->at] ^= 85;
-	body.len -= (size_t)corruption->cut;
+	if (corruption->offset)
+		body.ptr[corruption->offset > 0
+				 ? (size_t)corruption->offset
+				 : body.len - (size_t)-corruption->offset] ^=
+			85;
+	body.len -= (size_t)corruption->truncated_bytes;
 	ck_assert_int_eq(
 		payload_decode_items(buf_str(&body), pool, &items, &count),
 		ERR_FRAME);
@@ -350,7 +352,7 @@
 	tcase_add_loop_test(tcase, test_published_configuration_is_in_force, 0,
 			    COUNT(route_counts));
 	tcase_add_loop_test(tcase, test_out_of_range_route_is_in_force, 0,
-			    COUNT(route_texts));
+			    COUNT(extra_route_fields));
 	tcase_add_test(tcase, test_long_names);
 	tcase_add_test(tcase, test_changes_too_large);
 	tcase_add_test(tcase, test_older_version_is_ignored);
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -43,7 +43,7 @@
 struct merge_case {
 	size_t cap;
 	const char *bodies[3];
-	const char *want;
+	const char *expected;
 };
 
 #define TEN(letter) \
@@ -87,9 +87,9 @@
 	for (int i = 0; i < 3 && c->bodies[i]; i++)
 		records_merge(&records, make_body(c->bodies[i]));
 	got = records_str(&records);
-	ck_assert_uint_eq(got.len, strlen(c->want) * RECORD_SIZE);
-	for (size_t i = 0; i < strlen(c->want); i++)
-		ck_assert_int_eq(got.ptr[i * RECORD_SIZE], c->want[i]);
+	ck_assert_uint_eq(got.len, strlen(c->expected) * RECORD_SIZE);
+	for (size_t i = 0; i < strlen(c->expected); i++)
+		ck_assert_int_eq(got.ptr[i * RECORD_SIZE], c->expected[i]);
 }
 END_TEST
 
@@ -229,8 +229,8 @@
 	REJECTS_A = 16, /* a rejects its requests */
 	DOWN_A = 32, /* a refuses connections */
 	LEAVING_A = 64, /* a's entry is marked as leaving */
-	GONE_A = 128, /* a's entry is deleted */
-	GONE_IN_STORE_OUTAGE_A = 256, /* deleted while the store was lost */
+	UNPUBLISHED_A = 128, /* a's entry is deleted */
+	UNPUBLISHED_IN_OUTAGE_A = 256, /* deleted while the store was lost */
 	OUT_A = 512, /* a's domain is taken out of service */
 	TRIED_A = 1024,
 	TRIED_B = 2048,
@@ -239,7 +239,7 @@
 
 struct choose_case {
 	int conditions;
-	const char *want; /* "a", "b", or "" for none */
+	const char *expected; /* "a", "b", or "" for none */
 };
 
 static const struct choose_case choose_cases[] = {
@@ -252,8 +252,8 @@
 	{ FAR_B | REJECTS_A, "b" },
 	{ FAR_B | DOWN_A, "b" },
 	{ FAR_B | LEAVING_A, "b" },
-	{ FAR_B | GONE_A, "b" },
-	{ FAR_B | GONE_IN_STORE_OUTAGE_A, "a" },
+	{ FAR_B | UNPUBLISHED_A, "b" },
+	{ FAR_B | UNPUBLISHED_IN_OUTAGE_A, "a" },
 	{ FAR_B | OUT_A, "b" },
 	{ FAR_B | TRIED_A, "b" },
 	{ FAR_B | TRIED_A | TRIED_B, "" },
@@ -262,7 +262,7 @@
 	{ FAR_B | TRIED_B | LEAVING_A, "" },
 };
 
-static struct target_entry entry(const char *id, const char *domain)
+static struct target_entry make_entry(const char *id, const char *domain)
 {
 	return (struct target_entry){ .id = str_of(id),
 				      .service = 5,
@@ -271,7 +271,8 @@
 				      .slots = 2 };
 }
 
-static struct live_target *find(struct balancer *balancer, const char *id)
+static struct live_target *find_target(struct balancer *balancer,
+				       const char *id)
 {
 	struct live_target *target = balancer_first(balancer, 5);
 
@@ -280,10 +281,10 @@
 	return target;
 }
 
-static void reply(struct balancer *balancer, enum target_reply what, int64_t us,
-		  int64_t now)
+static void add_replies(struct balancer *balancer, enum target_reply what,
+			int64_t us, int64_t now)
 {
-	struct live_target *a = find(balancer, "a");
+	struct live_target *a = find_target(balancer, "a");
 
 	for (int i = 0; i < 5; i++) {
 		target_health_on_send(a, BASELINE_US, now - us);
@@ -295,29 +296,31 @@
 static void apply_conditions(struct balancer *balancer, int conditions,
 			     int64_t now)
 {
-	struct target_entry leaving = entry("a", "here");
+	struct target_entry leaving = make_entry("a", "here");
 
 	leaving.leaving = true;
 	if (conditions & BUSY_A) {
-		target_health_on_send(find(balancer, "a"), BASELINE_US, now);
-		target_health_on_send(find(balancer, "a"), BASELINE_US, now);
+		target_health_on_send(find_target(balancer, "a"), BASELINE_US,
+				      now);
+		target_health_on_send(find_target(balancer, "a"), BASELINE_US,
+				      now);
 	}
 	if (conditions & OVERDUE_A)
-		target_health_on_send(find(balancer, "a"), BASELINE_US,
+		target_health_on_send(find_target(balancer, "a"), BASELINE_US,
 				      now - 50000);
 	if (conditions & SLOW_A)
-		reply(balancer, REPLY_GOOD, 200000, now);
+		add_replies(balancer, REPLY_GOOD, 200000, now);
 	if (conditions & SLOW_LONG_AGO_A)
-		reply(balancer, REPLY_GOOD, 200000, now - 6 * SECOND_US);
+		add_replies(balancer, REPLY_GOOD, 200000, now - 6 * SECOND_US);
 	if (conditions & REJECTS_A)
-		reply(balancer, REPLY_REJECTED, 1000, now - 20000);
+		add_replies(balancer, REPLY_REJECTED, 1000, now - 20000);
 	if (conditions & DOWN_A)
-		reply(balancer, REPLY_DOWN, 1000, now);
+		add_replies(balancer, REPLY_DOWN, 1000, now);
 	if (conditions & LEAVING_A)
 		balancer_put(balancer, &leaving, now);
-	if (conditions & GONE_IN_STORE_OUTAGE_A)
+	if (conditions & UNPUBLISHED_IN_OUTAGE_A)
 		balancer_on_store_lost(balancer, now - SECOND_US);
-	if (conditions & (GONE_A | GONE_IN_STORE_OUTAGE_A))
+	if (conditions & (UNPUBLISHED_A | UNPUBLISHED_IN_OUTAGE_A))
 		balancer_unpublish(balancer, STR("a"), now - SECOND_US / 2);
 	if (conditions & OUT_A)
 		balancer_set_domain(balancer, STR("here"), true);
@@ -327,9 +330,9 @@
 {
 	const struct choose_case *c = &choose_cases[_i];
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
+	struct target_entry a = make_entry("a", "here");
 	struct target_entry b =
-		entry("b", c->conditions & FAR_B ? "there" : "here");
+		make_entry("b", c->conditions & FAR_B ? "there" : "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	uint64_t tried[2];
 	struct target_query target_query = { .service = 5,
@@ -346,9 +349,9 @@
 	if (c->conditions & TRIED_B)
 		tried[target_query.nexcluded++] = str_hash(STR("b"));
 	got = balancer_choose(balancer, &target_query);
-	if (*c->want) {
+	if (*c->expected) {
 		ck_assert_ptr_nonnull(got);
-		ck_assert(str_eq(got->id, str_of(c->want)));
+		ck_assert(str_eq(got->id, str_of(c->expected)));
 	} else {
 		ck_assert_ptr_null(got);
 	}
@@ -363,21 +366,21 @@
 START_TEST(test_target_restart)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
+	struct target_entry a = make_entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 
 	a.born_ms = 1;
 	balancer_put(balancer, &a, now);
-	reply(balancer, REPLY_DOWN, 1000, now);
+	add_replies(balancer, REPLY_DOWN, 1000, now);
 	balancer_unpublish(balancer, STR("a"), now);
-	ck_assert_int_ne(
-		balancer_availability(balancer, find(balancer, "a"), now),
-		AVAIL_OK);
+	ck_assert_int_ne(balancer_availability(balancer,
+					       find_target(balancer, "a"), now),
+			 AVAIL_OK);
 	a.born_ms = 2;
 	balancer_put(balancer, &a, now);
-	ck_assert_int_eq(
-		balancer_availability(balancer, find(balancer, "a"), now),
-		AVAIL_OK);
+	ck_assert_int_eq(balancer_availability(balancer,
+					       find_target(balancer, "a"), now),
+			 AVAIL_OK);
 	balancer_destroy(balancer);
 }
 END_TEST
@@ -387,11 +390,11 @@
  * one gets the requests. The silent one is retried after some seconds, or it
  * would never be used again, and preferred once it has replied.
  */
-START_TEST(test_silent_target)
+START_TEST(test_hanging_target)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
-	struct target_entry b = entry("b", "there");
+	struct target_entry a = make_entry("a", "here");
+	struct target_entry b = make_entry("b", "there");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct target_query target_query = { .service = 5,
 					     .baseline_us = BASELINE_US };
@@ -399,19 +402,19 @@
 
 	balancer_put(balancer, &a, now);
 	balancer_put(balancer, &b, now);
-	target = find(balancer, "a");
+	target = find_target(balancer, "a");
 	for (int i = 0; i < 3; i++) {
 		target_health_on_send(target, BASELINE_US, now);
 		now += 150000;
 		target_query.now = now;
 		ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
-				 find(balancer, "b"));
+				 find_target(balancer, "b"));
 		balancer_on_reply(balancer, target, REPLY_CANCELLED,
 				  BASELINE_US, now - 150000, now);
 	}
 	target_query.now = now + 500000;
 	ck_assert_ptr_eq(balancer_choose(balancer, &target_query),
-			 find(balancer, "b"));
+			 find_target(balancer, "b"));
 	target_query.now = now + 10 * (int64_t)SECOND_US;
 	ck_assert_ptr_eq(balancer_choose(balancer, &target_query), target);
 	for (int i = 0; i < 10; i++) {
@@ -433,12 +436,12 @@
 START_TEST(test_two_request_kinds)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
+	struct target_entry a = make_entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
 	balancer_put(balancer, &a, now);
-	target = find(balancer, "a");
+	target = find_target(balancer, "a");
 	for (int i = 0; i < 30; i++) {
 		target_health_on_send(target, 3 * BASELINE_US, now);
 		now += 6 * BASELINE_US;
@@ -518,8 +521,8 @@
 	struct flow_reply failed = { .result = FETCH_BROKEN };
 	struct flow_request request = { .request_id = STR("r") };
 	struct part part = { .service = 5 };
-	struct target_entry a = entry("a", "here");
-	struct target_entry b = entry("b", "there");
+	struct target_entry a = make_entry("a", "here");
+	struct target_entry b = make_entry("b", "there");
 	struct flow_effects fx;
 	struct decision_log dlog = { .fx = &fx };
 	struct poison poison;
@@ -564,7 +567,7 @@
 struct peer_item_case {
 	const char *name;
 	uint64_t revision;
-	bool taken;
+	bool accepted;
 };
 
 static const struct peer_item_case peer_item_cases[] = {
@@ -598,7 +601,7 @@
 	directory_init(&dir, pool, &platform_dialect, balancer, &dlog);
 	dir.revision = 50;
 	directory_merge(&dir, &item, 1, SECOND_US);
-	ck_assert_msg(balancer_count(balancer) == c->taken, "%s", c->name);
+	ck_assert_msg(balancer_count(balancer) == c->accepted, "%s", c->name);
 	directory_destroy(&dir);
 	balancer_destroy(balancer);
 	flow_effects_free(&fx);
@@ -642,18 +645,20 @@
 START_TEST(test_address_reused)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
+	struct target_entry a = make_entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 
 	balancer_put(balancer, &a, now);
-	reply(balancer, REPLY_WRONG_TARGET, 1000, now);
+	add_replies(balancer, REPLY_WRONG_TARGET, 1000, now);
 	balancer_put(balancer, &a, now + SECOND_US);
-	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
+	ck_assert_int_eq(balancer_availability(balancer,
+					       find_target(balancer, "a"),
 					       now + SECOND_US),
 			 AVAIL_LEAVING);
 	a.addr = STR("10.0.0.2:1");
 	balancer_put(balancer, &a, now + SECOND_US);
-	ck_assert_int_eq(balancer_availability(balancer, find(balancer, "a"),
+	ck_assert_int_eq(balancer_availability(balancer,
+					       find_target(balancer, "a"),
 					       now + SECOND_US),
 			 AVAIL_OK);
 	balancer_destroy(balancer);
@@ -667,12 +672,12 @@
 START_TEST(test_unpublished_target_is_removed)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
+	struct target_entry a = make_entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
 	balancer_put(balancer, &a, now);
-	target = find(balancer, "a");
+	target = find_target(balancer, "a");
 	target_health_on_send(target, BASELINE_US, now);
 	balancer_unpublish(balancer, STR("a"), now);
 	balancer_remove_expired(balancer, now + 40 * (int64_t)SECOND_US);
@@ -694,14 +699,14 @@
 START_TEST(test_cold_target)
 {
 	struct balancer *balancer = balancer_create(pool, STR("here"), 0);
-	struct target_entry a = entry("a", "here");
+	struct target_entry a = make_entry("a", "here");
 	int64_t now = 100 * (int64_t)SECOND_US;
 	struct live_target *target;
 
 	a.cold_us = 3 * SECOND_US;
 	balancer_put(balancer, &a, now);
 	balancer_set_cold_limit(balancer, 5, 2);
-	target = find(balancer, "a");
+	target = find_target(balancer, "a");
 	for (int i = 0; i < 2; i++) {
 		ck_assert_int_eq(balancer_availability(balancer, target, now),
 				 AVAIL_OK);
@@ -741,9 +746,9 @@
 {
 	const struct conn_limit_case *c = &conn_limit_cases[_i];
 	int far = c->nodes - c->near;
-	struct conn_limit bound =
+	struct conn_limit limits =
 		directory_conn_limits(c->max_conns, c->near, far);
-	int all = c->near * bound.near + far * bound.far;
+	int all = c->near * limits.near + far * limits.far;
 
 	ck_assert_int_gt(all, 0);
 	ck_assert_int_le(2 * all, c->max_conns);
@@ -758,7 +763,7 @@
 	const char *value;
 	int status;
 	bool not_run;
-	bool other;
+	bool wrong_target;
 	bool encoded;
 	int64_t cold_us;
 	int running;
@@ -791,7 +796,7 @@
 
 	head_reply(&platform_dialect, &raw, &got, &lines);
 	ck_assert_int_eq(got.not_run, c->not_run);
-	ck_assert_int_eq(got.wrong_target, c->other);
+	ck_assert_int_eq(got.wrong_target, c->wrong_target);
 	ck_assert_int_eq(got.encoded, c->encoded);
 	ck_assert_int_eq(got.cold_us, c->cold_us);
 	ck_assert_int_eq(got.running, c->running);
@@ -799,12 +804,12 @@
 }
 END_TEST
 
-struct keep_case {
+struct header_case {
 	const char *name;
-	bool keep;
+	bool forwarded;
 };
 
-static const struct keep_case keep_cases[] = {
+static const struct header_case header_cases[] = {
 	{ "Accept", true },	      { "X-Own", true },
 	{ "Content-Type", true },     { "connection", false },
 	{ "Keep-Alive", false },      { "Transfer-Encoding", false },
@@ -814,11 +819,11 @@
 };
 
 /* Hop-by-hop headers, and those that are rewritten, must not be forwarded. */
-START_TEST(test_kept_headers)
+START_TEST(test_forwarded_headers)
 {
 	head_dialect(&platform_dialect);
-	ck_assert_int_eq(head_keep(str_of(keep_cases[_i].name)),
-			 keep_cases[_i].keep);
+	ck_assert_int_eq(head_keep(str_of(header_cases[_i].name)),
+			 header_cases[_i].forwarded);
 }
 END_TEST
 
@@ -852,7 +857,7 @@
 	tcase_add_test(tcase, test_configuration);
 	tcase_add_loop_test(tcase, test_choose, 0, COUNT(choose_cases));
 	tcase_add_test(tcase, test_target_restart);
-	tcase_add_test(tcase, test_silent_target);
+	tcase_add_test(tcase, test_hanging_target);
 	tcase_add_test(tcase, test_two_request_kinds);
 	tcase_add_test(tcase, test_queue_place_lost_after_send);
 	tcase_add_loop_test(tcase, test_stale_items_from_peer, 0,
@@ -867,7 +872,8 @@
 	tcase_add_loop_test(tcase, test_conn_limits_after_restart, 0,
 			    COUNT(conn_limit_cases));
 	tcase_add_loop_test(tcase, test_reply_head, 0, COUNT(reply_cases));
-	tcase_add_loop_test(tcase, test_kept_headers, 0, COUNT(keep_cases));
+	tcase_add_loop_test(tcase, test_forwarded_headers, 0,
+			    COUNT(header_cases));
 	tcase_add_loop_test(tcase, test_time_left, 0, COUNT(time_cases));
 }
 
--- a/tests/check_peer.c
+++ b/tests/check_peer.c
@@ -17,13 +17,13 @@
 
 enum {
 	/* The kernel queues one connection more than the backlog. */
-	FILLERS = 2,
+	BACKLOG_CONNS = 2,
 	/* Less than a second, after which the kernel retransmits a lost SYN. */
 	DELIVERED_US = 800000,
 	PEER_DOWN_US = 300000,
 	STEP_US = 50000,
 	MIB = 1024 * 1024,
-	ROUND_US = 2000000,
+	BURST_TIMEOUT_US = 2000000,
 };
 
 /** struct fixture - a node, and a listening socket in place of its peer */
@@ -32,9 +32,9 @@
 	struct loop *loop;
 	struct peers *peers;
 	int fd;
-	int fillers[FILLERS];
+	int backlog_conns[BACKLOG_CONNS];
 	char addr[32];
-	char own[32];
+	char own_addr[32];
 	int peers_lost;
 	int bad_frames;
 	size_t received;
@@ -63,7 +63,7 @@
 	fixture->bad_frames++;
 }
 
-static void on_round(void *ctx)
+static void flush_peers(void *ctx)
 {
 	struct fixture *fixture = ctx;
 
@@ -99,26 +99,26 @@
 	*fixture = (struct fixture){ 0 };
 	apr_pool_create(&fixture->pool, NULL);
 	fixture->loop = loop_create(fixture->pool);
-	get_free_addr(fixture->own, sizeof(fixture->own));
+	get_free_addr(fixture->own_addr, sizeof(fixture->own_addr));
 	fixture->peers =
-		peers_create(fixture->loop, str_of(fixture->own), 7,
+		peers_create(fixture->loop, str_of(fixture->own_addr), 7,
 			     (struct peer_handler){ on_frame, on_lost,
 						    on_bad_frame, fixture },
 			     &err);
 	ck_assert_ptr_nonnull(fixture->peers);
 	loop_hook(fixture->loop,
-		  (struct loop_hook){ on_round, wait_us, fixture });
+		  (struct loop_hook){ flush_peers, wait_us, fixture });
 	fixture->fd = socket(AF_INET, SOCK_STREAM, 0);
 	inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
 	ck_assert(!bind(fixture->fd, (struct sockaddr *)&sin, sizeof(sin)));
-	ck_assert(!listen(fixture->fd, FILLERS - 1));
+	ck_assert(!listen(fixture->fd, BACKLOG_CONNS - 1));
 	getsockname(fixture->fd, (struct sockaddr *)&sin, &len);
 	snprintf(fixture->addr, sizeof(fixture->addr), "127.0.0.1:%d",
 		 ntohs(sin.sin_port));
-	for (int i = 0; i < FILLERS; i++) {
-		fixture->fillers[i] = socket(AF_INET, SOCK_STREAM, 0);
-		ck_assert(!connect(fixture->fillers[i], (struct sockaddr *)&sin,
-				   sizeof(sin)));
+	for (int i = 0; i < BACKLOG_CONNS; i++) {
+		fixture->backlog_conns[i] = socket(AF_INET, SOCK_STREAM, 0);
+		ck_assert(!connect(fixture->backlog_conns[i],
+				   (struct sockaddr *)&sin, sizeof(sin)));
 	}
 }
 
@@ -127,8 +127,8 @@
 	peers_destroy(fixture->peers);
 	loop_destroy(fixture->loop);
 	close(fixture->fd);
-	for (int i = 0; i < FILLERS; i++)
-		close(fixture->fillers[i]);
+	for (int i = 0; i < BACKLOG_CONNS; i++)
+		close(fixture->backlog_conns[i]);
 	apr_pool_destroy(fixture->pool);
 }
 
@@ -180,7 +180,7 @@
 	send_msg(&fixture);
 	run(&fixture, PEER_DOWN_US);
 	/* The peer accepts connections from now on. */
-	for (int i = 0; i < FILLERS; i++)
+	for (int i = 0; i < BACKLOG_CONNS; i++)
 		close(accept(fixture.fd, NULL, NULL));
 	fcntl(fixture.fd, F_SETFL, O_NONBLOCK);
 	until = loop_now() + DELIVERED_US - PEER_DOWN_US;
@@ -221,11 +221,11 @@
 	char *bytes = calloc(1, size);
 	struct msg msg = { .kind = MSG_GOSSIP, .body = { bytes, size } };
 	struct fixture fixture;
-	int64_t until = loop_now() + ROUND_US;
+	int64_t until = loop_now() + BURST_TIMEOUT_US;
 
 	setup(&fixture);
 	for (size_t i = 0; i < count; i++)
-		peers_send(fixture.peers, str_of(fixture.own), 0, &msg);
+		peers_send(fixture.peers, str_of(fixture.own_addr), 0, &msg);
 	while (fixture.received < count && !fixture.bad_frames &&
 	       loop_now() < until)
 		loop_step(fixture.loop);
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -13,7 +13,7 @@
 /** struct input - a text, and a part of its error (NULL: valid) */
 struct input {
 	const char *text;
-	const char *names;
+	const char *expected_error;
 };
 
 static apr_pool_t *pool;
@@ -28,16 +28,17 @@
 	apr_pool_destroy(pool);
 }
 
-static void check_error(const struct input *in, int code, int want,
+static void check_error(const struct input *in, int code, int expected_code,
 			const struct error *err)
 {
-	if (!in->names) {
+	if (!in->expected_error) {
 		ck_assert_msg(!code, "%s", err->text);
 		return;
 	}
-	ck_assert_int_eq(code, want);
-	ck_assert_msg(strstr(err->text, in->names) != NULL,
-		      "\"%s\" does not name \"%s\"", err->text, in->names);
+	ck_assert_int_eq(code, expected_code);
+	ck_assert_msg(strstr(err->text, in->expected_error) != NULL,
+		      "\"%s\" does not name \"%s\"", err->text,
+		      in->expected_error);
 }
 
 #define HEAD \
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -116,7 +116,7 @@
 	const struct slow_reply *slow_reply;
 	apr_pool_t *pool;
 	struct loop *loop;
-	struct upstream *up;
+	struct upstream *upstream;
 	int fd;
 	struct watch *watch;
 	struct peer_conn *conns;
@@ -286,7 +286,7 @@
 		loop_add(server->loop, server->fd, APR_POLLIN, on_conn, server);
 	loop_hook(server->loop,
 		  (struct loop_hook){ send_byte, send_byte_wait, server });
-	server->up = upstream_create(
+	server->upstream = upstream_create(
 		server->loop, (struct upstream_handler){ on_done, NULL });
 }
 
@@ -301,7 +301,7 @@
 
 static void teardown(struct server *server)
 {
-	upstream_destroy(server->up);
+	upstream_destroy(server->upstream);
 	loop_unhook(server->loop, server);
 	free_conns(server->conns);
 	stop_listening(server);
@@ -309,8 +309,8 @@
 	apr_pool_destroy(server->pool);
 }
 
-static struct upstream_request request_of(const char *addr, uint64_t id,
-					  struct str echo)
+static struct upstream_request make_request(const char *addr, uint64_t id,
+					    struct str echo)
 {
 	return (struct upstream_request){
 		.id = id,
@@ -330,7 +330,7 @@
 	struct outcome *out = &outcomes[request->id];
 
 	*out = (struct outcome){ 0 };
-	upstream_send(server->up, request);
+	upstream_send(server->upstream, request);
 	while (!out->done && loop_now() < until)
 		loop_step(server->loop);
 	ck_assert(out->done);
@@ -343,15 +343,15 @@
 	struct upstream_request request;
 
 	setup(&server);
-	request = request_of(server.addr, 1, STR("r1"));
+	request = make_request(server.addr, 1, STR("r1"));
 	request.reply_max = script->reply_max;
 	send_and_wait(&server, &request);
 	ck_assert_msg(outcomes[1].result == script->result, "%s: result %d",
 		      script->name, (int)outcomes[1].result);
 	ck_assert_int_eq(outcomes[1].status, script->status);
 	ck_assert_str_eq(outcomes[1].body, script->body);
-	request = request_of(server.addr, 2,
-			     script->same_id ? STR("r1") : STR("r2"));
+	request = make_request(server.addr, 2,
+			       script->same_id ? STR("r1") : STR("r2"));
 	send_and_wait(&server, &request);
 	ck_assert_int_eq(outcomes[2].result, FETCH_OK);
 	ck_assert_str_eq(outcomes[2].body, script->second_body);
@@ -373,7 +373,7 @@
 	struct upstream_request request;
 
 	setup(&server);
-	request = request_of(server.addr, 1, (struct str){ 0 });
+	request = make_request(server.addr, 1, (struct str){ 0 });
 	if (slow_reply->slow_allowed) {
 		request.pause_us = PAUSE_US;
 		request.whole_us = WHOLE_US;
@@ -392,7 +392,7 @@
 
 	setup(&server);
 	stop_listening(&server);
-	request = request_of(server.addr, 1, STR("r1"));
+	request = make_request(server.addr, 1, STR("r1"));
 	send_and_wait(&server, &request);
 	ck_assert_int_eq(outcomes[1].result, FETCH_REFUSED);
 	teardown(&server);
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -39,30 +39,33 @@
 	uint64_t calls;
 };
 
-static void publish(struct platform *p, enum doc_kind kind, struct str body)
+static void publish(struct platform *platform, enum doc_kind kind,
+		    struct str body)
 {
-	p->previous[kind].len = 0;
-	buf_str_add(&p->previous[kind], buf_str(&p->current[kind]));
-	p->current[kind].len = 0;
-	buf_str_add(&p->current[kind], body);
+	platform->previous[kind].len = 0;
+	buf_str_add(&platform->previous[kind],
+		    buf_str(&platform->current[kind]));
+	platform->current[kind].len = 0;
+	buf_str_add(&platform->current[kind], body);
 }
 
-static struct str served_doc(struct platform *p, enum doc_kind kind)
+static struct str served_doc(struct platform *platform, enum doc_kind kind)
 {
-	bool old = p->stale && p->previous[kind].len;
+	bool old = platform->stale && platform->previous[kind].len;
 
-	return buf_str(old ? &p->previous[kind] : &p->current[kind]);
+	return buf_str(old ? &platform->previous[kind]
+			   : &platform->current[kind]);
 }
 
-static void reply_to_waiters(struct platform *p, enum doc_kind kind)
+static void reply_to_waiters(struct platform *platform, enum doc_kind kind)
 {
-	for (size_t i = p->nwaiters; i-- > 0;) {
-		struct waiter w = p->waiters[i];
+	for (size_t i = platform->nwaiters; i-- > 0;) {
+		struct waiter w = platform->waiters[i];
 
 		if (w.kind != kind)
 			continue;
-		p->waiters[i] = p->waiters[--p->nwaiters];
-		http_reply(w.req, 200, served_doc(p, kind));
+		platform->waiters[i] = platform->waiters[--platform->nwaiters];
+		http_reply(w.req, 200, served_doc(platform, kind));
 	}
 }
 
@@ -81,93 +84,94 @@
 	return value.len ? strtoll(value.ptr, NULL, 10) : fallback;
 }
 
-static void serve_doc(struct platform *p, struct http_request *req,
+static void serve_doc(struct platform *platform, struct http_request *req,
 		      enum doc_kind kind)
 {
-	struct str body = served_doc(p, kind);
+	struct str body = served_doc(platform, kind);
 	int64_t wait = query_int(req, "wait_ms", 0) * 1000;
 
-	p->calls++;
-	if (p->down) {
+	platform->calls++;
+	if (platform->down) {
 		http_abort(req);
 	} else if (str_hash(body) != query_hex(req, "hash")) {
 		http_reply(req, 200, body);
-	} else if (wait <= 0 || p->nwaiters == WAITERS) {
+	} else if (wait <= 0 || platform->nwaiters == WAITERS) {
 		http_reply(req, 304, STR(""));
 	} else {
-		p->waiters[p->nwaiters++] =
+		platform->waiters[platform->nwaiters++] =
 			(struct waiter){ req, kind, loop_now() + wait };
 	}
 }
 
-static void set_behaviour(struct platform *p, struct http_request *req)
+static void set_behaviour(struct platform *platform, struct http_request *req)
 {
-	p->down = query_int(req, "down", p->down);
-	p->stale = query_int(req, "stale", p->stale);
-	if (!p->down)
+	platform->down = query_int(req, "down", platform->down);
+	platform->stale = query_int(req, "stale", platform->stale);
+	if (!platform->down)
 		return;
-	while (p->nwaiters)
-		http_abort(p->waiters[--p->nwaiters].req);
+	while (platform->nwaiters)
+		http_abort(platform->waiters[--platform->nwaiters].req);
 }
 
 static void on_request(void *ctx, struct http_request *req)
 {
-	struct platform *p = ctx;
+	struct platform *platform = ctx;
 	struct buf out = { 0 };
 
 	for (int kind = 0; kind < DOC_KINDS; kind++) {
 		const char *name = doc_name((enum doc_kind)kind);
 
 		if (str_eq(req->path, STR("/lists")) && kind == DOC_LISTS) {
-			serve_doc(p, req, DOC_LISTS);
+			serve_doc(platform, req, DOC_LISTS);
 			return;
 		}
 		if (str_eq(req->path, STR("/fleet")) && kind == DOC_FLEET) {
-			serve_doc(p, req, DOC_FLEET);
+			serve_doc(platform, req, DOC_FLEET);
 			return;
 		}
 		if (req->path.len > 9 && !strcmp(req->path.ptr + 9, name)) {
-			publish(p, (enum doc_kind)kind, req->body);
-			reply_to_waiters(p, (enum doc_kind)kind);
+			publish(platform, (enum doc_kind)kind, req->body);
+			reply_to_waiters(platform, (enum doc_kind)kind);
 		}
 	}
 	if (str_eq(req->path, STR("/set")))
-		set_behaviour(p, req);
-	buf_printf(&out, "{\"calls\":%llu}", (unsigned long long)p->calls);
+		set_behaviour(platform, req);
+	buf_printf(&out, "{\"calls\":%llu}",
+		   (unsigned long long)platform->calls);
 	http_reply(req, 200, buf_str(&out));
 	buf_free(&out);
 }
 
 static void on_disconnect(void *ctx, struct http_request *req)
 {
-	struct platform *p = ctx;
+	struct platform *platform = ctx;
 
-	for (size_t i = 0; i < p->nwaiters; i++) {
-		if (p->waiters[i].req != req)
+	for (size_t i = 0; i < platform->nwaiters; i++) {
+		if (platform->waiters[i].req != req)
 			continue;
-		p->waiters[i] = p->waiters[--p->nwaiters];
+		platform->waiters[i] = platform->waiters[--platform->nwaiters];
 		return;
 	}
 }
 
 static void expire_waiters(void *ctx)
 {
-	struct platform *p = ctx;
+	struct platform *platform = ctx;
 	int64_t now = loop_now();
 
-	for (size_t i = p->nwaiters; i-- > 0;) {
-		struct waiter w = p->waiters[i];
+	for (size_t i = platform->nwaiters; i-- > 0;) {
+		struct waiter w = platform->waiters[i];
 
 		if (now < w.expires_at)
 			continue;
-		p->waiters[i] = p->waiters[--p->nwaiters];
+		platform->waiters[i] = platform->waiters[--platform->nwaiters];
 		http_reply(w.req, 304, STR(""));
 	}
 }
 
 int main(int argc, char **argv)
 {
-	struct platform *p = xcalloc(1, sizeof(*p));
+	struct platform *platform = xcalloc(1, sizeof(*platform));
 	struct error err = { 0 };
 
 	if (argc != 4) {
@@ -175,16 +179,20 @@
 		return 2;
 	}
 	apr_initialize();
-	p->loop = loop_create(NULL);
-	if (file_read(argv[2], DOC_MAX_BYTES, &p->current[DOC_LISTS], &err) ||
-	    file_read(argv[3], DOC_MAX_BYTES, &p->current[DOC_FLEET], &err) ||
-	    !http_listen(p->loop, str_of(argv[1]), BODY_MAX,
-			 (struct http_handler){ on_request, on_disconnect, p },
+	platform->loop = loop_create(NULL);
+	if (file_read(argv[2], DOC_MAX_BYTES, &platform->current[DOC_LISTS],
+		      &err) ||
+	    file_read(argv[3], DOC_MAX_BYTES, &platform->current[DOC_FLEET],
+		      &err) ||
+	    !http_listen(platform->loop, str_of(argv[1]), BODY_MAX,
+			 (struct http_handler){ on_request, on_disconnect,
+						platform },
 			 &err)) {
 		fprintf(stderr, "fake-platform: %s\n", err.text);
 		return 1;
 	}
-	loop_hook(p->loop, (struct loop_hook){ expire_waiters, NULL, p });
-	loop_run(p->loop);
+	loop_hook(platform->loop,
+		  (struct loop_hook){ expire_waiters, NULL, platform });
+	loop_run(platform->loop);
 	return 0;
 }
