--- a/bench/measure.py
+++ b/bench/measure.py
@@ -28,7 +28,7 @@
 
 def start_load(cluster, rate, seconds, seed=1):
     addrs = ",".join(n["callers"] for n in cluster.nodes
-                     if cluster.alive(n["name"]))
+                     if cluster.is_running(n["name"]))
     return subprocess.Popen(
         [f"{BUILD}/bench/load", addrs, str(rate), str(seconds), "mill-7",
          ",".join(cluster.site["indexes"]), str(seed)], stdout=subprocess.PIPE)
@@ -131,7 +131,7 @@
         before = target_totals(c)
         got = run(c)
         after = target_totals(c)
-        counters = [c.counters(n) for n in c.nodes if c.alive(n["name"])]
+        counters = [c.counters(n) for n in c.nodes if c.is_running(n["name"])]
     needed = got["answered"] * len(c.fleet["targets"])
     got.update({
         "site": site, "scenario": name, "round": number,
--- a/soak/fakes.py
+++ b/soak/fakes.py
@@ -12,7 +12,8 @@
 import time
 
 RECORD = 16
-DEADLY = "deadly"  # in the path: crashes each target that runs the request
+# A request with this in its path crashes each target that runs it.
+POISON_PATH = "deadly"
 RECORDS = 3
 
 
@@ -167,10 +168,10 @@
             pause = self.paused_until - time.monotonic()
             await asyncio.sleep(max(pause, 0) + self.service_time *
                                 random.uniform(0.5, 1.5))
-        if DEADLY in head[0]:
+        if POISON_PATH in head[0]:
             self.execution_log.crashes.append((time.monotonic(), request_id))
             self.on_crash(self)
-        if DEADLY in head[0] or random.random() < self.drop_share:
+        if POISON_PATH in head[0] or random.random() < self.drop_share:
             return None
         parts = part_records(self.id, request_id)
         random.shuffle(parts)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -21,7 +21,7 @@
 MIN_RECOVERED_SHARE = 0.9
 # How many deadly requests may still crash a target later than LATE_AFTER_S
 # after the third crash.
-MAX_LATE_REQUESTS, LATE_AFTER_S = 3, 4.0
+MAX_LATE_POISON_REQUESTS, LATE_AFTER_S = 3, 4.0
 
 
 class Fleet:
@@ -221,13 +221,13 @@
             await asyncio.sleep(0.2)
         self.restart_node(node)
 
-    async def freeze_node(self):
+    async def pause_node(self):
         node = self.rng.randrange(self.args.nodes)
         self.signal_node(node, signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.1, 1.5))
         self.signal_node(node, signal.SIGCONT)
 
-    async def hup_node(self):
+    async def reload_node(self):
         self.signal_node(self.rng.randrange(self.args.nodes), signal.SIGHUP)
 
     def restart_node(self, node):
@@ -261,7 +261,7 @@
         finally:
             writer.close()
 
-    async def caller(self, number):
+    async def run_caller(self, number):
         count = 0
         while not self.stopping:
             kind = self.rng.choice(("all", "all", "one", "once"))
@@ -281,28 +281,29 @@
             self.answers.append((start, kind, reply))
             await asyncio.sleep(self.rng.uniform(0.005, 0.05))
 
-    async def deadly_caller(self):
+    async def run_poison_caller(self):
         """Send requests that crash each target that runs them."""
         count = 0
         while not self.stopping:
             node = self.rng.randrange(self.args.nodes)
-            request_id = f"{os.getpid()}-{fakes.DEADLY}-{count}"
+            request_id = f"{os.getpid()}-{fakes.POISON_PATH}-{count}"
             count += 1
             try:
                 await asyncio.wait_for(
-                    self.send_request(node, "all", request_id, fakes.DEADLY),
+                    self.send_request(node, "all", request_id,
+                                      fakes.POISON_PATH),
                     CALLER_TIMEOUT_S)
             except (OSError, asyncio.IncompleteReadError, ValueError,
                     asyncio.TimeoutError):
                 pass
             await asyncio.sleep(self.rng.uniform(0.1, 0.8))
 
-    def check_deadly(self):
+    def check_poison(self):
         crashes = sorted(self.execution_log.crashes)
         if len(crashes) < 3:
             return
         late = {r for t, r in crashes if t > crashes[2][0] + LATE_AFTER_S}
-        if len(late) > MAX_LATE_REQUESTS:
+        if len(late) > MAX_LATE_POISON_REQUESTS:
             self.report(f"{len(late)} deadly requests ran too late, "
                         f"{len(crashes)} target crashes")
 
@@ -384,7 +385,7 @@
                   self.stall_link, self.stall_replies, self.reset_links,
                   self.drain_target, self.fail_store, self.stall_store,
                   self.reconfigure, self.kill_node, self.stop_node,
-                  self.freeze_node, self.hup_node]
+                  self.pause_node, self.reload_node]
         tasks = []
         while time.monotonic() < until:
             tasks.append(asyncio.create_task(self.rng.choice(faults)()))
@@ -429,8 +430,9 @@
 
     async def run(self):
         await self.start_all()
-        callers = [asyncio.create_task(self.caller(i)) for i in range(CALLERS)]
-        callers.append(asyncio.create_task(self.deadly_caller()))
+        callers = [asyncio.create_task(self.run_caller(i))
+                   for i in range(CALLERS)]
+        callers.append(asyncio.create_task(self.run_poison_caller()))
         await self.inject_faults(time.monotonic() + self.args.seconds)
         await asyncio.sleep(3.0)
         await self.check_recovery()
@@ -440,7 +442,7 @@
         # log that.
         asyncio.get_running_loop().set_exception_handler(lambda *_: None)
         self.check_executions()
-        self.check_deadly()
+        self.check_poison()
 
     def close(self):
         for proc in self.procs.values():
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -22,17 +22,17 @@
 from process import start_load, load_result  # noqa: E402
 from cluster import Cluster  # noqa: E402
 
-NODES, CLIENTS, RATE = 4, 4, 60
+NODES, ENTRY_CALLERS, RATE = 4, 4, 60
 STOP_TIMEOUT_S = 45
 
 
-class Clients:
+class EntryCallers:
     """Threads that send entries; outcomes by request id."""
 
     def __init__(self, cluster, seed):
         self.cluster, self.stopping, self.outcomes = cluster, False, {}
         self.threads = [threading.Thread(target=self.run, args=(seed, k))
-                        for k in range(CLIENTS)]
+                        for k in range(ENTRY_CALLERS)]
         for thread in self.threads:
             thread.start()
 
@@ -60,24 +60,24 @@
             except (OSError, ValueError):
                 reported.append("broken")
 
-    def end(self):
+    def stop(self):
         self.stopping = True
         for thread in self.threads:
             thread.join()
 
 
-def kill(c, rng, i):
+def kill_node(c, rng, i):
     c.kill_node(i)
     time.sleep(rng.random())
     c.start_node(i)
 
 
-def stop(c, rng, i):
+def stop_node(c, rng, i):
     c.stop_node(i, STOP_TIMEOUT_S)
     c.start_node(i)
 
 
-def freeze(c, rng, i):
+def pause_node(c, rng, i):
     c.signal(f"node{i}", signal.SIGSTOP)
     time.sleep(rng.random() * 2)
     c.signal(f"node{i}", signal.SIGCONT)
@@ -101,8 +101,8 @@
     c.set_platform(down=0)
 
 
-FAULTS = [kill, stop, freeze, restart_target, domain_out, domains_in,
-          domains_in, platform_down]
+FAULTS = [kill_node, stop_node, pause_node, restart_target, domain_out,
+          domains_in, domains_in, platform_down]
 
 
 def check_outcomes(outcomes, stats, summary):
@@ -136,18 +136,18 @@
     rng = random.Random(seed)
     with Cluster(base=18000 + 1000 * (seed % 2), nodes=NODES,
                  targets=["cold_us=500000"]) as c:
-        clients = Clients(c, seed)
-        callers = start_load(c, seconds, RATE)
+        entry_callers = EntryCallers(c, seed)
+        load = start_load(c, seconds, RATE)
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             rng.choice(FAULTS)(c, rng, rng.randrange(NODES))
             time.sleep(rng.random() / 2)
-        clients.end()
-        summary = load_result(callers)
+        entry_callers.stop()
+        summary = load_result(load)
         domains_in(c)
         for i in range(NODES):
             c.wait_live(i)
-        return check_outcomes(clients.outcomes, c.stats(), summary)
+        return check_outcomes(entry_callers.outcomes, c.stats(), summary)
 
 
 sys.exit(1 if main() else 0)
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -188,13 +188,13 @@
 
     def wait_for_members(self):
         """Wait until every running node sees every other one as usable."""
-        live = [n for n in self.nodes if self.alive(n["name"])]
+        live = [n for n in self.nodes if self.is_running(n["name"])]
         for node in live:
             wait_for(lambda n=node: sum(
                 vm["usable"] for vm in self.status(n)["vms"]) >= len(live),
                 f"{node['name']} sees all other nodes")
 
-    def alive(self, name):
+    def is_running(self, name):
         proc = self.procs.get(name)
         return proc is not None and proc.poll() is None
 
--- a/tests/process.py
+++ b/tests/process.py
@@ -42,7 +42,7 @@
     the shards. Each answer is complete, comes from one snapshot and reports
     the coverage of its rows; the load program checks every row."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 6)
+        load = start_load(c, 6)
         for version in (2, 3):
             time.sleep(1)
 
@@ -57,8 +57,8 @@
                         for s in newest["shards"] for half in (0, 1)]
                 fleet["snapshots"].insert(0, newest)
             c.publish_fleet(roll)
-        got = load_result(callers)
-        check(got["wrong"] == 0 and got["broken"] == 0, got)
+        result = load_result(load)
+        check(result["wrong"] == 0 and result["broken"] == 0, result)
         wait_for(lambda: c.ask()[1]["snapshot"] == 3, "snapshot 3 is used")
 
 
@@ -87,13 +87,13 @@
     idle; each new connection costs 6 ms. By its own count, no target receives
     two requests while it can take only one."""
     with Cluster(base=base, targets=["lie_idle=1", "connect_us=6000"]) as c:
-        callers = start_load(c, 8)
+        load = start_load(c, 8)
         time.sleep(3)
         for target in c.stats()["targets"]:
             c.set_targets(target["target"], restart=1)
             time.sleep(0.3)
-        got = load_result(callers)
-        check(got["wrong"] == 0, got)
+        result = load_result(load)
+        check(result["wrong"] == 0, result)
         stats = c.stats()["targets"]
         check(all(t["overruns"] == 0 for t in stats), stats)
 
@@ -103,7 +103,7 @@
     soon as the change is in force on one node. The other nodes receive it from
     that node, and the targets of the domain start no new work."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 8)
+        load = start_load(c, 8)
         time.sleep(1)
         c.publish_fleet(lambda f: f["domains"][1].update(state="out"))
         wait_for(lambda: any(c.status(n)["fleet"]["version"] == 2
@@ -116,8 +116,8 @@
         time.sleep(1)
         check(requests_started(c, "south") == before, "new work in the domain")
         check(requests_started(c, "north") > 0, "no work at all")
-        got = load_result(callers)
-        check(got["broken"] == 0 and got["wrong"] == 0, got)
+        result = load_result(load)
+        check(result["broken"] == 0 and result["wrong"] == 0, result)
 
 
 def test_frozen_node_wakes_with_old_view(base):
@@ -125,7 +125,7 @@
     its sockets. When it resumes it confirms its view first, and sends nothing
     to that domain."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 3)
+        load = start_load(c, 3)
         c.signal("node1", signal.SIGSTOP)
         time.sleep(1)
         c.publish_fleet(lambda f: f["domains"][1].update(state="out"))
@@ -137,7 +137,7 @@
         c.signal("node1", signal.SIGCONT)
         wait_for(lambda: c.status(c.nodes[1])["fleet"]["version"] == 2,
                  "in force on the resumed node")
-        load_result(callers)
+        load_result(load)
         check(requests_started(c, "south") == before,
               "new work based on an old view")
         check(c.counters(c.nodes[1])["pauses"] >= 1, "pause not noticed")
@@ -249,14 +249,14 @@
     """A target reports that it drains while the VM list says live. Its own
     report stops new work there, and the other replicas answer its shards."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 4)
+        load = start_load(c, 4)
         time.sleep(1)
         c.set_targets("orders-0", draining=1)
         time.sleep(0.5)
         before = c.target_stats("orders-0")["started"]
-        got = load_result(callers)
+        result = load_result(load)
         check(c.target_stats("orders-0")["started"] == before, "new work")
-        check(got["coverage_min"] == 1 and got["wrong"] == 0, got)
+        check(result["coverage_min"] == 1 and result["wrong"] == 0, result)
 
 
 def test_rolling_stop_under_load(base):
@@ -273,11 +273,11 @@
             c.signal(f"node{i}", signal.SIGTERM)
             time.sleep(0.2)
             c.signal(f"node{i}", signal.SIGTERM)
-            for callers in (to_all, to_rest):
-                got = load_result(callers)
-                check(got["broken"] == 0 and not got["refused"], got)
-                check(got["wrong"] == 0, got)
-                check(got["answered"] == got["sent"], got)
+            for load in (to_all, to_rest):
+                result = load_result(load)
+                check(result["broken"] == 0 and not result["refused"], result)
+                check(result["wrong"] == 0, result)
+                check(result["answered"] == result["sent"], result)
             check(c.procs[f"node{i}"].wait(60) == 0, "exit code")
             c.start_node(i, wait=True)
             c.wait_for_members()
@@ -288,12 +288,12 @@
     other nodes receive complete answers, since another node takes over its
     targets."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 5, nodes=c.nodes[1:])
+        load = start_load(c, 5, nodes=c.nodes[1:])
         time.sleep(1)
         c.kill_node(0)
-        got = load_result(callers)
-        check(got["broken"] == 0 and got["wrong"] == 0, got)
-        check(got["answered"] == got["sent"], got)
+        result = load_result(load)
+        check(result["broken"] == 0 and result["wrong"] == 0, result)
+        check(result["answered"] == result["sent"], result)
 
 
 def test_new_node_beside_stale_platform(base):
@@ -372,8 +372,8 @@
         cases = [(b"{", 400, "bad_request"), (b"[]", 400, "bad_request"),
                  (b"x" * 100000, 413, "too_large")]
         for body, status, kind in cases:
-            got = http(node["callers"], "/v1/questions", body)
-            check(got[0] == status and got[1]["kind"] == kind, got)
+            reply = http(node["callers"], "/v1/questions", body)
+            check(reply[0] == status and reply[1]["kind"] == kind, reply)
         check(http(node["callers"], "/nowhere")[0] == 404, "path")
         ip, port = node["callers"].split(":")
         with socket.create_connection((ip, int(port))) as s:
@@ -422,11 +422,12 @@
     """A plan of ten requests per second over all nodes together. Requests over
     the plan are refused at once with an error kind and a time to retry."""
     with Cluster(base=base, limits={"rate": 10, "burst": 10}) as c:
-        got = [c.ask(i % 3) for i in range(60)]
-        refused = [a for s, a in got if s == 429]
+        replies = [c.ask(i % 3) for i in range(60)]
+        refused = [a for s, a in replies if s == 429]
         check(refused and all(a["kind"] == "over_plan" and
-                              a["retry_after_ms"] > 0 for a in refused), got)
-        check(sum(s == 200 for s, _ in got) <= 40, "too many admitted")
+                              a["retry_after_ms"] > 0 for a in refused),
+              replies)
+        check(sum(s == 200 for s, _ in replies) <= 40, "too many admitted")
 
 
 def test_command_line(base):
