--- a/bench/policy.c
+++ b/bench/policy.c
@@ -45,16 +45,14 @@
 	double coverage_floor;
 	/* Faults happen after a third of the time. */
 	int restart_every; /* every n-th target restarts */
-	int missing_snapshot_every; /* every n-th target lacks the newest
-				       snapshot */
-	bool split_quota; /* quota: 1/n of the rate per node instead of leases
-			   */
+	/* Every n-th target lacks the newest snapshot. */
+	int missing_snapshot_every;
+	bool split_quota; /* 1/n of the rate per node instead of leases */
 	double plan_rate; /* questions per second, 0 for no limit */
 	int receiving_nodes; /* nodes that receive questions, 0 for all */
 	bool kill_node; /* the last node is killed */
 	bool stop_node; /* the last node is stopped as planned */
-	bool kill_bucket_owner; /* the owner of the customer's bucket is killed
-				 */
+	bool kill_bucket_owner; /* of the customer's token bucket */
 };
 
 static uint64_t seed = 1;
--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -46,7 +46,7 @@
 	return (double)resident * (double)sysconf(_SC_PAGESIZE);
 }
 
-/* @targets leafs; index "asked" has @asked_shards of their shards. */
+/* Fleet of @targets targets; index "asked" has @asked_shards of the shards. */
 static char *make_fleet(int targets, int asked_shards, int vms)
 {
 	struct buf out = { 0 };
@@ -404,7 +404,7 @@
 	stop_node(&fixture);
 }
 
-/* Resident memory over a long run; with valgrind, allocations per leaf. */
+/* Memory over a long run; with valgrind, allocations per leaf request. */
 static void bench_growth(int questions)
 {
 	struct fixture fixture;
@@ -489,7 +489,8 @@
 		if (!strcmp(bench, "records"))
 			bench_records(sizes[i]);
 	}
-	/* Same fan-out with more targets: the cost is flat in their number. */
+	/* Same fan-out with more targets: to show that the cost does not grow.
+	 */
 	for (size_t i = 2; i < 5 && !strcmp(bench, "leafs"); i++)
 		bench_leafs(260, sizes[i]);
 	for (size_t i = 0; i < 4; i++) {
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -19,7 +19,7 @@
 CALLER_TIMEOUT_S = 4.0
 ROUTES = {"all": "/all/", "one": "/one/", "once": "/once/"}
 MIN_RECOVERED_SHARE = 0.9
-# How many deadly requests may still crash a target later than LATE_AFTER_S
+# How many poison requests may still crash a target later than LATE_AFTER_S
 # after the third crash.
 MAX_LATE_POISON_REQUESTS, LATE_AFTER_S = 3, 4.0
 
@@ -282,7 +282,7 @@
             await asyncio.sleep(self.rng.uniform(0.005, 0.05))
 
     async def run_poison_caller(self):
-        """Send requests that crash each target that runs them."""
+        """Send poison requests, which crash each target that runs them."""
         count = 0
         while not self.stopping:
             node = self.rng.randrange(self.args.nodes)
@@ -304,7 +304,7 @@
             return
         late = {r for t, r in crashes if t > crashes[2][0] + LATE_AFTER_S}
         if len(late) > MAX_LATE_POISON_REQUESTS:
-            self.report(f"{len(late)} deadly requests ran too late, "
+            self.report(f"{len(late)} poison requests ran too late, "
                         f"{len(crashes)} target crashes")
 
     def check_reply(self, kind, request_id, reply):
--- a/tests/chaos.py
+++ b/tests/chaos.py
@@ -3,7 +3,7 @@
     python3 tests/chaos.py [SEED [SECONDS]]
 
 Callers send questions, and send entries with one ticket to several nodes,
-while nodes are killed, frozen and stopped, targets restart, failure domains
+while nodes are killed, paused and stopped, targets restart, failure domains
 are taken out and put back in, and the platform is down. Not part of CI, since
 the results depend on the timing of the machine.
 """
--- a/tests/check_config.c
+++ b/tests/check_config.c
@@ -1,8 +1,8 @@
 /*
  * Every configuration that the store accepts must come into force on all nodes.
- * Callers were once served by a replaced version on every node: the decoder
- * accepted at most 4,096 routes, a limit that the store does not have, so each
- * node refused the new version.
+ * If the decoder has a limit that the store does not have, such as 4,096
+ * routes, each node refuses the new version and serves callers by the replaced
+ * one.
  */
 #include <stdio.h>
 
@@ -62,8 +62,7 @@
 	flow_effects_free(&node_copy->fx);
 }
 
-/* A configuration with @routes routes; @extra_fields is added to each of them.
- */
+/* A configuration with @routes routes; @extra_fields is added to each. */
 static struct str config_text(int version, int routes, const char *extra_fields)
 {
 	struct buf text = { 0 };
--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -1,7 +1,7 @@
 /*
- * Tests of whole nodes in the simulation, under requests that crash each target
- * that runs them: how many of these still reach targets, and whether harmless
- * requests are served.
+ * Tests of whole nodes in the simulation, under poison requests, which crash
+ * each target that runs them: how many of these still reach targets, and
+ * whether harmless requests are served.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -36,10 +36,10 @@
 };
 
 /**
- * struct poison_case - how a deadly request is sent, and other faults
+ * struct poison_case - how a poison request is sent, and other faults
  * @concurrent: number of nodes that receive it at the same time; 0: 1
  * @callers: number of caller addresses, used in turn; 0: 1
- * @requests: number of different deadly requests, sent in turn; 0: 1
+ * @requests: number of different poison requests, sent in turn; 0: 1
  * @kill: one node is killed and restarted each round, in turn, and is the first
  *        to receive the request in the next round
  * @power_loss_round: before this round all nodes lose power; 0: never
@@ -146,7 +146,7 @@
 	return send_call(sim, node, kind, &spec);
 }
 
-/* Sends the deadly request, and retries it once where it failed. */
+/* Sends the poison request, and retries it once where it failed. */
 static void run_round(struct sim *sim, const struct poison_case *c, int round)
 {
 	int first = sim->ncalls;
@@ -261,12 +261,12 @@
 END_TEST
 
 /**
- * struct other_case - a harmless request beside a deadly one
+ * struct other_case - a harmless request beside a poison request
  * @spec: the request and its caller
  * @call_interval_us: interval at which it is also sent continuously; 0: never
  * @since_round: first round in which it is sent
  *
- * In each round it is in flight when the deadly request crashes its targets,
+ * In each round it is in flight when the poison request crashes its targets,
  * and is sent again after their restart.
  */
 struct other_case {
@@ -314,9 +314,10 @@
 }
 
 /*
- * A harmless request loses its connections whenever the deadly one arrives, as
- * it is in flight at the same targets. It must not be mistaken for the deadly
- * one: after the restart of the targets it gets a complete answer.
+ * A harmless request loses its connections whenever the poison request
+ * arrives, as it is in flight at the same targets. It must not be mistaken for
+ * the poison request: after the restart of the targets it gets a complete
+ * answer.
  */
 START_TEST(test_other_request_is_served)
 {
@@ -472,7 +473,7 @@
 };
 
 /*
- * The caller of a deadly request retries at another node as soon as it has
+ * The caller of a poison request retries at another node as soon as it has
  * failed: the evidence must have reached all nodes by then, also in a fleet too
  * large for one node to send it to all others.
  */
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -1,6 +1,6 @@
 /*
- * Serving while one question crashes every target that runs it: how often it
- * still reaches targets, and whether other questions are answered.
+ * Serving under a poison question, which crashes every target that runs it: how
+ * often it still reaches targets, and whether other questions are answered.
  */
 #include <stdio.h>
 #include <string.h>
@@ -115,7 +115,7 @@
 
 /*
  * A harmless question is in flight at the same targets each time that the
- * deadly one arrives. It must not be mistaken for the deadly one.
+ * poison question arrives. It must not be mistaken for that one.
  */
 START_TEST(test_other_question_is_served)
 {
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -244,7 +244,7 @@
 /*
  * Faults of targets under continuous load make answers late or partial. Nodes
  * must prefer the other target of a shard where a fault is already known, and
- * use hedges only for faults that they could not know of.
+ * use hedges only for faults that they could not detect yet.
  */
 START_TEST(test_pattern)
 {
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -387,7 +387,7 @@
 
 /*
  * A target accepts requests and never replies, while it is published. The other
- * one gets the requests. The silent one is retried after some seconds, or it
+ * one gets the requests. The hanging one is retried after some seconds, or it
  * would never be used again, and preferred once it has replied.
  */
 START_TEST(test_hanging_target)
@@ -756,7 +756,7 @@
 }
 END_TEST
 
-/* Heads. */
+/* HTTP heads. */
 
 struct reply_case {
 	const char *name;
--- a/tests/check_peer.c
+++ b/tests/check_peer.c
@@ -16,7 +16,7 @@
 #include "suite.h"
 
 enum {
-	/* The kernel queues one connection more than the backlog. */
+	/* Fill the backlog of 1: the kernel queues one connection more. */
 	BACKLOG_CONNS = 2,
 	/* Less than a second, after which the kernel retransmits a lost SYN. */
 	DELIVERED_US = 800000,
@@ -195,7 +195,7 @@
 }
 END_TEST
 
-/** struct burst - messages from one node to another in one round */
+/** struct burst - messages from one node to another in one loop iteration */
 struct burst {
 	size_t size; /* bytes of a message */
 	size_t count;
@@ -209,10 +209,10 @@
 };
 
 /*
- * A node sends many or large messages to another in one round: replies of
- * targets, documents, requests with bodies. Each of them is within the limits.
- * In one frame together they exceeded the receiver's limit, which closed the
- * connection, and all were lost.
+ * A node sends many or large messages to another in one loop iteration: replies
+ * of targets, documents, requests with bodies. Each is within the limits, but
+ * in one frame they would exceed the receiver's limit: it would close the
+ * connection, and all would be lost.
  */
 START_TEST(test_burst_in_one_round)
 {
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -1,7 +1,18 @@
 /*
  * Invariants under known failures, one failure or pair of failures per case,
  * checked against the counters of simulated targets. tests/fuzz.c covers
- * combinations that no case lists.
+ * combinations that no case lists. Cases of one invariant have one number:
+ *
+ *  1. an answer comes from one snapshot
+ *  2. coverage is complete if a replica is left, and is reported correctly
+ *  3. a cold target is not overloaded
+ *  4. a domain taken out of service gets no new work
+ *  5. replies are matched to their questions
+ *  6. an entry reported as "not run" never runs
+ *  7. an entry runs at most once
+ *  8. a draining or leaving target gets no new work
+ *  9. a planned stop loses no request
+ * 10. the newest valid document comes into force
  */
 #include <math.h>
 #include <stdio.h>
@@ -439,9 +450,9 @@
 	ck_assert(!domain_started_since(cluster, 1, since));
 }
 
-/* 4. Domain out while the gate is paused, with a platform reply "nothing newer"
- * in its socket that was sent before. Taken as current, it would confirm the
- * old view; it is ignored. */
+/* 4. Domain out while a watcher of the platform is paused, with a reply
+ * "nothing newer" in its socket that was sent before. Taken as current, it
+ * would confirm the old view; it is ignored. */
 static void domain_out_stale_read(struct cluster *cluster)
 {
 	int64_t since;
@@ -886,7 +897,7 @@
 	ck_assert_int_ge(accepted, 4 * 50 * 9 / 10);
 }
 
-/* A target that accepts connections and never replies (frozen).
+/* A target that accepts connections and never replies (it hangs).
  * Each of its slots is blocked for the deadline and 2 s more. After two such
  * requests it counts as down and is only probed; coverage stays 1, and it gets
  * requests again once it replies. */
--- a/tests/check_poison.c
+++ b/tests/check_poison.c
@@ -386,7 +386,7 @@
 
 /*
  * A caller that varies its requests must neither exhaust memory nor displace
- * the evidence against a deadly request.
+ * the evidence against a poison request.
  */
 START_TEST(test_many_suspects)
 {
@@ -410,7 +410,7 @@
 }
 END_TEST
 
-/* Concurrent repeats at several nodes may crash one target in all, not each. */
+/* Repeats at several nodes at once may crash one target in total. */
 START_TEST(test_one_trial_at_a_time)
 {
 	struct fingerprint fp = make_fingerprint(0, 0);
--- a/tests/check_tier.c
+++ b/tests/check_tier.c
@@ -268,7 +268,7 @@
 }
 
 /*
- * All other nodes are killed, frozen or cut off just after they received
+ * All other nodes are killed, paused or cut off just after they received
  * shards. The caller's node falls back to the targets, answers by the goal or
  * soon after, and sends no shard to more targets than the route allows.
  */
@@ -300,10 +300,10 @@
 
 /*
  * A small VM forwards a question to a merging node, which returns most shards
- * and dies while four are late. These are reassigned to another merging node,
- * which forwards those far from it. The answer must contain each shard once:
- * nodes identify shards by their index in the route, not by their position in
- * the batch that they received.
+ * and is killed while four are late. These are reassigned to another merging
+ * node, which forwards those far from it. The answer must contain each shard
+ * once: nodes identify shards by their index in the route, not by their
+ * position in the batch that they received.
  */
 START_TEST(test_late_shards_reassigned)
 {
@@ -334,8 +334,8 @@
 END_TEST
 
 /*
- * A node freezes as it receives shards, for longer than the caller waits. When
- * it runs again the question has ended, and it must not send its shards to
+ * A node is paused as it receives shards, for longer than the caller waits.
+ * When it runs again the question has ended, and it must not send its shards to
  * targets any more.
  */
 START_TEST(test_stale_batch)
--- a/tests/check_upstream.c
+++ b/tests/check_upstream.c
@@ -407,9 +407,9 @@
 
 /*
  * The process is paused for longer than a scheduling delay. Requests wait in
- * its sockets meanwhile, some on connections that are accepted one round later:
- * everything read in the first 100 ms may be as old as the pause, but nothing
- * after that.
+ * its sockets meanwhile, some on connections that are accepted one loop
+ * iteration later: everything read in the first 100 ms may be as old as the
+ * pause, but nothing after that.
  */
 START_TEST(test_pause_is_noticed)
 {
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -18,7 +18,7 @@
 
 THIVA = {
     "domains": ["thiva-north", "thiva-south", "schimatari", "tanagra"],
-    "indexes": {  # leafs, slots, connections
+    "indexes": {  # targets, slots, connections
         "roll_finder": (40, 2, 25),
         "glue_ledger": (60, 2, 25),
         "order_book": (9, 3, 110),
@@ -36,7 +36,7 @@
     },
     "plan": {"soft_ms": 1000, "deadline_ms": 1000, "coverage_floor": 1.0},
 }
-# Four leafs in two failure domains: enough for most failure tests.
+# Four targets in two failure domains: enough for most failure tests.
 SMALL = {
     "domains": ["north", "south"],
     "indexes": {"orders": (4, 2, 25)},
@@ -73,7 +73,8 @@
 
 
 def make_fleet(site, nodes, base_port, versions=(1,)):
-    """Each leaf holds its own shard and its neighbour's, in another domain."""
+    """Each target holds its own shard and one of its neighbour, which is in
+    another domain."""
     domains = site["domains"]
     targets, shards = [], []
     port = base_port
@@ -187,12 +188,12 @@
         return self
 
     def wait_for_members(self):
-        """Wait until every running node sees every other one as usable."""
+        """Wait until every running node lists every other one as usable."""
         live = [n for n in self.nodes if self.is_running(n["name"])]
         for node in live:
             wait_for(lambda n=node: sum(
                 vm["usable"] for vm in self.status(n)["vms"]) >= len(live),
-                f"{node['name']} sees all other nodes")
+                f"{node['name']} lists all other nodes")
 
     def is_running(self, name):
         proc = self.procs.get(name)
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -33,13 +33,13 @@
 	int64_t service_us; /* mean service time of a leaf request */
 	int64_t connect_us; /* added to a connection's first request */
 	int64_t cold_us; /* length of a cold start */
-	int64_t cold_bears; /* concurrent requests borne while cold */
+	int64_t cold_bears; /* concurrent requests while cold; more crash it */
 	int64_t straggle_pm; /* share of stragglers, per mille */
 	int64_t factor; /* slowdown of a straggler */
 	int64_t draining;
 	int64_t lie_idle; /* report a load of 0 */
 	int64_t shed; /* reply 503 to all requests */
-	int64_t close; /* run the request, close without reply */
+	int64_t close; /* run the request, close without a reply */
 	int64_t truncate; /* cut the body to half its length */
 	int64_t wrong_version;
 	int64_t lacks; /* snapshot version that it does not have */
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -49,8 +49,8 @@
 	size_t ncallers;
 	size_t questions;
 	char violation[160];
-	bool disturbed[CLUSTER_NODES_MAX]; /* paused, killed or stopped: may not
-					   answer in time */
+	/* Paused, killed or stopped: may not answer in time. */
+	bool disturbed[CLUSTER_NODES_MAX];
 };
 
 static uint64_t random_below(struct scenario *scenario, uint64_t bound)
--- a/tests/fuzz_tier.c
+++ b/tests/fuzz_tier.c
@@ -4,7 +4,8 @@
  * callers have recorded; see find_violation().
  *
  *     fuzz-tier FIRST COUNT            seeds FIRST to FIRST + COUNT - 1
- *     fuzz-tier FIRST COUNT deadly     with a request that crashes its targets
+ *     fuzz-tier FIRST COUNT deadly     with a poison request, which crashes the
+ *                                      targets that run it
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -24,8 +25,9 @@
 	RESTART_US = 1500000,
 	FAULT_STEPS = 4,
 	/*
-	 * A deadly request is sent at this interval, over a longer time with
-	 * fewer faults: nodes with a recent fault are not judged by it.
+	 * A poison request is sent at this interval, over a longer time with
+	 * fewer faults, since its runs are not counted as late if a node with
+	 * a recent fault has sent them.
 	 */
 	POISON_INTERVAL_STEPS = 30,
 	POISON_STEPS = 750,
@@ -231,7 +233,7 @@
 	}
 	for (int i = 1; i < SIM_POISON_MAX; i++)
 		if (sim->poison[i].late > POISON_LATE_RUNS_MAX)
-			return "a deadly request reached targets too often";
+			return "a poison request reached targets too often";
 	if (over_limit > 3)
 		return "shards were sent to more targets than the route allows";
 	if (sim->extra_sends > sim->first_sends / 5 + 2 * SIM_SHARDS * 60 * 2)
@@ -239,7 +241,7 @@
 	return NULL;
 }
 
-/* Ignores late answers: a node that was frozen answers late for that reason. */
+/* Ignores late answers, since a paused node answers only when it resumes. */
 static void ignore_late_answers(struct sim *sim)
 {
 	for (int i = 0; i < sim->ncalls; i++)
@@ -260,7 +262,7 @@
 		}
 }
 
-/* Sends a deadly request to a ready node; each kind is counted separately. */
+/* Sends a poison request to a ready node; each kind is counted separately. */
 static void send_poison_request(struct scenario *scenario)
 {
 	struct sim *sim = scenario->sim;
--- a/tests/mesh.h
+++ b/tests/mesh.h
@@ -61,7 +61,7 @@
 	int64_t cold_until;
 	int64_t service_us; /* 0: default of struct cluster */
 	bool draining;
-	bool dead;
+	bool dead; /* refuses connections */
 	bool closes_after_run; /* runs, then closes without reply */
 	bool closes_without_run; /* reads an entry, closes, never runs */
 	bool hangs; /* accepts connections, never replies */
@@ -78,13 +78,18 @@
 	int queue_len;
 };
 
+/**
+ * struct cluster_call - a caller's request and its outcome
+ * @answers: number of answers received
+ * @node_up: the node was up at @sent_at
+ */
 struct cluster_call {
 	int64_t sent_at;
 	int64_t answered_at; /* 0: no answer yet */
 	int status;
 	int answers;
 	int node;
-	bool node_up; /* at @sent_at */
+	bool node_up;
 	struct buf body;
 };
 
@@ -118,7 +123,7 @@
 	size_t count;
 	size_t cap;
 	uint64_t seq;
-	int crashes; /* caused by deadly questions */
+	int crashes; /* caused by poison questions */
 	apr_hash_t *runs; /* hash of an entry's text -> count */
 	apr_hash_t *requests; /* number -> struct request */
 	apr_pool_t *pool;
@@ -128,8 +133,7 @@
 	struct buf *trace; /* if set, receives a dump of all effects */
 };
 
-/** cluster_create() - create a cluster with @layout; takes ownership of @lists.
- */
+/** cluster_create() - create a cluster; takes ownership of @lists */
 struct cluster *
 cluster_create(uint64_t seed, const struct cluster_layout *layout, char *lists);
 void cluster_destroy(struct cluster *cluster);
@@ -138,8 +142,7 @@
 void cluster_start_all(struct cluster *cluster);
 void cluster_kill_node(struct cluster *cluster, int i);
 void cluster_pause_node(struct cluster *cluster, int i, int64_t us);
-/** cluster_set_link_cut() - cut or restore the link between @a and @b, both
- * ways. */
+/** cluster_set_link_cut() - cut or restore the link between nodes @a and @b */
 void cluster_set_link_cut(struct cluster *cluster, int a, int b, bool cut);
 void cluster_publish_doc(struct cluster *cluster, enum doc_kind kind,
 			 const char *body);
@@ -147,7 +150,7 @@
 /**
  * cluster_send_call() - send a caller's request to node @i
  *
- * Return: index of its answer.
+ * Return: index of the call.
  */
 size_t cluster_send_call(struct cluster *cluster, int i, enum event_type type,
 			 const char *body);
@@ -160,20 +163,20 @@
 
 /** cluster_deliver() - pass an event to node @i and apply its effects. */
 void cluster_deliver(struct cluster *cluster, int i, struct event event);
-/** cluster_restart_target() - restart @target, which breaks its running
- * requests. */
+/** cluster_restart_target() - restart @target; its running requests break */
 void cluster_restart_target(struct cluster *cluster,
 			    struct cluster_target *target);
 
-/** cluster_default_layout() - two replicas per shard, two slots per target, all
- * in. */
+/**
+ * cluster_default_layout() - layout with all failure domains in service, two
+ * replicas per shard and two slots per target
+ */
 struct cluster_layout cluster_default_layout(int nodes, int domains,
 					     int targets);
 /** cluster_fleet_doc() - fleet document for @layout; the caller frees it. */
 char *cluster_fleet_doc(const struct cluster_layout *layout);
 void cluster_publish_fleet(struct cluster *cluster,
 			   const struct cluster_layout *layout);
-/** cluster_lists_doc() - lists document with one customer; the caller frees it.
- */
+/** cluster_lists_doc() - document with one customer; the caller frees it */
 char *cluster_lists_doc(uint64_t version, double rate, double burst,
 			int soft_ms, int deadline_ms, double floor);
--- a/tests/process.py
+++ b/tests/process.py
@@ -1,4 +1,4 @@
-"""Process tests: real nodes that are killed, cut off, frozen and stopped.
+"""Process tests: real nodes that are killed, cut off, paused and stopped.
 
 The checks use the replies to callers and the requests recorded by the targets.
 They wait for conditions and do not depend on speed.
@@ -84,8 +84,8 @@
 
 def test_cold_start_under_load(base):
     """Every target restarts under load without notice and reports that it is
-    idle; each new connection costs 6 ms. By its own count, no target receives
-    two requests while it can take only one."""
+    idle; each new connection costs 6 ms. By their own counters, no target
+    receives two requests while it can take only one."""
     with Cluster(base=base, targets=["lie_idle=1", "connect_us=6000"]) as c:
         load = start_load(c, 8)
         time.sleep(3)
@@ -121,7 +121,7 @@
 
 
 def test_frozen_node_wakes_with_old_view(base):
-    """A node is frozen (SIGSTOP) while a domain is taken out, with requests in
+    """A node is paused (SIGSTOP) while a domain is taken out, with requests in
     its sockets. When it resumes it confirms its view first, and sends nothing
     to that domain."""
     with Cluster(base=base) as c:
@@ -218,7 +218,7 @@
 
 
 def test_entry_gate_frozen(base):
-    """All other nodes are frozen while entries wait for them. The callers
+    """All other nodes are paused while entries wait for them. The callers
     still receive an outcome, and no entry reported as "not run" runs when the
     nodes resume."""
     with Cluster(base=base) as c:
@@ -246,8 +246,9 @@
 
 
 def test_target_leaves_without_notice(base):
-    """A target reports that it drains while the VM list says live. Its own
-    report stops new work there, and the other replicas answer its shards."""
+    """A target reports that it drains while the fleet document lists it as
+    live. Its own report stops new work there, and the other replicas answer
+    its shards."""
     with Cluster(base=base) as c:
         load = start_load(c, 4)
         time.sleep(1)
@@ -284,7 +285,7 @@
 
 
 def test_killed_node_under_load(base):
-    """A node is killed. Its own callers lose their connections; callers of the
+    """A node is killed. Its callers lose their connections; callers of the
     other nodes receive complete answers, since another node takes over its
     targets."""
     with Cluster(base=base) as c:
@@ -403,7 +404,7 @@
 
 def test_caller_goes_away(base):
     """A caller closes its connection while its question waits for slow
-    targets. The requests are cancelled at the targets, by their own count."""
+    targets. The requests are cancelled at the targets, by their counters."""
     with Cluster(base=base) as c:
         c.set_targets("all", service_us=1000000)
         ip, port = c.nodes[0]["callers"].split(":")
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -415,7 +415,7 @@
 	return sim->nodes[node].paused_until;
 }
 
-/* Index of the next event; events at a frozen node wait until it runs. */
+/* Index of the next event; events at a paused node wait until it resumes. */
 static size_t earliest_event(struct sim *sim)
 {
 	struct sim_queue *queue = sim->queue;
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -64,8 +64,8 @@
  * struct sim_request_spec - a request and its caller
  * @query: end of the path
  * @caller: address of the caller
- * @poison: index in sim.deadly of a request that crashes each target that runs
- *          it, 0 for a harmless one
+ * @poison: index in sim.poison of a poison request, which crashes each target
+ *          that runs it; 0 for a harmless one
  */
 struct sim_request_spec {
 	const char *query;
@@ -74,7 +74,7 @@
 };
 
 /**
- * struct sim_poison - effects of a deadly request
+ * struct sim_poison - effects of a poison request
  * @crashes: targets that it has crashed
  * @third_crash_at: time of the third crash
  * @late: calls that reached targets more than SIM_CONVERGENCE_US after that
@@ -108,7 +108,7 @@
 
 /**
  * struct sim_node - a node of the tier
- * @fault_at: when a fault of this node last began or ended; runs of a deadly
+ * @fault_at: when a fault of this node last began or ended; runs of a poison
  *            request that it sends within SIM_CONVERGENCE_US of that are not
  *            counted as late
  */
@@ -181,6 +181,5 @@
 void sim_crash_target(struct sim *sim, int target);
 /** sim_run() - advance virtual time by @us */
 void sim_run(struct sim *sim, int64_t us);
-/** sim_run_until_ready() - run until all nodes are ready, at most ten seconds
- */
+/** sim_run_until_ready() - run until all nodes are ready, at most 10 s */
 void sim_run_until_ready(struct sim *sim);
--- a/tests/sim_internal.h
+++ b/tests/sim_internal.h
@@ -82,7 +82,7 @@
 void sim_store_replied(struct sim *sim, const struct sim_event *event);
 /** sim_request_arrived() - process a request at its target */
 void sim_request_arrived(struct sim *sim, const struct sim_event *event);
-/** sim_poison_run_ended() - crash the target that ran a deadly request */
+/** sim_poison_run_ended() - crash the target that ran a poison request */
 void sim_poison_run_ended(struct sim *sim, const struct sim_event *event);
 /** sim_target_restarted() - bring a target up again after a crash */
 void sim_target_restarted(struct sim *sim, int target);
--- a/tests/tier_process.py
+++ b/tests/tier_process.py
@@ -26,7 +26,7 @@
     await fleet.start_all()
     for target in fleet.targets:
         break_target(target)
-    # The node has seen the fault once when it handles the second request.
+    # The node has detected the fault once when it handles the second request.
     await fleet.send_request(0, kind, "warm-1")
     reply = await fleet.send_request(0, kind, "bad-1")
     assert reply[0] == status, reply
@@ -56,7 +56,7 @@
 
 def test_unknown_outcome_explained(port):
     """The reply is lost after the request ran: the caller receives 502, and
-    the log says that the request may have run."""
+    the log reports that the request may have run."""
     def break_target(target):
         target.drop_share = 1.0
     run_case(port + 1, "once", break_target, 502, "it may have run")
