--- a/bench/policy.c
+++ b/bench/policy.c
@@ -192,9 +192,9 @@
 }
 
 static void report(struct cluster *cluster, const struct scenario *scenario,
-		   const char *part, size_t from, uint64_t before)
+		   const char *part, size_t first_call, uint64_t started_before)
 {
-	size_t sent = cluster->ncalls - from;
+	size_t sent = cluster->ncalls - first_call;
 	double *latency = xcalloc(sent + 1, sizeof(*latency));
 	size_t answered = 0;
 	size_t complete = 0;
@@ -202,7 +202,7 @@
 	double coverage = 0;
 	uint64_t overruns;
 
-	for (size_t id = from; id < cluster->ncalls; id++) {
+	for (size_t id = first_call; id < cluster->ncalls; id++) {
 		const struct cluster_call *call = &cluster->calls[id];
 		json_t *doc;
 		double share;
@@ -230,7 +230,7 @@
 		       latency[answered / 2],
 		       latency[(size_t)(0.99 * (double)answered)],
 		       coverage / (double)answered,
-		       (double)(requests_started(cluster) - before) /
+		       (double)(requests_started(cluster) - started_before) /
 			       ((double)answered * TARGETS));
 	printf(",\"peak_cold\":%d", peak_cold(cluster, &overruns));
 	printf(",\"overruns\":%llu,\"goodput\":%.1f}\n",
@@ -244,8 +244,8 @@
 {
 	struct cluster *cluster = create_cluster(scenario);
 	struct scenario warmup = *scenario;
-	uint64_t before;
-	size_t from;
+	uint64_t started_before;
+	size_t first_call;
 
 	warmup.rate = scenario->plan_rate > 0 ? scenario->plan_rate / 4 : 20;
 	configure(cluster, scenario);
@@ -253,14 +253,14 @@
 	cluster_run(cluster, SECOND_US);
 	for (size_t i = 0; i < cluster->ntargets; i++)
 		cluster->targets[i].overruns = 0;
-	from = cluster->ncalls;
-	before = requests_started(cluster);
+	first_call = cluster->ncalls;
+	started_before = requests_started(cluster);
 	send_load(cluster, scenario, scenario->seconds * SECOND_US / 3);
 	apply_target_faults(cluster, scenario);
 	apply_node_faults(cluster, scenario);
 	send_load(cluster, scenario, scenario->seconds * SECOND_US * 2LL / 3);
 	cluster_run(cluster, SECOND_US);
-	report(cluster, scenario, part, from, before);
+	report(cluster, scenario, part, first_call, started_before);
 	cluster_destroy(cluster);
 }
 
--- a/tests/check_deadly.c
+++ b/tests/check_deadly.c
@@ -302,15 +302,16 @@
 	  0 },
 };
 
-static void check_complete(struct sim *sim, const struct other_case *o,
+static void check_complete(struct sim *sim, const struct other_case *other,
 			   int round)
 {
-	int index = send_call(sim, round, o->kind, &o->spec);
+	int index = send_call(sim, round, other->kind, &other->spec);
 	const struct sim_call *call = &sim->calls[index];
 
 	sim_run(sim, SECOND_US / 2);
 	ck_assert_msg(call->status == 200 && !call->missing,
-		      "%s: round %d: status %d", o->name, round, call->status);
+		      "%s: round %d: status %d", other->name, round,
+		      call->status);
 }
 
 /*
@@ -321,23 +322,23 @@
  */
 START_TEST(test_other_request_is_served)
 {
-	const struct other_case *o = &other_cases[_i];
-	const struct poison_case c = { .name = "beside", .kind = o->kind };
+	const struct other_case *other = &other_cases[_i];
+	const struct poison_case c = { .name = "beside", .kind = other->kind };
 	struct sim *sim = setup(NODES, 11);
 
 	for (int round = 0; round < ROUNDS; round++) {
 		send_poison_request(sim, &c, round, round);
 		sim_run(sim, BEFORE_CRASH_US);
-		for (int i = 0; i < NODES && round >= o->since_round; i++)
-			send_call(sim, i, o->kind, &o->spec);
-		for (int64_t t = 0; o->call_interval_us && t < ROUND_US / 2;
-		     t += o->call_interval_us) {
-			send_call(sim, sim->ncalls, o->kind, &o->spec);
-			sim_run(sim, o->call_interval_us);
+		for (int i = 0; i < NODES && round >= other->since_round; i++)
+			send_call(sim, i, other->kind, &other->spec);
+		for (int64_t t = 0; other->call_interval_us && t < ROUND_US / 2;
+		     t += other->call_interval_us) {
+			send_call(sim, sim->ncalls, other->kind, &other->spec);
+			sim_run(sim, other->call_interval_us);
 		}
 		sim_run(sim, ROUND_US / 2);
-		if (round >= o->since_round)
-			check_complete(sim, o, round);
+		if (round >= other->since_round)
+			check_complete(sim, other, round);
 		sim_run(sim, ROUND_US / 2);
 	}
 	ck_assert_int_le(sim->poison[1].late, LATE_RUNS_MAX);
