--- a/bench/reducer.c
+++ b/bench/reducer.c
@@ -489,8 +489,7 @@
 		if (!strcmp(bench, "records"))
 			bench_records(sizes[i]);
 	}
-	/* Same fan-out with more targets: to show that the cost does not grow.
-	 */
+	/* Same fan-out, more targets: shows that the cost does not grow. */
 	for (size_t i = 2; i < 5 && !strcmp(bench, "leafs"); i++)
 		bench_leafs(260, sizes[i]);
 	for (size_t i = 0; i < 4; i++) {
