--- a/bench/policy.c
+++ b/bench/policy.c
@@ -52,7 +52,7 @@
 	int receiving_nodes; /* nodes that receive questions, 0 for all */
 	bool kill_node; /* the last node is killed */
 	bool stop_node; /* the last node is stopped as planned */
-	bool kill_bucket_owner; /* of the customer's token bucket */
+	bool kill_bucket_owner; /* node that owns the customer's bucket */
 };
 
 static uint64_t seed = 1;
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -40,6 +40,11 @@
 	size_t ncalls;
 };
 
+/**
+ * struct scenario - the run of one seed: simulated cluster and its callers
+ * @violation: first violated invariant, empty if none
+ * @disturbed: node was paused, killed or stopped: may not answer in time
+ */
 struct scenario {
 	struct cluster *cluster;
 	struct rng rng;
@@ -49,7 +54,6 @@
 	size_t ncallers;
 	size_t questions;
 	char violation[160];
-	/* Paused, killed or stopped: may not answer in time. */
 	bool disturbed[CLUSTER_NODES_MAX];
 };
 
