--- a/tests/process.py
+++ b/tests/process.py
@@ -1,4 +1,4 @@
-"""Process tests: real nodes that are killed, cut off, frozen and stopped.
+"""Process tests: real nodes that are killed, cut off, paused and stopped.
 
 The checks use the replies to callers and the requests recorded by the targets.
 They wait for conditions and do not depend on speed.
@@ -42,7 +42,7 @@
     the shards. Each answer is complete, comes from one snapshot and reports
     the coverage of its rows; the load program checks every row."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 6)
+        load = start_load(c, 6)
         for version in (2, 3):
             time.sleep(1)
 
@@ -57,8 +57,8 @@
                         for s in newest["shards"] for half in (0, 1)]
                 fleet["snapshots"].insert(0, newest)
             c.publish_fleet(roll)
-        got = load_result(callers)
-        check(got["wrong"] == 0 and got["broken"] == 0, got)
+        result = load_result(load)
+        check(result["wrong"] == 0 and result["broken"] == 0, result)
         wait_for(lambda: c.ask()[1]["snapshot"] == 3, "snapshot 3 is used")
 
 
@@ -84,16 +84,16 @@
 
 def test_cold_start_under_load(base):
     """Every target restarts under load without notice and reports that it is
-    idle; each new connection costs 6 ms. By its own count, no target receives
-    two requests while it can take only one."""
+    idle; each new connection costs 6 ms. By their own counters, no target
+    receives two requests while it can take only one."""
     with Cluster(base=base, targets=["lie_idle=1", "connect_us=6000"]) as c:
-        callers = start_load(c, 8)
+        load = start_load(c, 8)
         time.sleep(3)
         for target in c.stats()["targets"]:
             c.set_targets(target["target"], restart=1)
             time.sleep(0.3)
-        got = load_result(callers)
-        check(got["wrong"] == 0, got)
+        result = load_result(load)
+        check(result["wrong"] == 0, result)
         stats = c.stats()["targets"]
         check(all(t["overruns"] == 0 for t in stats), stats)
 
@@ -103,7 +103,7 @@
     soon as the change is in force on one node. The other nodes receive it from
     that node, and the targets of the domain start no new work."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 8)
+        load = start_load(c, 8)
         time.sleep(1)
         c.publish_fleet(lambda f: f["domains"][1].update(state="out"))
         wait_for(lambda: any(c.status(n)["fleet"]["version"] == 2
@@ -116,16 +116,16 @@
         time.sleep(1)
         check(requests_started(c, "south") == before, "new work in the domain")
         check(requests_started(c, "north") > 0, "no work at all")
-        got = load_result(callers)
-        check(got["broken"] == 0 and got["wrong"] == 0, got)
+        result = load_result(load)
+        check(result["broken"] == 0 and result["wrong"] == 0, result)
 
 
 def test_frozen_node_wakes_with_old_view(base):
-    """A node is frozen (SIGSTOP) while a domain is taken out, with requests in
+    """A node is paused (SIGSTOP) while a domain is taken out, with requests in
     its sockets. When it resumes it confirms its view first, and sends nothing
     to that domain."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 3)
+        load = start_load(c, 3)
         c.signal("node1", signal.SIGSTOP)
         time.sleep(1)
         c.publish_fleet(lambda f: f["domains"][1].update(state="out"))
@@ -137,7 +137,7 @@
         c.signal("node1", signal.SIGCONT)
         wait_for(lambda: c.status(c.nodes[1])["fleet"]["version"] == 2,
                  "in force on the resumed node")
-        load_result(callers)
+        load_result(load)
         check(requests_started(c, "south") == before,
               "new work based on an old view")
         check(c.counters(c.nodes[1])["pauses"] >= 1, "pause not noticed")
@@ -218,7 +218,7 @@
 
 
 def test_entry_gate_frozen(base):
-    """All other nodes are frozen while entries wait for them. The callers
+    """All other nodes are paused while entries wait for them. The callers
     still receive an outcome, and no entry reported as "not run" runs when the
     nodes resume."""
     with Cluster(base=base) as c:
@@ -246,17 +246,18 @@
 
 
 def test_target_leaves_without_notice(base):
-    """A target reports that it drains while the VM list says live. Its own
-    report stops new work there, and the other replicas answer its shards."""
+    """A target reports that it drains while the fleet document lists it as
+    live. Its own report stops new work there, and the other replicas answer
+    its shards."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 4)
+        load = start_load(c, 4)
         time.sleep(1)
         c.set_targets("orders-0", draining=1)
         time.sleep(0.5)
         before = c.target_stats("orders-0")["started"]
-        got = load_result(callers)
+        result = load_result(load)
         check(c.target_stats("orders-0")["started"] == before, "new work")
-        check(got["coverage_min"] == 1 and got["wrong"] == 0, got)
+        check(result["coverage_min"] == 1 and result["wrong"] == 0, result)
 
 
 def test_rolling_stop_under_load(base):
@@ -273,27 +274,27 @@
             c.signal(f"node{i}", signal.SIGTERM)
             time.sleep(0.2)
             c.signal(f"node{i}", signal.SIGTERM)
-            for callers in (to_all, to_rest):
-                got = load_result(callers)
-                check(got["broken"] == 0 and not got["refused"], got)
-                check(got["wrong"] == 0, got)
-                check(got["answered"] == got["sent"], got)
+            for load in (to_all, to_rest):
+                result = load_result(load)
+                check(result["broken"] == 0 and not result["refused"], result)
+                check(result["wrong"] == 0, result)
+                check(result["answered"] == result["sent"], result)
             check(c.procs[f"node{i}"].wait(60) == 0, "exit code")
             c.start_node(i, wait=True)
             c.wait_for_members()
 
 
 def test_killed_node_under_load(base):
-    """A node is killed. Its own callers lose their connections; callers of the
+    """A node is killed. Its callers lose their connections; callers of the
     other nodes receive complete answers, since another node takes over its
     targets."""
     with Cluster(base=base) as c:
-        callers = start_load(c, 5, nodes=c.nodes[1:])
+        load = start_load(c, 5, nodes=c.nodes[1:])
         time.sleep(1)
         c.kill_node(0)
-        got = load_result(callers)
-        check(got["broken"] == 0 and got["wrong"] == 0, got)
-        check(got["answered"] == got["sent"], got)
+        result = load_result(load)
+        check(result["broken"] == 0 and result["wrong"] == 0, result)
+        check(result["answered"] == result["sent"], result)
 
 
 def test_new_node_beside_stale_platform(base):
@@ -372,8 +373,8 @@
         cases = [(b"{", 400, "bad_request"), (b"[]", 400, "bad_request"),
                  (b"x" * 100000, 413, "too_large")]
         for body, status, kind in cases:
-            got = http(node["callers"], "/v1/questions", body)
-            check(got[0] == status and got[1]["kind"] == kind, got)
+            reply = http(node["callers"], "/v1/questions", body)
+            check(reply[0] == status and reply[1]["kind"] == kind, reply)
         check(http(node["callers"], "/nowhere")[0] == 404, "path")
         ip, port = node["callers"].split(":")
         with socket.create_connection((ip, int(port))) as s:
@@ -403,7 +404,7 @@
 
 def test_caller_goes_away(base):
     """A caller closes its connection while its question waits for slow
-    targets. The requests are cancelled at the targets, by their own count."""
+    targets. The requests are cancelled at the targets, by their counters."""
     with Cluster(base=base) as c:
         c.set_targets("all", service_us=1000000)
         ip, port = c.nodes[0]["callers"].split(":")
@@ -422,11 +423,12 @@
     """A plan of ten requests per second over all nodes together. Requests over
     the plan are refused at once with an error kind and a time to retry."""
     with Cluster(base=base, limits={"rate": 10, "burst": 10}) as c:
-        got = [c.ask(i % 3) for i in range(60)]
-        refused = [a for s, a in got if s == 429]
+        replies = [c.ask(i % 3) for i in range(60)]
+        refused = [a for s, a in replies if s == 429]
         check(refused and all(a["kind"] == "over_plan" and
-                              a["retry_after_ms"] > 0 for a in refused), got)
-        check(sum(s == 200 for s, _ in got) <= 40, "too many admitted")
+                              a["retry_after_ms"] > 0 for a in refused),
+              replies)
+        check(sum(s == 200 for s, _ in replies) <= 40, "too many admitted")
 
 
 def test_command_line(base):
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -52,7 +52,7 @@
 	struct sim_node *n = &sim->nodes[node];
 
 	input.now = sim->now;
-	if (sim->now == n->frozen_until)
+	if (sim->now == n->paused_until)
 		input.queued_us = sim->now - n->last_event_at;
 	else
 		n->last_event_at = sim->now;
@@ -60,7 +60,7 @@
 	apply_effects(sim, node);
 }
 
-static int node_at(struct sim *sim, struct str addr)
+static int find_node(struct sim *sim, struct str addr)
 {
 	for (int i = 0; i < sim->nnodes; i++)
 		if (str_eq(addr, str_of(sim->nodes[i].addr)))
@@ -68,7 +68,7 @@
 	return -1;
 }
 
-static int64_t hop_us(struct sim *sim, int domain, int other)
+static int64_t network_delay_us(struct sim *sim, int domain, int other)
 {
 	int64_t us = domain == other ? SIM_NEAR_HOP_US : SIM_FAR_HOP_US;
 
@@ -89,7 +89,7 @@
 
 static void send_msg(struct sim *sim, int node, const struct flow_effect *fx)
 {
-	int to = node_at(sim, fx->addr);
+	int to = find_node(sim, fx->addr);
 	struct sim_event *event;
 	int64_t after;
 
@@ -103,7 +103,8 @@
 	}
 	if (sim->links_cut[node][to])
 		return;
-	after = hop_us(sim, sim->nodes[node].domain, sim->nodes[to].domain);
+	after = network_delay_us(sim, sim->nodes[node].domain,
+				 sim->nodes[to].domain);
 	event = sim_schedule(sim, ordered_delay_us(sim, node, to, after),
 			     SIM_EVENT_MSG, to);
 	event->from = node;
@@ -372,7 +373,7 @@
 		if (!event->id || event->incarnation != n->incarnation)
 			break;
 		if (event->crash)
-			sim_deadly_run_ended(sim, event);
+			sim_poison_run_ended(sim, event);
 		sim_deliver(sim, event->node,
 			    (struct flow_event){ .type = FLOW_REPLY,
 						 .id = event->id,
@@ -409,12 +410,12 @@
 	}
 }
 
-static int64_t node_frozen_until(const struct sim *sim, int node)
+static int64_t node_paused_until(const struct sim *sim, int node)
 {
-	return sim->nodes[node].frozen_until;
+	return sim->nodes[node].paused_until;
 }
 
-/* Index of the next event; events at a frozen node wait until it runs. */
+/* Index of the next event; events at a paused node wait until it resumes. */
 static size_t earliest_event(struct sim *sim)
 {
 	struct sim_queue *queue = sim->queue;
@@ -424,8 +425,8 @@
 		struct sim_event *event = &queue->list[i];
 
 		if (event->type < SIM_EVENT_ARRIVAL &&
-		    event->when < node_frozen_until(sim, event->node))
-			event->when = node_frozen_until(sim, event->node);
+		    event->when < node_paused_until(sim, event->node))
+			event->when = node_paused_until(sim, event->node);
 		if (best == SIZE_MAX || event->when < queue->list[best].when ||
 		    (event->when == queue->list[best].when &&
 		     event->order < queue->list[best].order))
@@ -444,8 +445,8 @@
 		if (!sim->nodes[i].up)
 			continue;
 		at = tier_wake_at(sim->nodes[i].tier);
-		if (at < node_frozen_until(sim, i))
-			at = node_frozen_until(sim, i);
+		if (at < node_paused_until(sim, i))
+			at = node_paused_until(sim, i);
 		if (best < 0 || at < *when) {
 			best = i;
 			*when = at;
@@ -486,7 +487,7 @@
 	sim->now = until;
 }
 
-void sim_settle(struct sim *sim)
+void sim_run_until_ready(struct sim *sim)
 {
 	for (int64_t waited = 0; waited < SETTLE_US; waited += 100000) {
 		int ready = 0;
@@ -501,8 +502,8 @@
 	sim_run(sim, 3000000);
 }
 
-int sim_call_with(struct sim *sim, int node, enum sim_request_kind kind,
-		  const struct sim_request_spec *spec)
+int sim_send_call_with(struct sim *sim, int node, enum sim_request_kind kind,
+		       const struct sim_request_spec *spec)
 {
 	static const char *const paths[] = { "/all/", "/strict/", "/one/",
 					     "/once/" };
@@ -513,7 +514,7 @@
 		.method = kind == SIM_ONCE ? STR("POST") : STR("GET"),
 		.host = STR("h"),
 		.caller = str_of(spec->caller),
-		.time_left_us = TIMEOUT_US,
+		.time_left_us = SIM_TIMEOUT_US,
 	};
 
 	snprintf(id, sizeof(id), "%d", index + 1);
@@ -521,8 +522,8 @@
 	request.request_id = str_of(id);
 	request.uri = str_of(uri);
 	sim->calls[index] = (struct sim_call){ .kind = kind,
-					       .start = sim->now,
-					       .deadly = spec->deadly };
+					       .sent_at = sim->now,
+					       .poison = spec->poison };
 	sim_deliver(sim, node,
 		    (struct flow_event){ .type = FLOW_REQUEST,
 					 .id = (uint64_t)index + 1,
@@ -530,8 +531,8 @@
 	return index;
 }
 
-int sim_call(struct sim *sim, int node, enum sim_request_kind kind)
+int sim_send_call(struct sim *sim, int node, enum sim_request_kind kind)
 {
-	return sim_call_with(sim, node, kind,
-			     &(struct sim_request_spec){ .query = "x" });
+	return sim_send_call_with(sim, node, kind,
+				  &(struct sim_request_spec){ .query = "x" });
 }
