--- a/bench/policy.c
+++ b/bench/policy.c
@@ -15,7 +15,7 @@
 #include "../front.h"
 #include "../member.h"
 #include "../quota.h"
-#include "../tests/mesh.h"
+#include "../tests/cluster.h"
 #include "../xmalloc.h"
 
 enum {
--- a/tests/check_deadly_serve.c
+++ b/tests/check_deadly_serve.c
@@ -7,7 +7,7 @@
 
 #include <check.h>
 
-#include "mesh.h"
+#include "cluster.h"
 #include "suite.h"
 
 enum {
--- a/tests/check_input.c
+++ b/tests/check_input.c
@@ -16,7 +16,7 @@
 #include "../target.h"
 #include "../timer.h"
 #include "../wire.h"
-#include "mesh.h"
+#include "cluster.h"
 #include "suite.h"
 
 /**
--- a/tests/check_points.c
+++ b/tests/check_points.c
@@ -21,7 +21,7 @@
 #include <check.h>
 #include <jansson.h>
 
-#include "mesh.h"
+#include "cluster.h"
 #include "suite.h"
 
 #include "../front.h"
--- a/tests/mesh.c
+++ b/tests/cluster.c
@@ -1,4 +1,4 @@
-#include "mesh.h"
+#include "cluster.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/fuzz.c
+++ b/tests/fuzz.c
@@ -14,7 +14,7 @@
 #include <apr_general.h>
 #include <jansson.h>
 
-#include "mesh.h"
+#include "cluster.h"
 #include "rows.h"
 
 #include "../xmalloc.h"
