--- a/config.c
+++ b/config.c
@@ -57,7 +57,7 @@
 static struct str parse_addr(struct json_input *in, json_t *doc,
 			     const char *key, apr_pool_t *pool)
 {
-	struct str addr = json_text(in, key, doc, key, ADDR_MAX);
+	struct str addr = json_get_string(in, key, doc, key, ADDR_MAX);
 
 	check_addr(in, key, addr);
 	return str_dup(pool, addr);
@@ -67,7 +67,7 @@
 			       const char *key, apr_pool_t *pool, size_t max,
 			       size_t *count)
 {
-	struct str *list = json_strings(in, key, doc, key, pool, count);
+	struct str *list = json_get_strings(in, key, doc, key, pool, count);
 
 	if (*count > max)
 		json_error_set(in, key, "has over %zu addresses", max);
@@ -96,8 +96,9 @@
 	config->log_level = STR("info");
 	if (!json_object_get(doc, "log_level"))
 		return;
-	config->log_level = str_dup(
-		config->pool, json_text(in, "log_level", doc, "log_level", 8));
+	config->log_level =
+		str_dup(config->pool,
+			json_get_string(in, "log_level", doc, "log_level", 8));
 	for (size_t i = 0; i < sizeof(levels) / sizeof(*levels); i++)
 		if (str_eq(config->log_level, str_of(levels[i])))
 			return;
@@ -116,8 +117,8 @@
 	config->peer = parse_addr(in, doc, "peer", config->pool);
 	config->callers = parse_addr(in, doc, "callers", config->pool);
 	config->operators = parse_addr(in, doc, "operators", config->pool);
-	config->domain = str_dup(config->pool,
-				 json_text(in, "domain", doc, "domain", 64));
+	config->domain = str_dup(
+		config->pool, json_get_string(in, "domain", doc, "domain", 64));
 	config->platforms =
 		parse_addrs(in, doc, "platforms", config->pool,
 			    CONFIG_MAX_PLATFORMS, &config->nplatforms);
@@ -126,11 +127,11 @@
 	if (json_object_get(doc, "peers"))
 		config->peers = parse_addrs(in, doc, "peers", config->pool,
 					    CONFIG_MAX_PEERS, &config->npeers);
-	config->max_open = (int)json_int_or(in, "max_open", doc, "max_open", 1,
-					    100000, 4000);
-	config->drain_us =
-		json_int_or(in, "drain_ms", doc, "drain_ms", 0, 600000, 30000) *
-		1000;
+	config->max_open = (int)json_get_int_or(in, "max_open", doc, "max_open",
+						1, 100000, 4000);
+	config->drain_us = json_get_int_or(in, "drain_ms", doc, "drain_ms", 0,
+					   600000, 30000) *
+			   1000;
 	parse_level(in, doc, config);
 	check_ports(in, config);
 }
--- a/doc.c
+++ b/doc.c
@@ -39,26 +39,26 @@
 			    struct lists *lists, json_t *obj, struct plan *plan)
 {
 	json_check_keys(in, path, obj, allowance_keys);
-	plan->name = str_dup(lists->pool,
-			     json_text(in, path, obj, "plan", DOC_NAME_MAX));
-	plan->indexes = json_strings(in, path, obj, "indexes", lists->pool,
-				     &plan->nindexes);
-	plan->entries = json_strings(in, path, obj, "entries", lists->pool,
-				     &plan->nentries);
-	plan->rate = json_real_or(in, path, obj, "rate", 0.01, 1e7, 100);
-	plan->burst = json_real_or(in, path, obj, "burst", 1, 1e7,
-				   plan->rate > 1 ? plan->rate : 1);
+	plan->name = str_dup(lists->pool, json_get_string(in, path, obj, "plan",
+							  DOC_NAME_MAX));
+	plan->indexes = json_get_strings(in, path, obj, "indexes", lists->pool,
+					 &plan->nindexes);
+	plan->entries = json_get_strings(in, path, obj, "entries", lists->pool,
+					 &plan->nentries);
+	plan->rate = json_get_real_or(in, path, obj, "rate", 0.01, 1e7, 100);
+	plan->burst = json_get_real_or(in, path, obj, "burst", 1, 1e7,
+				       plan->rate > 1 ? plan->rate : 1);
 	plan->deadline_us =
-		json_int(in, path, obj, "deadline_ms", 1, MAX_DEADLINE_MS) *
+		json_get_int(in, path, obj, "deadline_ms", 1, MAX_DEADLINE_MS) *
 		US_PER_MS;
 	plan->soft_us =
-		json_int_or(in, path, obj, "soft_ms", 1, MAX_DEADLINE_MS,
-			    plan->deadline_us / US_PER_MS) *
+		json_get_int_or(in, path, obj, "soft_ms", 1, MAX_DEADLINE_MS,
+				plan->deadline_us / US_PER_MS) *
 		US_PER_MS;
 	plan->coverage_floor =
-		json_real_or(in, path, obj, "coverage_floor", 0, 1, 1);
+		json_get_real_or(in, path, obj, "coverage_floor", 0, 1, 1);
 	plan->extra_load =
-		json_real_or(in, path, obj, "extra_load", 0, 1, 0.05);
+		json_get_real_or(in, path, obj, "extra_load", 0, 1, 0.05);
 	if (plan->soft_us > plan->deadline_us)
 		json_error_set(in, path, "soft_ms is over deadline_ms");
 }
@@ -71,8 +71,8 @@
 static void parse_allowances(struct json_input *in, struct lists *lists,
 			     json_t *doc, apr_hash_t *names)
 {
-	json_t *list =
-		json_list(in, "allowances", doc, "allowances", JSON_UNBOUNDED);
+	json_t *list = json_get_array(in, "allowances", doc, "allowances",
+				      JSON_UNBOUNDED);
 
 	lists->nplans = list ? json_array_size(list) : 0;
 	lists->plans = apr_pcalloc(lists->pool,
@@ -99,8 +99,8 @@
 	json_check_keys(in, path, obj, keys);
 
 	struct str customer =
-		json_text(in, path, obj, "customer", DOC_NAME_MAX);
-	struct str name = json_text(in, path, obj, "plan", DOC_NAME_MAX);
+		json_get_string(in, path, obj, "customer", DOC_NAME_MAX);
+	struct str name = json_get_string(in, path, obj, "plan", DOC_NAME_MAX);
 
 	if (in->err.code)
 		return;
@@ -124,7 +124,8 @@
 static void parse_customers(struct json_input *in, struct lists *lists,
 			    json_t *doc, apr_hash_t *names)
 {
-	json_t *list = json_list(in, "plans", doc, "plans", JSON_UNBOUNDED);
+	json_t *list =
+		json_get_array(in, "plans", doc, "plans", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	for (size_t i = 0; i < count && !in->err.code; i++) {
@@ -154,8 +155,8 @@
 		lists->customers = hash_make(pool);
 		lists->hash = str_hash(body);
 		json_check_keys(&in, "top", doc, keys);
-		lists->version = (uint64_t)json_int(&in, "top", doc, "version",
-						    1, INT64_MAX);
+		lists->version = (uint64_t)json_get_int(
+			&in, "top", doc, "version", 1, INT64_MAX);
 		names = hash_make(pool);
 		parse_allowances(&in, lists, doc, names);
 		parse_customers(&in, lists, doc, names);
@@ -191,7 +192,8 @@
 static bool parse_state(struct json_input *in, const char *path, json_t *obj,
 			const char *ordinary, const char *other)
 {
-	struct str state = json_text(in, path, obj, "state", DOC_NAME_MAX);
+	struct str state =
+		json_get_string(in, path, obj, "state", DOC_NAME_MAX);
 
 	if (str_eq(state, str_of(other)))
 		return true;
@@ -205,7 +207,8 @@
 			  json_t *doc)
 {
 	static const char *const keys[] = { "name", "state", NULL };
-	json_t *list = json_list(in, "domains", doc, "domains", JSON_UNBOUNDED);
+	json_t *list =
+		json_get_array(in, "domains", doc, "domains", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	fleet->domains =
@@ -219,7 +222,7 @@
 		json_check_keys(in, path, obj, keys);
 
 		struct str name =
-			json_text(in, path, obj, "name", DOC_NAME_MAX);
+			json_get_string(in, path, obj, "name", DOC_NAME_MAX);
 
 		if (fleet_domain(fleet, name))
 			json_error_set(in, path, "\"%.*s\" stands twice",
@@ -235,7 +238,8 @@
 static struct domain *parse_domain(struct json_input *in, const char *path,
 				   struct fleet *fleet, json_t *obj)
 {
-	struct str name = json_text(in, path, obj, "domain", DOC_NAME_MAX);
+	struct str name =
+		json_get_string(in, path, obj, "domain", DOC_NAME_MAX);
 	struct domain *domain = fleet_domain(fleet, name);
 
 	if (!domain)
@@ -248,7 +252,8 @@
 static struct str parse_addr(struct json_input *in, const char *path,
 			     struct fleet *fleet, json_t *obj)
 {
-	struct str addr = json_text(in, path, obj, "address", DOC_NAME_MAX);
+	struct str addr =
+		json_get_string(in, path, obj, "address", DOC_NAME_MAX);
 	const char *colon = addr.len ? memchr(addr.ptr, ':', addr.len) : NULL;
 
 	if (!colon || strspn(addr.ptr, "0123456789.:") < addr.len)
@@ -272,7 +277,7 @@
 {
 	static const char *const keys[] = { "address", "domain", "state",
 					    NULL };
-	json_t *list = json_list(in, "vms", doc, "vms", JSON_UNBOUNDED);
+	json_t *list = json_get_array(in, "vms", doc, "vms", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 	apr_hash_t *seen = hash_make(fleet->pool);
 
@@ -300,7 +305,8 @@
 	static const char *const keys[] = { "name",  "address", "domain",
 					    "state", "slots",	"connections",
 					    NULL };
-	json_t *list = json_list(in, "targets", doc, "targets", JSON_UNBOUNDED);
+	json_t *list =
+		json_get_array(in, "targets", doc, "targets", JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 	apr_hash_t *addrs = hash_make(fleet->pool);
 
@@ -314,16 +320,16 @@
 
 		snprintf(path, sizeof(path), "targets[%zu]", i);
 		json_check_keys(in, path, obj, keys);
-		target->name =
-			str_dup(fleet->pool,
-				json_text(in, path, obj, "name", DOC_NAME_MAX));
+		target->name = str_dup(
+			fleet->pool,
+			json_get_string(in, path, obj, "name", DOC_NAME_MAX));
 		target->key = str_hash(target->name);
 		target->addr = parse_addr(in, path, fleet, obj);
 		target->domain = parse_domain(in, path, fleet, obj);
 		target->leaving = parse_state(in, path, obj, "live", "leaving");
 		target->slots =
-			(int)json_int(in, path, obj, "slots", 1, MAX_SLOTS);
-		target->connections = (int)json_int(
+			(int)json_get_int(in, path, obj, "slots", 1, MAX_SLOTS);
+		target->connections = (int)json_get_int(
 			in, path, obj, "connections", 2, MAX_CONNECTIONS);
 		check_unique(in, path, names, target->name, target);
 		check_unique(in, path, addrs, target->addr, target);
@@ -333,7 +339,8 @@
 static void parse_replicas(struct json_input *in, const char *path, json_t *obj,
 			   apr_hash_t *names, struct shard *shard)
 {
-	json_t *list = json_list(in, path, obj, "replicas", DOC_MAX_REPLICAS);
+	json_t *list =
+		json_get_array(in, path, obj, "replicas", DOC_MAX_REPLICAS);
 	size_t count = list ? json_array_size(list) : 0;
 
 	for (size_t i = 0; i < count && !in->err.code; i++) {
@@ -403,14 +410,16 @@
 					    "weight", "replicas", NULL };
 
 	json_check_keys(in, path, obj, keys);
-	shard->id = (uint32_t)json_int(in, path, obj, "id", 1, UINT32_MAX);
-	shard->index = str_dup(fleet->pool,
-			       json_text(in, path, obj, "index", DOC_NAME_MAX));
-	shard->from = json_int(in, path, obj, "from", INT64_MIN, INT64_MAX);
-	shard->to = json_int(in, path, obj, "to", INT64_MIN, INT64_MAX);
+	shard->id = (uint32_t)json_get_int(in, path, obj, "id", 1, UINT32_MAX);
+	shard->index =
+		str_dup(fleet->pool,
+			json_get_string(in, path, obj, "index", DOC_NAME_MAX));
+	shard->from = json_get_int(in, path, obj, "from", INT64_MIN, INT64_MAX);
+	shard->to = json_get_int(in, path, obj, "to", INT64_MIN, INT64_MAX);
 	if (shard->to <= shard->from)
 		json_error_set(in, path, "\"to\" must be above \"from\"");
-	shard->weight = json_real_or(in, path, obj, "weight", 1e-9, 1e12, 1);
+	shard->weight =
+		json_get_real_or(in, path, obj, "weight", 1e-9, 1e12, 1);
 	parse_replicas(in, path, obj, names, shard);
 }
 
@@ -422,9 +431,9 @@
 
 	json_check_keys(in, path, obj, keys);
 	snap->version =
-		(uint64_t)json_int(in, path, obj, "version", 1, INT64_MAX);
+		(uint64_t)json_get_int(in, path, obj, "version", 1, INT64_MAX);
 
-	json_t *list = json_list(in, path, obj, "shards", JSON_UNBOUNDED);
+	json_t *list = json_get_array(in, path, obj, "shards", JSON_UNBOUNDED);
 
 	snap->nshards = list ? json_array_size(list) : 0;
 	snap->shards = apr_pcalloc(fleet->pool,
@@ -444,8 +453,8 @@
 static void parse_snapshots(struct json_input *in, struct fleet *fleet,
 			    json_t *doc, apr_hash_t *names)
 {
-	json_t *list =
-		json_list(in, "snapshots", doc, "snapshots", JSON_UNBOUNDED);
+	json_t *list = json_get_array(in, "snapshots", doc, "snapshots",
+				      JSON_UNBOUNDED);
 	size_t count = list ? json_array_size(list) : 0;
 
 	fleet->nsnapshots = count;
@@ -485,8 +494,8 @@
 		apr_hash_t *names = hash_make(pool);
 
 		json_check_keys(&in, "top", doc, keys);
-		fleet->version = (uint64_t)json_int(&in, "top", doc, "version",
-						    1, INT64_MAX);
+		fleet->version = (uint64_t)json_get_int(
+			&in, "top", doc, "version", 1, INT64_MAX);
 		parse_domains(&in, fleet, doc);
 		parse_vms(&in, fleet, doc);
 		parse_targets(&in, fleet, doc, names);
--- a/json.h
+++ b/json.h
@@ -19,42 +19,45 @@
 	struct error err;
 };
 
-/** json_error_set() - record an error at @place; only the first is kept. */
-void json_error_set(struct json_input *in, const char *place, const char *fmt,
-		    ...) __attribute__((format(printf, 3, 4)));
+/** json_error_set() - record an error at @location; only the first is kept. */
+void json_error_set(struct json_input *in, const char *location,
+		    const char *fmt, ...) __attribute__((format(printf, 3, 4)));
 
 /** json_parse() - parse @text; duplicate keys are an error. */
 json_t *json_parse(struct json_input *in, struct str text);
 
 /** json_check_keys() - every key of @obj must be in @known (NULL-ended). */
-void json_check_keys(struct json_input *in, const char *place, json_t *obj,
+void json_check_keys(struct json_input *in, const char *location, json_t *obj,
 		     const char *const *known);
 
 /*
  * Typed fields. A missing required field is an error; the functions with
  * @fallback return it instead if the field is absent.
  */
-int64_t json_int(struct json_input *in, const char *place, json_t *obj,
-		 const char *key, int64_t min, int64_t max);
-int64_t json_int_or(struct json_input *in, const char *place, json_t *obj,
-		    const char *key, int64_t min, int64_t max,
-		    int64_t fallback);
-double json_real_or(struct json_input *in, const char *place, json_t *obj,
-		    const char *key, double min, double max, double fallback);
+int64_t json_get_int(struct json_input *in, const char *location, json_t *obj,
+		     const char *key, int64_t min, int64_t max);
+int64_t json_get_int_or(struct json_input *in, const char *location,
+			json_t *obj, const char *key, int64_t min, int64_t max,
+			int64_t fallback);
+double json_get_real_or(struct json_input *in, const char *location,
+			json_t *obj, const char *key, double min, double max,
+			double fallback);
 /**
- * json_clamped() - a number whose range was validated elsewhere
+ * json_get_clamped() - a number whose range was validated elsewhere
  *
  * Return: the value clamped to @min and @max, or @fallback if the field is
  * absent; a field that is not a number is an error.
  */
-double json_clamped(struct json_input *in, const char *place, json_t *obj,
-		    const char *key, double min, double max, double fallback);
-/** json_text() - a string of 1 to @max bytes, or JSON_UNBOUNDED. */
-struct str json_text(struct json_input *in, const char *place, json_t *obj,
-		     const char *key, size_t max);
-/** json_list() - an array of up to @max items, or NULL after an error. */
-json_t *json_list(struct json_input *in, const char *place, json_t *obj,
-		  const char *key, size_t max);
-/** json_strings() - an array of unique strings, copied to @pool. */
-struct str *json_strings(struct json_input *in, const char *place, json_t *obj,
-			 const char *key, apr_pool_t *pool, size_t *count);
+double json_get_clamped(struct json_input *in, const char *location,
+			json_t *obj, const char *key, double min, double max,
+			double fallback);
+/** json_get_string() - a string of 1 to @max bytes, or JSON_UNBOUNDED. */
+struct str json_get_string(struct json_input *in, const char *location,
+			   json_t *obj, const char *key, size_t max);
+/** json_get_array() - an array of up to @max items, or NULL after an error. */
+json_t *json_get_array(struct json_input *in, const char *location, json_t *obj,
+		       const char *key, size_t max);
+/** json_get_strings() - an array of unique strings, copied to @pool. */
+struct str *json_get_strings(struct json_input *in, const char *location,
+			     json_t *obj, const char *key, apr_pool_t *pool,
+			     size_t *count);
--- a/request.c
+++ b/request.c
@@ -24,7 +24,7 @@
 static struct str parse_text(struct json_input *in, json_t *doc,
 			     const char *key, size_t max, apr_pool_t *pool)
 {
-	return str_dup(pool, json_text(in, key, doc, key, max));
+	return str_dup(pool, json_get_string(in, key, doc, key, max));
 }
 
 static struct str parse_optional_text(struct json_input *in, json_t *doc,
@@ -38,8 +38,8 @@
 
 static int64_t parse_deadline(struct json_input *in, json_t *doc)
 {
-	return json_int_or(in, "deadline_ms", doc, "deadline_ms", 1,
-			   MAX_DEADLINE_MS, 0) *
+	return json_get_int_or(in, "deadline_ms", doc, "deadline_ms", 1,
+			       MAX_DEADLINE_MS, 0) *
 	       US_PER_MS;
 }
 
@@ -57,8 +57,8 @@
 	if (!json_object_get(doc, "shards"))
 		return;
 
-	json_t *list =
-		json_list(in, "shards", doc, "shards", QUESTION_MAX_SHARDS);
+	json_t *list = json_get_array(in, "shards", doc, "shards",
+				      QUESTION_MAX_SHARDS);
 	size_t count = list ? json_array_size(list) : 0;
 
 	request->shards =
@@ -99,8 +99,9 @@
 						 REQUEST_NAME_MAX, pool);
 		request->terms = parse_optional_text(&in, doc, "terms",
 						     QUESTION_TERMS_MAX, pool);
-		request->indexes = json_strings(&in, "indexes", doc, "indexes",
-						pool, &request->nindexes);
+		request->indexes =
+			json_get_strings(&in, "indexes", doc, "indexes", pool,
+					 &request->nindexes);
 		if (!request->nindexes ||
 		    request->nindexes > QUESTION_MAX_INDEXES)
 			json_error_set(&in, "indexes", "must name 1 to %d",
@@ -119,7 +120,8 @@
 	json_t *action = json_object_get(doc, "entry");
 
 	request->index = parse_text(in, doc, "index", REQUEST_NAME_MAX, pool);
-	request->key = json_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
+	request->key =
+		json_get_int(in, "key", doc, "key", INT64_MIN, INT64_MAX);
 	request->deadline_us = parse_deadline(in, doc);
 	if (!json_is_object(action)) {
 		json_error_set(in, "entry", "must be an object");
--- a/tests/check_platform.c
+++ b/tests/check_platform.c
@@ -219,7 +219,7 @@
 
 START_TEST(test_keys)
 {
-	ck_assert_int_eq(platform_fact_kind(str_of(keys[_i].key)),
+	ck_assert_int_eq(platform_record_kind(str_of(keys[_i].key)),
 			 keys[_i].kind);
 }
 END_TEST
