--- a/command.c
+++ b/command.c
@@ -118,7 +118,8 @@
 	return EXIT_OK;
 }
 
-static int parse_without(const struct arg_str *names, uint32_t *without)
+static int parse_disabled_mechanisms(const struct arg_str *names,
+				     uint32_t *without)
 {
 	struct error err = { 0 };
 
@@ -154,7 +155,7 @@
 
 	if (code < 0 && list->count)
 		code = list_mechanisms();
-	else if (code < 0 && parse_without(names, &opt.without))
+	else if (code < 0 && parse_disabled_mechanisms(names, &opt.without))
 		code = EXIT_USAGE;
 	if (code < 0) {
 		opt.metrics_port =
--- a/edge.c
+++ b/edge.c
@@ -87,8 +87,8 @@
 
 /* Targets and the store. */
 
-static const char *decode_store(const struct edge *edge, struct str body,
-				struct store_reply *out, apr_pool_t *pool)
+static const char *decode_store_reply(const struct edge *edge, struct str body,
+				      struct store_reply *out, apr_pool_t *pool)
 {
 	const struct dialect *dialect = edge->dialect;
 	struct error err = { 0 };
@@ -114,7 +114,8 @@
 	if (reply->result != FETCH_OK)
 		store.why = fetch_result_text(reply->result);
 	else if (reply->status == 200)
-		store.why = decode_store(edge, reply->body, &decoded, pool);
+		store.why =
+			decode_store_reply(edge, reply->body, &decoded, pool);
 	else
 		store.why = reply->status == 429 ? "too many calls"
 						 : "it serves none now";
@@ -210,7 +211,7 @@
 	buf_free(&lines);
 }
 
-static void on_caller(void *ctx, struct http_request *req)
+static void on_caller_request(void *ctx, struct http_request *req)
 {
 	struct edge *edge = ctx;
 	const struct header_names *names = &edge->dialect->names;
@@ -248,14 +249,14 @@
 					    .id = req->id });
 }
 
-static void on_health(void *ctx, struct http_request *req)
+static void on_health_request(void *ctx, struct http_request *req)
 {
 	struct edge *edge = ctx;
 
 	http_respond_json(req, edge->ready ? 200 : 503, STR("{}"));
 }
 
-static void on_metrics(void *ctx, struct http_request *req)
+static void on_metrics_request(void *ctx, struct http_request *req)
 {
 	struct edge *edge = ctx;
 	struct buf out = { 0 };
@@ -496,17 +497,18 @@
 static int64_t wait_us(void *ctx)
 {
 	struct edge *edge = ctx;
-	int64_t left = tier_wake_at(edge->tier) - loop_now();
+	int64_t left_us = tier_wake_at(edge->tier) - loop_now();
 
-	return left > 0 ? left : 0;
+	return left_us > 0 ? left_us : 0;
 }
 
 static int listen_all(struct edge *edge, uint16_t metrics_port,
 		      uint64_t incarnation, struct error *err)
 {
-	struct http_handler callers = { on_caller, on_caller_gone, edge };
-	struct http_handler health = { on_health, NULL, edge };
-	struct http_handler metrics = { on_metrics, NULL, edge };
+	struct http_handler callers = { on_caller_request, on_caller_gone,
+					edge };
+	struct http_handler health = { on_health_request, NULL, edge };
+	struct http_handler metrics = { on_metrics_request, NULL, edge };
 	struct buf addr = { 0 };
 
 	buf_printf(&addr, "%.*s:%u", STR_ARG(edge->settings.ip),
@@ -565,13 +567,13 @@
 
 static void flush_answers(struct edge *edge)
 {
-	int64_t until = loop_now() + FLUSH_TIMEOUT_US;
+	int64_t deadline = loop_now() + FLUSH_TIMEOUT_US;
 
 	/*
 	 * Requests that arrive in the meantime are served as usual; the process
 	 * exits when none is open, or after FLUSH_TIMEOUT_US.
 	 */
-	while (http_open_requests(edge->callers) && loop_now() < until)
+	while (http_open_requests(edge->callers) && loop_now() < deadline)
 		loop_step(edge->loop);
 }
 
--- a/head.c
+++ b/head.c
@@ -25,7 +25,7 @@
 	{ "Date", 4 },
 };
 
-static bool name_is(struct str a, struct str b)
+static bool header_name_eq(struct str a, struct str b)
 {
 	return a.len == b.len && !strncasecmp(a.ptr, b.ptr, a.len);
 }
@@ -34,7 +34,7 @@
 {
 	for (size_t i = 0;
 	     i < sizeof(hop_by_hop_names) / sizeof(*hop_by_hop_names); i++)
-		if (name_is(name, hop_by_hop_names[i]))
+		if (header_name_eq(name, hop_by_hop_names[i]))
 			return true;
 	return false;
 }
@@ -48,9 +48,10 @@
 {
 	const struct header_names *names = &active_dialect->names;
 
-	return !is_hop_by_hop(name) && !name_is(name, names->request_id) &&
-	       !name_is(name, names->time_left) &&
-	       !name_is(name, names->expected);
+	return !is_hop_by_hop(name) &&
+	       !header_name_eq(name, names->request_id) &&
+	       !header_name_eq(name, names->time_left) &&
+	       !header_name_eq(name, names->expected);
 }
 
 static void add_line(struct buf *out, struct str name, struct str value)
@@ -92,8 +93,8 @@
 	buf_str_add(out, STR("\r\n"));
 }
 
-static struct str find_header(const struct upstream_reply *reply,
-			      struct str name)
+static struct str find_reply_header(const struct upstream_reply *reply,
+				    struct str name)
 {
 	return header_find(reply->headers, reply->nheaders, name);
 }
@@ -103,14 +104,15 @@
 {
 	char text[NUMBER_TEXT_MAX];
 	char *end;
-	double got;
+	double number;
 
 	if (!value.len || value.len >= sizeof(text))
 		return fallback;
 	memcpy(text, value.ptr, value.len);
 	text[value.len] = '\0';
-	got = strtod(text, &end);
-	return end == text || got < 0 || got > TIME_MAX_MS ? fallback : got;
+	number = strtod(text, &end);
+	return end == text || number < 0 || number > TIME_MAX_MS ? fallback
+								 : number;
 }
 
 int64_t head_parse_time_left(struct str value)
@@ -148,14 +150,15 @@
 				    .waiting = -1 };
 	if (reply->result != FETCH_OK)
 		return;
-	out->signature = find_header(reply, names->signature);
-	out->encoded = find_header(reply, STR("Content-Encoding")).len > 0;
+	out->signature = find_reply_header(reply, names->signature);
+	out->encoded =
+		find_reply_header(reply, STR("Content-Encoding")).len > 0;
 	out->wrong_target = reply->status == 421;
-	out->not_run =
-		out->wrong_target || find_header(reply, names->not_run).len > 0;
-	cold = find_header(reply, names->cold_left);
+	out->not_run = out->wrong_target ||
+		       find_reply_header(reply, names->not_run).len > 0;
+	cold = find_reply_header(reply, names->cold_left);
 	out->cold_us = head_parse_time_left(cold);
-	parse_load(find_header(reply, names->load), out);
+	parse_load(find_reply_header(reply, names->load), out);
 	out->body = reply->body;
 	for (size_t i = 0; i < reply->nheaders; i++)
 		if (!is_hop_by_hop(reply->headers[i].name))
--- a/http.c
+++ b/http.c
@@ -31,9 +31,9 @@
 	bool too_large;
 	int status;
 	struct buf uri;
-	char caller[INET_ADDRSTRLEN];
-	struct buf reply_headers;
-	struct buf reply;
+	char client_ip[INET_ADDRSTRLEN];
+	struct buf answer_headers;
+	struct buf answer_body;
 };
 
 struct http_server {
@@ -48,7 +48,7 @@
 	int quiesced_fd;
 };
 
-static uint64_t last_id;
+static uint64_t last_request_id;
 
 static void unwatch_client(struct pending *p)
 {
@@ -78,8 +78,8 @@
 		return;
 	p->answered = true;
 	p->status = status;
-	buf_str_add(&p->reply_headers, headers);
-	buf_str_add(&p->reply, body);
+	buf_str_add(&p->answer_headers, headers);
+	buf_str_add(&p->answer_body, body);
 	resume_connection(p);
 }
 
@@ -157,16 +157,16 @@
 	}
 }
 
-static enum MHD_Result queue_reply(struct pending *p)
+static enum MHD_Result queue_answer(struct pending *p)
 {
 	enum MHD_Result result;
 	struct MHD_Response *response;
 
 	if (p->aborted)
 		return MHD_NO;
-	response = MHD_create_response_from_buffer(p->reply.len, p->reply.ptr,
-						   MHD_RESPMEM_MUST_COPY);
-	add_headers(response, &p->reply_headers);
+	response = MHD_create_response_from_buffer(
+		p->answer_body.len, p->answer_body.ptr, MHD_RESPMEM_MUST_COPY);
+	add_headers(response, &p->answer_headers);
 	if (p->req.server->closing || p->too_large)
 		MHD_add_response_header(response, "Connection", "close");
 	result = MHD_queue_response(p->conn, (unsigned int)p->status, response);
@@ -175,7 +175,7 @@
 }
 
 /* The socket context of a connection is a flag, set by its first request. */
-static bool is_first(struct MHD_Connection *conn)
+static bool is_first_request(struct MHD_Connection *conn)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		conn, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
@@ -208,7 +208,7 @@
 	struct pending *p = xcalloc(1, sizeof(*p));
 
 	p->conn = conn;
-	p->req.id = ++last_id;
+	p->req.id = ++last_request_id;
 	p->req.server = server;
 	buf_str_add(&p->uri, str_of(uri));
 	server->open_requests++;
@@ -224,7 +224,7 @@
 	p->req.method = str_of(method);
 	p->req.path = str_of(path);
 	p->req.uri = buf_str(&p->uri);
-	p->req.first = is_first(p->conn);
+	p->req.first_on_connection = is_first_request(p->conn);
 	p->req.remaining_ms = remaining ? strtoll(remaining, NULL, 10) : -1;
 }
 
@@ -237,9 +237,10 @@
 		info ? (const struct sockaddr_in *)info->client_addr : NULL;
 
 	if (!from || from->sin_family != AF_INET ||
-	    !inet_ntop(AF_INET, &from->sin_addr, p->caller, sizeof(p->caller)))
+	    !inet_ntop(AF_INET, &from->sin_addr, p->client_ip,
+		       sizeof(p->client_ip)))
 		return (struct str){ 0 };
-	return str_of(p->caller);
+	return str_of(p->client_ip);
 }
 
 struct str http_header(struct http_request *req, struct str name)
@@ -323,7 +324,7 @@
 	if (!p->delivered)
 		deliver(p);
 	if (p->answered)
-		return queue_reply(p);
+		return queue_answer(p);
 	if (!p->suspended) {
 		p->suspended = true;
 		MHD_suspend_connection(conn);
@@ -347,14 +348,14 @@
 		server->handler.gone(server->handler.ctx, &p->req);
 	buf_free(&p->body);
 	buf_free(&p->uri);
-	buf_free(&p->reply_headers);
-	buf_free(&p->reply);
+	buf_free(&p->answer_headers);
+	buf_free(&p->answer_body);
 	free(p);
 	server->open_requests--;
 	*state = NULL;
 }
 
-static void run(void *ctx)
+static void run_daemon(void *ctx)
 {
 	struct http_server *server = ctx;
 	MHD_UNSIGNED_LONG_LONG ms = 1;
@@ -367,7 +368,7 @@
 	MHD_run(server->daemon);
 }
 
-static void on_ready(void *ctx, int events)
+static void on_epoll_ready(void *ctx, int events)
 {
 	struct http_server *server = ctx;
 
@@ -429,9 +430,9 @@
 	const union MHD_DaemonInfo *info =
 		MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
 
-	server->watch =
-		loop_add(loop, info->epoll_fd, APR_POLLIN, on_ready, server);
-	loop_hook(loop, (struct loop_hook){ run, wait_us, server });
+	server->watch = loop_add(loop, info->epoll_fd, APR_POLLIN,
+				 on_epoll_ready, server);
+	loop_hook(loop, (struct loop_hook){ run_daemon, wait_us, server });
 	return server;
 }
 
--- a/http.h
+++ b/http.h
@@ -17,7 +17,7 @@
  * @id: unique within the process
  * @method, @path, @body: as received
  * @uri: path and query of the request line
- * @first: first request on its connection
+ * @first_on_connection: first request on its connection
  * @remaining_ms: value of the X-Remaining-Ms header, -1 if absent
  */
 struct http_request {
@@ -26,7 +26,7 @@
 	struct str path;
 	struct str uri;
 	struct str body;
-	bool first;
+	bool first_on_connection;
 	int64_t remaining_ms;
 	struct http_server *server;
 };
--- a/loop.c
+++ b/loop.c
@@ -23,7 +23,7 @@
 	apr_socket_t *sock;
 	int events;
 	bool deleted;
-	void (*fn)(void *ctx, int events);
+	void (*callback)(void *ctx, int events);
 	void *ctx;
 	struct watch *next_deleted;
 };
@@ -95,14 +95,14 @@
 }
 
 struct watch *loop_add(struct loop *loop, int fd, int events,
-		       void (*fn)(void *ctx, int events), void *ctx)
+		       void (*callback)(void *ctx, int events), void *ctx)
 {
 	struct watch *watch = xcalloc(1, sizeof(*watch));
 	apr_os_sock_t raw = fd;
 
 	watch->loop = loop;
 	watch->events = events;
-	watch->fn = fn;
+	watch->callback = callback;
 	watch->ctx = ctx;
 	apr_pool_create(&watch->pool, loop->pool);
 	apr_os_sock_put(&watch->sock, &raw, watch->pool);
@@ -197,7 +197,7 @@
 		struct watch *watch = ready[i].client_data;
 
 		if (!watch->deleted)
-			watch->fn(watch->ctx, ready[i].rtnevents);
+			watch->callback(watch->ctx, ready[i].rtnevents);
 	}
 	for (int i = 0; i < loop->nhooks; i++)
 		if (loop->hooks[i].run)
--- a/loop.h
+++ b/loop.h
@@ -31,7 +31,7 @@
 void loop_destroy(struct loop *loop);
 /** loop_add() - watch @fd for @events, APR_POLLIN and APR_POLLOUT. */
 struct watch *loop_add(struct loop *loop, int fd, int events,
-		       void (*fn)(void *ctx, int events), void *ctx);
+		       void (*callback)(void *ctx, int events), void *ctx);
 void loop_set_events(struct watch *watch, int events);
 /** loop_del() - stop watching; safe within callbacks. */
 void loop_del(struct watch *watch);
--- a/reply.c
+++ b/reply.c
@@ -1,6 +1,6 @@
 #include "reply.h"
 
-static bool name_is(struct str a, struct str b)
+static bool header_name_eq(struct str a, struct str b)
 {
 	return a.len == b.len && !strncasecmp(a.ptr, b.ptr, a.len);
 }
@@ -9,7 +9,7 @@
 		       struct str name)
 {
 	for (size_t i = 0; i < count; i++)
-		if (name_is(headers[i].name, name))
+		if (header_name_eq(headers[i].name, name))
 			return headers[i].value;
 	return (struct str){ 0 };
 }
@@ -68,8 +68,8 @@
 	struct str echo = buf_str(&reply->echo);
 
 	for (size_t i = 0; i < reply->nheaders; i++)
-		if (name_is(span_str(reply, reply->names[i]),
-			    buf_str(&reply->echo_name)))
+		if (header_name_eq(span_str(reply, reply->names[i]),
+				   buf_str(&reply->echo_name)))
 			return echo.len &&
 			       !str_eq(span_str(reply, reply->values[i]), echo);
 	return false;
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -331,7 +331,8 @@
 	request->number = ++host->last_number;
 	request->job = (uint64_t)query_int(req, "job", 0);
 	request->is_entry = is_entry;
-	request->extra_us = req->first ? target->options.connect_us : 0;
+	request->extra_us =
+		req->first_on_connection ? target->options.connect_us : 0;
 	request->next = target->requests;
 	target->requests = request;
 	target->queued++;
--- a/timer.c
+++ b/timer.c
@@ -11,7 +11,7 @@
 	return a->order < b->order;
 }
 
-static void swap(struct timer *a, struct timer *b)
+static void swap_timers(struct timer *a, struct timer *b)
 {
 	struct timer tmp = *a;
 
@@ -22,7 +22,7 @@
 static void sift_up(struct timer *heap, size_t i)
 {
 	while (i && before(&heap[i], &heap[(i - 1) / 2])) {
-		swap(&heap[i], &heap[(i - 1) / 2]);
+		swap_timers(&heap[i], &heap[(i - 1) / 2]);
 		i = (i - 1) / 2;
 	}
 }
@@ -38,7 +38,7 @@
 				smallest = child;
 		if (smallest == i)
 			return;
-		swap(&heap[i], &heap[smallest]);
+		swap_timers(&heap[i], &heap[smallest]);
 		i = smallest;
 	}
 }
--- a/upstream.c
+++ b/upstream.c
@@ -282,7 +282,7 @@
 		conn_complete(conn, !conn->reply.closes_after && used == got);
 }
 
-static void on_conn(void *ctx, int events)
+static void on_conn_event(void *ctx, int events)
 {
 	struct conn *conn = ctx;
 
@@ -319,7 +319,7 @@
 	conn->fresh = true;
 	conn->state = CONN_CONNECTING;
 	reply_reset(&conn->reply);
-	conn->watch = loop_add(up->loop, fd, APR_POLLOUT, on_conn, conn);
+	conn->watch = loop_add(up->loop, fd, APR_POLLOUT, on_conn_event, conn);
 	conn->next = endpoint->conns;
 	endpoint->conns = conn;
 	return conn;
@@ -441,12 +441,12 @@
 void upstream_warm(struct upstream *up, struct str addr, int count)
 {
 	struct endpoint *endpoint = endpoint_get(up, addr);
-	int have = 0;
+	int available = 0;
 
 	for (struct conn *conn = endpoint->conns; conn; conn = conn->next)
 		if (conn->state != CONN_BUSY)
-			have++;
-	while (have++ < count) {
+			available++;
+	while (available++ < count) {
 		struct conn *conn = conn_open(up, endpoint);
 
 		if (!conn)
@@ -457,7 +457,7 @@
 
 /* Timeouts. */
 
-static void check_request(struct upstream *up, uint64_t id, int64_t now)
+static void check_deadlines(struct upstream *up, uint64_t id, int64_t now)
 {
 	struct conn *conn = apr_hash_get(up->in_flight, &id, sizeof(id));
 
@@ -496,7 +496,7 @@
 
 static void sweep_idle(struct upstream *up, int64_t now)
 {
-	struct endpoint *gone = NULL;
+	struct endpoint *stale = NULL;
 	apr_hash_index_t *it;
 
 	if (now < up->last_sweep_at + SWEEP_INTERVAL_US)
@@ -510,21 +510,21 @@
 		if (endpoint->conns)
 			endpoint->last_used_at = now;
 		else if (now - endpoint->last_used_at > ENDPOINT_RETENTION_US)
-			gone = endpoint;
+			stale = endpoint;
 	}
 	/* One per sweep: the table must not change while it is iterated. */
-	if (gone)
-		endpoint_free(up, gone);
+	if (stale)
+		endpoint_free(up, stale);
 }
 
-static void run(void *ctx)
+static void run_timers(void *ctx)
 {
 	struct upstream *up = ctx;
 	int64_t now = loop_now();
 	struct timer due;
 
 	while (timer_pop(&up->timers, now, &due))
-		check_request(up, due.id, now);
+		check_deadlines(up, due.id, now);
 	sweep_idle(up, now);
 }
 
@@ -549,7 +549,7 @@
 	up->handler = handler;
 	up->endpoints = hash_make(up->pool);
 	up->in_flight = hash_make(up->pool);
-	loop_hook(loop, (struct loop_hook){ run, wait_us, up });
+	loop_hook(loop, (struct loop_hook){ run_timers, wait_us, up });
 	return up;
 }
 
