--- a/audit.h
+++ b/audit.h
@@ -20,7 +20,7 @@
 };
 
 /**
- * audit_add() - append and log one line
+ * audit_add() - append and log one line.
  * @body: a JSON object, to which number and time are prepended
  */
 void audit_add(struct audit *audit, struct str body);
--- a/client.h
+++ b/client.h
@@ -3,10 +3,12 @@
 #include "error.h"
 
 /**
- * client_call() - blocking HTTP request, for the command line
- * @post: body of a POST; a GET when its ptr is NULL
+ * client_call() - send an HTTP request and wait for its reply.
+ * @post: body of a POST; a GET is sent if its ptr is NULL
  * @out: body of the reply
  *
+ * Blocks; for the command line.
+ *
  * Return: HTTP status, or ERR_IO with @err.
  */
 int client_call(struct str addr, const char *path, struct str post,
--- a/edge.c
+++ b/edge.c
@@ -23,7 +23,7 @@
 	SETTINGS_MAX_BYTES = 256 * 1024,
 	/* Applies until the configuration sets a limit. */
 	BODY_MAX_BYTES = 256 * 1024,
-	/* Of a page of the store, in addition to its largest value. */
+	/* Limit of a page of the store, besides its largest value. */
 	STORE_PAGE_MAX_BYTES = 4 * 1024 * 1024,
 	/* A value is up to this many times its decoded size on the wire. */
 	VALUE_ENCODING_FACTOR = 2,
@@ -39,7 +39,7 @@
 	FLUSH_TIMEOUT_US = 1500000,
 	/* Input may have arrived unread during a round longer than this. */
 	LONG_ROUND_US = 2000,
-	/* Callers notice a round this long; logged at most once a second. */
+	/* Callers notice a round this long; at most one a second is logged. */
 	SLOW_ROUND_US = 15000,
 	SLOW_ROUND_LOG_INTERVAL_US = 1000000,
 };
@@ -80,7 +80,7 @@
 	event.now = loop_now();
 	edge->event_counts[event.type]++;
 	tier_reduce(edge->tier, &event, &edge->fx);
-	/* Applying effects may dispatch; the outer call handles those. */
+	/* Effects may dispatch events; the outer call applies theirs too. */
 	if (!edge->applying_effects)
 		apply_effects(edge);
 }
@@ -445,8 +445,8 @@
 /* Main loop. */
 
 /*
- * A stalled node answers late for reasons that no request shows: it did not
- * get the processor, or it had too much to do in one round.
+ * A stalled node answers late for reasons that cannot be seen in any request:
+ * it did not get the processor, or it had too much to do in one round.
  */
 static void log_slow_round(struct edge *edge)
 {
--- a/edge.h
+++ b/edge.h
@@ -21,7 +21,7 @@
 };
 
 /**
- * edge_run() - serve until the planned stop
+ * edge_run() - serve until the planned stop.
  *
  * Return: the exit code of the process.
  */
--- a/head.h
+++ b/head.h
@@ -23,7 +23,7 @@
 void head_write_answer(const struct dialect *dialect,
 		       const struct flow_effect *fx, struct buf *out);
 /**
- * head_parse_time_left() - decode the header with a caller's remaining time
+ * head_parse_time_left() - decode the header with a caller's remaining time.
  *
  * Return: microseconds, or -1 if the header is absent or not a valid time.
  */
--- a/http.c
+++ b/http.c
@@ -100,7 +100,8 @@
 
 /*
  * MHD does not poll suspended connections. Without this watch a client that
- * closes would go unnoticed, and its requests to targets would run on unneeded.
+ * closes would go unnoticed, and its requests to targets would not be
+ * cancelled.
  */
 static void on_client_readable(void *ctx, int events)
 {
--- a/http.h
+++ b/http.h
@@ -6,8 +6,8 @@
 /**
  * DOC: HTTP server
  *
- * libmicrohttpd in the event loop. The handler gets complete requests and may
- * answer them at once or later.
+ * Runs libmicrohttpd in the event loop. The handler receives complete requests
+ * and may answer them at once or later.
  */
 
 struct http_server;
@@ -48,7 +48,7 @@
 				struct error *err);
 void http_respond_json(struct http_request *req, int status, struct str body);
 /**
- * http_respond() - answer a request
+ * http_respond() - answer a request.
  * @headers: header lines, "Name: value\r\n" each
  */
 void http_respond(struct http_request *req, int status, struct str headers,
--- a/json.h
+++ b/json.h
@@ -4,7 +4,7 @@
 
 #include "error.h"
 
-/** JSON_UNBOUNDED - no limit but the size of the document */
+/** JSON_UNBOUNDED - no limit except the size of the document. */
 #define JSON_UNBOUNDED SIZE_MAX
 
 /**
@@ -43,7 +43,7 @@
 			json_t *obj, const char *key, double min, double max,
 			double fallback);
 /**
- * json_get_clamped() - a number whose range was validated elsewhere
+ * json_get_clamped() - read a number whose range was validated elsewhere.
  *
  * Return: the value clamped to @min and @max, or @fallback if the field is
  * absent; a field that is not a number is an error.
@@ -51,13 +51,13 @@
 double json_get_clamped(struct json_input *in, const char *location,
 			json_t *obj, const char *key, double min, double max,
 			double fallback);
-/** json_get_string() - a string of 1 to @max bytes, or JSON_UNBOUNDED. */
+/** json_get_string() - read a string of 1 to @max bytes, or JSON_UNBOUNDED. */
 struct str json_get_string(struct json_input *in, const char *location,
 			   json_t *obj, const char *key, size_t max);
-/** json_get_array() - an array of up to @max items, or NULL after an error. */
+/** json_get_array() - read an array of up to @max items; NULL on error. */
 json_t *json_get_array(struct json_input *in, const char *location, json_t *obj,
 		       const char *key, size_t max);
-/** json_get_strings() - an array of unique strings, copied to @pool. */
+/** json_get_strings() - read an array of unique strings, copied to @pool. */
 struct str *json_get_strings(struct json_input *in, const char *location,
 			     json_t *obj, const char *key, apr_pool_t *pool,
 			     size_t *count);
--- a/log.h
+++ b/log.h
@@ -24,7 +24,7 @@
 	LOG_CLASS_DEBUG,
 };
 
-/** log_init() - @level: "error", "warn", "info" or "debug" */
+/** log_init() - open the log; @level: "error", "warn", "info" or "debug". */
 void log_init(struct str level);
 /** log_deinit() - flush, waiting briefly for the reader, and close the log. */
 void log_deinit(void);
--- a/loop.c
+++ b/loop.c
@@ -45,7 +45,7 @@
 {
 	struct timespec ts;
 
-	/* Includes time of VM suspension, as the peers' deadlines ran on. */
+	/* Includes VM suspension, as the peers' deadlines do not stop. */
 	clock_gettime(CLOCK_BOOTTIME, &ts);
 	return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
--- a/loop.h
+++ b/loop.h
@@ -45,7 +45,7 @@
 /** loop_round_start() - start of the current round, as of loop_now(). */
 int64_t loop_round_start(const struct loop *loop);
 /**
- * loop_pause_us() - length of a pause or suspension that ended just now
+ * loop_pause_us() - length of a pause or suspension that ended just now.
  *
  * Return: microseconds, 0 if there was none; input that is read now may be that
  * old.
--- a/metric.h
+++ b/metric.h
@@ -39,7 +39,7 @@
 /** enum latency_kind - histograms */
 enum latency_kind {
 	LATENCY_MERGED, /* questions over shards, from arrival to answer */
-	LATENCY_FORWARDED, /* requests to one target, likewise */
+	LATENCY_FORWARDED, /* requests to one target, from arrival to answer */
 	LATENCY_TARGET, /* good replies of targets, from sending the request */
 	LATENCY_KINDS,
 };
--- a/os.h
+++ b/os.h
@@ -16,7 +16,7 @@
 uint64_t os_random(void);
 
 /**
- * os_signalfd() - block @numbers and open a signalfd for them; ignore SIGPIPE
+ * os_signalfd() - block @numbers and open a signalfd for them; ignore SIGPIPE.
  * @count: length of @numbers
  *
  * Return: a non-blocking file descriptor.
@@ -27,7 +27,7 @@
 int os_signal_read(int fd);
 
 /**
- * os_socket() - open a non-blocking TCP socket for the "ip:port" @addr
+ * os_socket() - open a non-blocking TCP socket for the "ip:port" @addr.
  * @user_timeout_ms: TCP_USER_TIMEOUT; the connection fails if sent bytes stay
  *                   unacknowledged for this long, as a peer without power
  *                   sends no reset
--- a/reply.h
+++ b/reply.h
@@ -33,10 +33,11 @@
  * @text: header names and values, then the body
  * @body_offset: offset of the body in @text
  * @body_max: largest body accepted, bytes
- * @no_body: the reply has no body, whatever its head states
+ * @no_body: the reply has no body, whatever its headers state
  * @echo_name, @echo: name and expected value of a header that echoes the
  *                    request's id; a reply with another value belongs to an
- *                    earlier request. Not checked if the header is absent
+ *                    earlier request. Not checked if @echo is empty or the
+ *                    reply has no such header
  * @skip: this reply belongs to an earlier request
  * @done: the reply is complete
  * @closes_after: the sender closes the connection after this reply
@@ -62,12 +63,12 @@
 void reply_reset(struct reply *reply);
 void reply_free(struct reply *reply);
 /**
- * reply_parse() - parse bytes of the connection, up to the end of the reply
+ * reply_parse() - parse bytes of the connection, up to the end of the reply.
  *
  * Return: number of bytes parsed, or -1 if they are not an acceptable reply.
  */
 ssize_t reply_parse(struct reply *reply, const char *bytes, size_t len);
-/** reply_eof() - end of the connection; completes a reply without a length. */
+/** reply_eof() - handle end of stream, which ends a reply without a length. */
 void reply_eof(struct reply *reply);
 /** reply_headers() - fill @out, which has REPLY_HEADERS_MAX items. */
 void reply_headers(const struct reply *reply, struct header *out);
--- a/str.h
+++ b/str.h
@@ -19,7 +19,7 @@
 };
 
 #define STR(lit) ((struct str){ (lit), sizeof(lit) - 1 })
-/** Arguments for a "%.*s" conversion. */
+/** STR_ARG() - arguments for a "%.*s" conversion. */
 #define STR_ARG(s) (int)(s).len, (s).ptr ? (s).ptr : ""
 
 /**
@@ -49,11 +49,11 @@
 	return (struct str){ buf->ptr, buf->len };
 }
 
-/** str_hash() - 64 bit xxHash of the bytes; never 0, which means "none". */
+/** str_hash() - 64-bit xxHash of the bytes; never 0, which means "none". */
 uint64_t str_hash(struct str s);
 
 /**
- * hash_make() - hash table whose order depends only on its content
+ * hash_make() - create a hash table whose order depends only on its content.
  *
  * APR seeds its own hash function at random, so two runs over the same events
  * would iterate over a table, and send messages, in different orders.
--- a/upstream.c
+++ b/upstream.c
@@ -21,7 +21,8 @@
 	/*
 	 * Idle connections are closed this long after their last use. If the
 	 * peer states its own timeout in Keep-Alive, they are closed after the
-	 * given share of it, so that no request meets the peer's close.
+	 * given share of it, so that no request is sent while the peer
+	 * closes.
 	 */
 	IDLE_TIMEOUT_US = 1500000,
 	KEEP_ALIVE_SHARE_NUM = 7,
@@ -39,10 +40,10 @@
 
 /**
  * struct conn - one connection
- * @id: of the request in flight, 0 if there is none
+ * @id: id of the request in flight, 0 if there is none
  * @out, @sent: bytes of the request, and number of them sent
- * @reply: to the request in flight, as far as received
- * @fresh: no request has been answered on this connection
+ * @reply: reply to the request in flight, as far as received
+ * @fresh: no reply has been received on this connection
  * @reply_deadline: the request fails at this time
  * @read_timeout_us: each read extends @reply_deadline to this much from now,
  *                   but not beyond @total_deadline; 0: reads do not extend it
@@ -80,7 +81,7 @@
 	apr_pool_t *pool;
 	struct upstream_handler handler;
 	apr_hash_t *endpoints; /* hash of the address -> struct endpoint */
-	apr_hash_t *in_flight; /* request -> struct conn */
+	apr_hash_t *in_flight; /* request id -> struct conn */
 	struct timers timers;
 	int64_t last_sweep_at;
 };
--- a/upstream.h
+++ b/upstream.h
@@ -23,7 +23,7 @@
  *                    request's id; a reply with another value belongs to an
  *                    earlier request and is skipped. Not checked if @echo is
  *                    empty or the reply has no such header
- * @no_body: the reply has no body, whatever its head states
+ * @no_body: the reply has no body, whatever its headers state
  * @reply_max: largest reply body accepted, bytes; 0 for the default
  * @connect_timeout_us: timeout of the connection attempt
  * @timeout_us: timeout of the complete reply
@@ -70,9 +70,10 @@
 struct upstream *upstream_create(struct loop *loop,
 				 struct upstream_handler handler);
 /**
- * upstream_send() - send a request; strings are copied
+ * upstream_send() - send a request; strings are copied.
  *
- * The handler is called once, possibly before this returns.
+ * The handler is called once, possibly before this returns, unless the request
+ * is cancelled.
  */
 void upstream_send(struct upstream *up, const struct upstream_request *req);
 /** upstream_cancel() - close the connection without calling the handler. */
--- a/xmalloc.h
+++ b/xmalloc.h
@@ -6,8 +6,9 @@
  * DOC: allocation that cannot fail
  *
  * A node without memory cannot keep its guarantees by continuing with part of
- * its state. These wrappers print a message and abort, so that no caller needs
- * an error path. The supervisor of the VM starts a new incarnation.
+ * its state. These wrappers print a message and abort, so that no calling
+ * function needs an error path. The supervisor of the VM starts a new
+ * incarnation.
  */
 
 void *xmalloc(size_t size);
