--- a/counter.c
+++ b/counter.c
@@ -1,6 +1,6 @@
 #include "counter.h"
 
-static const char *const names[COUNTERS] = {
+static const char *const counter_names[COUNTERS] = {
 	[CNT_QUESTIONS] = "questions",
 	[CNT_ANSWERED] = "answered",
 	[CNT_COMPLETE] = "complete",
@@ -54,7 +54,7 @@
 {
 	buf_add(out, "{", 1);
 	for (int i = 0; i < COUNTERS; i++)
-		buf_printf(out, "%s\"%s\":%llu", i ? "," : "", names[i],
+		buf_printf(out, "%s\"%s\":%llu", i ? "," : "", counter_names[i],
 			   (unsigned long long)values[i]);
 	buf_add(out, "}", 1);
 }
--- a/error.c
+++ b/error.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-static const struct error_info infos[] = {
+static const struct error_info error_infos[] = {
 	[-ERR_NONE] = { "ok", 200, "" },
 	[-ERR_BAD_REQUEST] = { "bad_request", 400,
 			       "correct the named field and send it again" },
@@ -88,7 +88,7 @@
 {
 	if (code > 0 || code < ERR_LAST)
 		code = ERR_IO;
-	return &infos[-code];
+	return &error_infos[-code];
 }
 
 int error_set(struct error *err, int code, const char *fmt, ...)
--- a/http.c
+++ b/http.c
@@ -17,8 +17,8 @@
 	IDLE_TIMEOUT_S = 120,
 };
 
-/** struct pending - a request and its state in MHD */
-struct pending {
+/** struct pending_request - a request and its state in MHD */
+struct pending_request {
 	struct http_request req;
 	struct MHD_Connection *conn;
 	struct buf body;
@@ -50,7 +50,7 @@
 
 static uint64_t last_request_id;
 
-static void unwatch_client(struct pending *p)
+static void unwatch_client(struct pending_request *p)
 {
 	if (!p->watch)
 		return;
@@ -59,7 +59,7 @@
 	p->watch = NULL;
 }
 
-static void resume_connection(struct pending *p)
+static void resume_connection(struct pending_request *p)
 {
 	unwatch_client(p);
 	if (!p->suspended)
@@ -72,7 +72,7 @@
 void http_respond(struct http_request *req, int status, struct str headers,
 		  struct str body)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	if (p->answered)
 		return;
@@ -91,7 +91,7 @@
 
 void http_abort(struct http_request *req)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	p->answered = true;
 	p->aborted = true;
@@ -105,7 +105,7 @@
  */
 static void on_client_readable(void *ctx, int events)
 {
-	struct pending *p = ctx;
+	struct pending_request *p = ctx;
 	char byte;
 	ssize_t got = recv(p->dup_fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
@@ -126,7 +126,7 @@
 	resume_connection(p);
 }
 
-static void watch_client(struct pending *p)
+static void watch_client(struct pending_request *p)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -158,7 +158,7 @@
 	}
 }
 
-static enum MHD_Result queue_answer(struct pending *p)
+static enum MHD_Result queue_answer(struct pending_request *p)
 {
 	enum MHD_Result result;
 	struct MHD_Response *response;
@@ -206,7 +206,7 @@
 			     struct MHD_Connection *conn)
 {
 	struct http_server *server = ctx;
-	struct pending *p = xcalloc(1, sizeof(*p));
+	struct pending_request *p = xcalloc(1, sizeof(*p));
 
 	p->conn = conn;
 	p->req.id = ++last_request_id;
@@ -216,7 +216,7 @@
 	return p;
 }
 
-static void fill_request(struct pending *p, const char *method,
+static void fill_request(struct pending_request *p, const char *method,
 			 const char *path)
 {
 	const char *remaining = MHD_lookup_connection_value(
@@ -231,7 +231,7 @@
 
 struct str http_client_ip(struct http_request *req)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
 	const struct sockaddr_in *from =
@@ -246,7 +246,7 @@
 
 struct str http_header(struct http_request *req, struct str name)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	return str_of(MHD_lookup_connection_value(p->conn, MHD_HEADER_KIND,
 						  name.ptr));
@@ -272,7 +272,7 @@
 void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
 		       struct buf *out)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 	struct header_copy copy = { keep, out };
 
 	MHD_get_connection_values(p->conn, MHD_HEADER_KIND, copy_header, &copy);
@@ -283,7 +283,7 @@
 	server->max_body = max_body;
 }
 
-static void deliver(struct pending *p)
+static void deliver_request(struct pending_request *p)
 {
 	struct http_server *server = p->req.server;
 
@@ -307,7 +307,7 @@
 				  size_t *size, void **state)
 {
 	struct http_server *server = ctx;
-	struct pending *p = *state;
+	struct pending_request *p = *state;
 
 	(void)version;
 	if (!p->req.method.len) {
@@ -323,7 +323,7 @@
 		return MHD_YES;
 	}
 	if (!p->delivered)
-		deliver(p);
+		deliver_request(p);
 	if (p->answered)
 		return queue_answer(p);
 	if (!p->suspended) {
@@ -334,11 +334,12 @@
 	return MHD_YES;
 }
 
-static void on_completed(void *ctx, struct MHD_Connection *conn, void **state,
-			 enum MHD_RequestTerminationCode code)
+static void on_request_completed(void *ctx, struct MHD_Connection *conn,
+				 void **state,
+				 enum MHD_RequestTerminationCode code)
 {
 	struct http_server *server = ctx;
-	struct pending *p = *state;
+	struct pending_request *p = *state;
 
 	(void)conn;
 	(void)code;
@@ -414,7 +415,7 @@
 		MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, port, NULL, NULL,
 		on_request, server, MHD_OPTION_SOCK_ADDR, &sin,
 		MHD_OPTION_URI_LOG_CALLBACK, on_request_line, server,
-		MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
+		MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, server,
 		MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
 		MHD_OPTION_CONNECTION_MEMORY_LIMIT,
 		(size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_LIMIT,
@@ -437,9 +438,9 @@
 	return server;
 }
 
-struct str http_query(struct http_request *req, const char *key)
+struct str http_query_param(struct http_request *req, const char *key)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	return str_of(MHD_lookup_connection_value(p->conn,
 						  MHD_GET_ARGUMENT_KIND, key));
--- a/http.h
+++ b/http.h
@@ -64,8 +64,8 @@
 void http_set_max_body(struct http_server *server, size_t max_body);
 /** http_abort() - close the connection without an answer. */
 void http_abort(struct http_request *req);
-/** http_query() - value of a query parameter; empty if absent. */
-struct str http_query(struct http_request *req, const char *key);
+/** http_query_param() - value of a query parameter; empty if absent. */
+struct str http_query_param(struct http_request *req, const char *key);
 /** http_set_closing() - send "Connection: close" with each answer. */
 void http_set_closing(struct http_server *server, bool closing);
 /** http_quiesce() - accept no further connections. */
--- a/log.c
+++ b/log.c
@@ -18,7 +18,7 @@
 
 static log4c_category_t *category;
 static struct buf pending;
-static unsigned long dropped;
+static unsigned long dropped_lines;
 static char node_name[64];
 
 static const int priorities[] = {
@@ -52,7 +52,7 @@
 
 	(void)appender;
 	if (pending.len + line.len > LOG_BUFFER_MAX_BYTES)
-		dropped++;
+		dropped_lines++;
 	else
 		buf_str_add(&pending, line);
 	return (int)line.len;
@@ -83,10 +83,10 @@
 {
 	while (pending.len && write_chunk(0))
 		;
-	if (dropped && pending.len < LOG_BUFFER_MAX_BYTES / 2) {
-		unsigned long count = dropped;
+	if (dropped_lines && pending.len < LOG_BUFFER_MAX_BYTES / 2) {
+		unsigned long count = dropped_lines;
 
-		dropped = 0;
+		dropped_lines = 0;
 		log_msg(LOG_CLASS_WARN, "log",
 			"%lu lines dropped: standard output was not read",
 			count);
--- a/metric.c
+++ b/metric.c
@@ -6,7 +6,7 @@
 	const char *help;
 };
 
-static const struct metric_text texts[METRICS] = {
+static const struct metric_text metric_texts[METRICS] = {
 	[METRIC_ANSWERED] = { "answered", "answers with a success" },
 	[METRIC_PARTIAL] = { "partial", "successes that leave shards out" },
 	[METRIC_LATE] = { "late", "successes after the route's goal" },
@@ -91,8 +91,8 @@
 			   "# HELP wasabimoor_%s_total %s\n"
 			   "# TYPE wasabimoor_%s_total counter\n"
 			   "wasabimoor_%s_total %llu\n",
-			   texts[i].name, texts[i].help, texts[i].name,
-			   texts[i].name,
+			   metric_texts[i].name, metric_texts[i].help,
+			   metric_texts[i].name, metric_texts[i].name,
 			   (unsigned long long)metrics->counters[i]);
 	buf_str_add(out, STR("# TYPE wasabimoor_latency_seconds histogram\n"));
 	for (int i = 0; i < LATENCY_KINDS; i++)
--- a/tests/fake_platform.c
+++ b/tests/fake_platform.c
@@ -71,7 +71,7 @@
 
 static uint64_t query_hex(struct http_request *req, const char *key)
 {
-	struct str value = http_query(req, key);
+	struct str value = http_query_param(req, key);
 
 	return value.len ? strtoull(value.ptr, NULL, 16) : 0;
 }
@@ -79,7 +79,7 @@
 static int64_t query_int(struct http_request *req, const char *key,
 			 int64_t fallback)
 {
-	struct str value = http_query(req, key);
+	struct str value = http_query_param(req, key);
 
 	return value.len ? strtoll(value.ptr, NULL, 10) : fallback;
 }
--- a/tests/fake_targets.c
+++ b/tests/fake_targets.c
@@ -126,7 +126,7 @@
 static int64_t query_int(struct http_request *req, const char *key,
 			 int64_t fallback)
 {
-	struct str value = http_query(req, key);
+	struct str value = http_query_param(req, key);
 
 	return value.len ? strtoll(value.ptr, NULL, 10) : fallback;
 }
@@ -276,7 +276,7 @@
 			   ",\"rows\":[{\"shard\":%lld,\"version\":%lld,"
 			   "\"terms\":",
 			   (long long)shard, (long long)version);
-		buf_json_add(&out, http_query(req, "terms"));
+		buf_json_add(&out, http_query_param(req, "terms"));
 		buf_printf(&out, ",\"pad\":\"%*s\"}]}",
 			   (int)target->options.padding, "");
 	}
@@ -415,8 +415,8 @@
 
 static void set_targets(struct host *host, struct http_request *req)
 {
-	struct str name = http_query(req, "target");
-	struct str domain = http_query(req, "domain");
+	struct str name = http_query_param(req, "target");
+	struct str domain = http_query_param(req, "domain");
 
 	for (size_t i = 0; i < host->fleet->ntargets; i++) {
 		struct target *target = &host->targets[i];
