--- a/edge.c
+++ b/edge.c
@@ -23,7 +23,7 @@
 	SETTINGS_MAX_BYTES = 256 * 1024,
 	/* Applies until the configuration sets a limit. */
 	BODY_MAX_BYTES = 256 * 1024,
-	/* Of a page of the store, in addition to its largest value. */
+	/* Limit of a page of the store, besides its largest value. */
 	STORE_PAGE_MAX_BYTES = 4 * 1024 * 1024,
 	/* A value is up to this many times its decoded size on the wire. */
 	VALUE_ENCODING_FACTOR = 2,
@@ -39,7 +39,7 @@
 	FLUSH_TIMEOUT_US = 1500000,
 	/* Input may have arrived unread during a round longer than this. */
 	LONG_ROUND_US = 2000,
-	/* Callers notice a round this long; logged at most once a second. */
+	/* Callers notice a round this long; at most one a second is logged. */
 	SLOW_ROUND_US = 15000,
 	SLOW_ROUND_LOG_INTERVAL_US = 1000000,
 };
@@ -80,15 +80,15 @@
 	event.now = loop_now();
 	edge->event_counts[event.type]++;
 	tier_reduce(edge->tier, &event, &edge->fx);
-	/* Applying effects may dispatch; the outer call handles those. */
+	/* Effects may dispatch events; the outer call applies theirs too. */
 	if (!edge->applying_effects)
 		apply_effects(edge);
 }
 
 /* Targets and the store. */
 
-static const char *decode_store(const struct edge *edge, struct str body,
-				struct store_reply *out, apr_pool_t *pool)
+static const char *decode_store_reply(const struct edge *edge, struct str body,
+				      struct store_reply *out, apr_pool_t *pool)
 {
 	const struct dialect *dialect = edge->dialect;
 	struct error err = { 0 };
@@ -114,7 +114,8 @@
 	if (reply->result != FETCH_OK)
 		store.why = fetch_result_text(reply->result);
 	else if (reply->status == 200)
-		store.why = decode_store(edge, reply->body, &decoded, pool);
+		store.why =
+			decode_store_reply(edge, reply->body, &decoded, pool);
 	else
 		store.why = reply->status == 429 ? "too many calls"
 						 : "it serves none now";
@@ -210,7 +211,7 @@
 	buf_free(&lines);
 }
 
-static void on_caller(void *ctx, struct http_request *req)
+static void on_caller_request(void *ctx, struct http_request *req)
 {
 	struct edge *edge = ctx;
 	const struct header_names *names = &edge->dialect->names;
@@ -248,14 +249,14 @@
 					    .id = req->id });
 }
 
-static void on_health(void *ctx, struct http_request *req)
+static void on_health_request(void *ctx, struct http_request *req)
 {
 	struct edge *edge = ctx;
 
 	http_respond_json(req, edge->ready ? 200 : 503, STR("{}"));
 }
 
-static void on_metrics(void *ctx, struct http_request *req)
+static void on_metrics_request(void *ctx, struct http_request *req)
 {
 	struct edge *edge = ctx;
 	struct buf out = { 0 };
@@ -444,8 +445,8 @@
 /* Main loop. */
 
 /*
- * A stalled node answers late for reasons that no request shows: it did not
- * get the processor, or it had too much to do in one round.
+ * A stalled node answers late for reasons that cannot be seen in any request:
+ * it did not get the processor, or it had too much to do in one round.
  */
 static void log_slow_round(struct edge *edge)
 {
@@ -496,17 +497,18 @@
 static int64_t wait_us(void *ctx)
 {
 	struct edge *edge = ctx;
-	int64_t left = tier_wake_at(edge->tier) - loop_now();
+	int64_t left_us = tier_wake_at(edge->tier) - loop_now();
 
-	return left > 0 ? left : 0;
+	return left_us > 0 ? left_us : 0;
 }
 
 static int listen_all(struct edge *edge, uint16_t metrics_port,
 		      uint64_t incarnation, struct error *err)
 {
-	struct http_handler callers = { on_caller, on_caller_gone, edge };
-	struct http_handler health = { on_health, NULL, edge };
-	struct http_handler metrics = { on_metrics, NULL, edge };
+	struct http_handler callers = { on_caller_request, on_caller_gone,
+					edge };
+	struct http_handler health = { on_health_request, NULL, edge };
+	struct http_handler metrics = { on_metrics_request, NULL, edge };
 	struct buf addr = { 0 };
 
 	buf_printf(&addr, "%.*s:%u", STR_ARG(edge->settings.ip),
@@ -565,13 +567,13 @@
 
 static void flush_answers(struct edge *edge)
 {
-	int64_t until = loop_now() + FLUSH_TIMEOUT_US;
+	int64_t deadline = loop_now() + FLUSH_TIMEOUT_US;
 
 	/*
 	 * Requests that arrive in the meantime are served as usual; the process
 	 * exits when none is open, or after FLUSH_TIMEOUT_US.
 	 */
-	while (http_open_requests(edge->callers) && loop_now() < until)
+	while (http_open_requests(edge->callers) && loop_now() < deadline)
 		loop_step(edge->loop);
 }
 
--- a/http.c
+++ b/http.c
@@ -17,8 +17,8 @@
 	IDLE_TIMEOUT_S = 120,
 };
 
-/** struct pending - a request and its state in MHD */
-struct pending {
+/** struct pending_request - a request and its state in MHD */
+struct pending_request {
 	struct http_request req;
 	struct MHD_Connection *conn;
 	struct buf body;
@@ -31,9 +31,9 @@
 	bool too_large;
 	int status;
 	struct buf uri;
-	char caller[INET_ADDRSTRLEN];
-	struct buf reply_headers;
-	struct buf reply;
+	char client_ip[INET_ADDRSTRLEN];
+	struct buf answer_headers;
+	struct buf answer_body;
 };
 
 struct http_server {
@@ -48,9 +48,9 @@
 	int quiesced_fd;
 };
 
-static uint64_t last_id;
+static uint64_t last_request_id;
 
-static void unwatch_client(struct pending *p)
+static void unwatch_client(struct pending_request *p)
 {
 	if (!p->watch)
 		return;
@@ -59,7 +59,7 @@
 	p->watch = NULL;
 }
 
-static void resume_connection(struct pending *p)
+static void resume_connection(struct pending_request *p)
 {
 	unwatch_client(p);
 	if (!p->suspended)
@@ -72,14 +72,14 @@
 void http_respond(struct http_request *req, int status, struct str headers,
 		  struct str body)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	if (p->answered)
 		return;
 	p->answered = true;
 	p->status = status;
-	buf_str_add(&p->reply_headers, headers);
-	buf_str_add(&p->reply, body);
+	buf_str_add(&p->answer_headers, headers);
+	buf_str_add(&p->answer_body, body);
 	resume_connection(p);
 }
 
@@ -91,7 +91,7 @@
 
 void http_abort(struct http_request *req)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	p->answered = true;
 	p->aborted = true;
@@ -100,11 +100,12 @@
 
 /*
  * MHD does not poll suspended connections. Without this watch a client that
- * closes would go unnoticed, and its requests to targets would run on unneeded.
+ * closes would go unnoticed, and its requests to targets would not be
+ * cancelled.
  */
 static void on_client_readable(void *ctx, int events)
 {
-	struct pending *p = ctx;
+	struct pending_request *p = ctx;
 	char byte;
 	ssize_t got = recv(p->dup_fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
@@ -125,7 +126,7 @@
 	resume_connection(p);
 }
 
-static void watch_client(struct pending *p)
+static void watch_client(struct pending_request *p)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -157,16 +158,16 @@
 	}
 }
 
-static enum MHD_Result queue_reply(struct pending *p)
+static enum MHD_Result queue_answer(struct pending_request *p)
 {
 	enum MHD_Result result;
 	struct MHD_Response *response;
 
 	if (p->aborted)
 		return MHD_NO;
-	response = MHD_create_response_from_buffer(p->reply.len, p->reply.ptr,
-						   MHD_RESPMEM_MUST_COPY);
-	add_headers(response, &p->reply_headers);
+	response = MHD_create_response_from_buffer(
+		p->answer_body.len, p->answer_body.ptr, MHD_RESPMEM_MUST_COPY);
+	add_headers(response, &p->answer_headers);
 	if (p->req.server->closing || p->too_large)
 		MHD_add_response_header(response, "Connection", "close");
 	result = MHD_queue_response(p->conn, (unsigned int)p->status, response);
@@ -175,7 +176,7 @@
 }
 
 /* The socket context of a connection is a flag, set by its first request. */
-static bool is_first(struct MHD_Connection *conn)
+static bool is_first_request(struct MHD_Connection *conn)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		conn, MHD_CONNECTION_INFO_SOCKET_CONTEXT);
@@ -205,17 +206,17 @@
 			     struct MHD_Connection *conn)
 {
 	struct http_server *server = ctx;
-	struct pending *p = xcalloc(1, sizeof(*p));
+	struct pending_request *p = xcalloc(1, sizeof(*p));
 
 	p->conn = conn;
-	p->req.id = ++last_id;
+	p->req.id = ++last_request_id;
 	p->req.server = server;
 	buf_str_add(&p->uri, str_of(uri));
 	server->open_requests++;
 	return p;
 }
 
-static void fill_request(struct pending *p, const char *method,
+static void fill_request(struct pending_request *p, const char *method,
 			 const char *path)
 {
 	const char *remaining = MHD_lookup_connection_value(
@@ -224,27 +225,28 @@
 	p->req.method = str_of(method);
 	p->req.path = str_of(path);
 	p->req.uri = buf_str(&p->uri);
-	p->req.first = is_first(p->conn);
+	p->req.first_on_connection = is_first_request(p->conn);
 	p->req.remaining_ms = remaining ? strtoll(remaining, NULL, 10) : -1;
 }
 
 struct str http_client_ip(struct http_request *req)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		p->conn, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
 	const struct sockaddr_in *from =
 		info ? (const struct sockaddr_in *)info->client_addr : NULL;
 
 	if (!from || from->sin_family != AF_INET ||
-	    !inet_ntop(AF_INET, &from->sin_addr, p->caller, sizeof(p->caller)))
+	    !inet_ntop(AF_INET, &from->sin_addr, p->client_ip,
+		       sizeof(p->client_ip)))
 		return (struct str){ 0 };
-	return str_of(p->caller);
+	return str_of(p->client_ip);
 }
 
 struct str http_header(struct http_request *req, struct str name)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	return str_of(MHD_lookup_connection_value(p->conn, MHD_HEADER_KIND,
 						  name.ptr));
@@ -270,7 +272,7 @@
 void http_copy_headers(struct http_request *req, bool (*keep)(struct str name),
 		       struct buf *out)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 	struct header_copy copy = { keep, out };
 
 	MHD_get_connection_values(p->conn, MHD_HEADER_KIND, copy_header, &copy);
@@ -281,7 +283,7 @@
 	server->max_body = max_body;
 }
 
-static void deliver(struct pending *p)
+static void deliver_request(struct pending_request *p)
 {
 	struct http_server *server = p->req.server;
 
@@ -305,7 +307,7 @@
 				  size_t *size, void **state)
 {
 	struct http_server *server = ctx;
-	struct pending *p = *state;
+	struct pending_request *p = *state;
 
 	(void)version;
 	if (!p->req.method.len) {
@@ -321,9 +323,9 @@
 		return MHD_YES;
 	}
 	if (!p->delivered)
-		deliver(p);
+		deliver_request(p);
 	if (p->answered)
-		return queue_reply(p);
+		return queue_answer(p);
 	if (!p->suspended) {
 		p->suspended = true;
 		MHD_suspend_connection(conn);
@@ -332,11 +334,12 @@
 	return MHD_YES;
 }
 
-static void on_completed(void *ctx, struct MHD_Connection *conn, void **state,
-			 enum MHD_RequestTerminationCode code)
+static void on_request_completed(void *ctx, struct MHD_Connection *conn,
+				 void **state,
+				 enum MHD_RequestTerminationCode code)
 {
 	struct http_server *server = ctx;
-	struct pending *p = *state;
+	struct pending_request *p = *state;
 
 	(void)conn;
 	(void)code;
@@ -347,14 +350,14 @@
 		server->handler.gone(server->handler.ctx, &p->req);
 	buf_free(&p->body);
 	buf_free(&p->uri);
-	buf_free(&p->reply_headers);
-	buf_free(&p->reply);
+	buf_free(&p->answer_headers);
+	buf_free(&p->answer_body);
 	free(p);
 	server->open_requests--;
 	*state = NULL;
 }
 
-static void run(void *ctx)
+static void run_daemon(void *ctx)
 {
 	struct http_server *server = ctx;
 	MHD_UNSIGNED_LONG_LONG ms = 1;
@@ -367,7 +370,7 @@
 	MHD_run(server->daemon);
 }
 
-static void on_ready(void *ctx, int events)
+static void on_epoll_ready(void *ctx, int events)
 {
 	struct http_server *server = ctx;
 
@@ -412,7 +415,7 @@
 		MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, port, NULL, NULL,
 		on_request, server, MHD_OPTION_SOCK_ADDR, &sin,
 		MHD_OPTION_URI_LOG_CALLBACK, on_request_line, server,
-		MHD_OPTION_NOTIFY_COMPLETED, on_completed, server,
+		MHD_OPTION_NOTIFY_COMPLETED, on_request_completed, server,
 		MHD_OPTION_NOTIFY_CONNECTION, on_connection, server,
 		MHD_OPTION_CONNECTION_MEMORY_LIMIT,
 		(size_t)CONNECTION_MEMORY_BYTES, MHD_OPTION_CONNECTION_LIMIT,
@@ -429,15 +432,15 @@
 	const union MHD_DaemonInfo *info =
 		MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
 
-	server->watch =
-		loop_add(loop, info->epoll_fd, APR_POLLIN, on_ready, server);
-	loop_hook(loop, (struct loop_hook){ run, wait_us, server });
+	server->watch = loop_add(loop, info->epoll_fd, APR_POLLIN,
+				 on_epoll_ready, server);
+	loop_hook(loop, (struct loop_hook){ run_daemon, wait_us, server });
 	return server;
 }
 
-struct str http_query(struct http_request *req, const char *key)
+struct str http_query_param(struct http_request *req, const char *key)
 {
-	struct pending *p = (struct pending *)req;
+	struct pending_request *p = (struct pending_request *)req;
 
 	return str_of(MHD_lookup_connection_value(p->conn,
 						  MHD_GET_ARGUMENT_KIND, key));
--- a/http.h
+++ b/http.h
@@ -6,8 +6,8 @@
 /**
  * DOC: HTTP server
  *
- * libmicrohttpd in the event loop. The handler gets complete requests and may
- * answer them at once or later.
+ * Runs libmicrohttpd in the event loop. The handler receives complete requests
+ * and may answer them at once or later.
  */
 
 struct http_server;
@@ -17,7 +17,7 @@
  * @id: unique within the process
  * @method, @path, @body: as received
  * @uri: path and query of the request line
- * @first: first request on its connection
+ * @first_on_connection: first request on its connection
  * @remaining_ms: value of the X-Remaining-Ms header, -1 if absent
  */
 struct http_request {
@@ -26,7 +26,7 @@
 	struct str path;
 	struct str uri;
 	struct str body;
-	bool first;
+	bool first_on_connection;
 	int64_t remaining_ms;
 	struct http_server *server;
 };
@@ -48,7 +48,7 @@
 				struct error *err);
 void http_respond_json(struct http_request *req, int status, struct str body);
 /**
- * http_respond() - answer a request
+ * http_respond() - answer a request.
  * @headers: header lines, "Name: value\r\n" each
  */
 void http_respond(struct http_request *req, int status, struct str headers,
@@ -64,8 +64,8 @@
 void http_set_max_body(struct http_server *server, size_t max_body);
 /** http_abort() - close the connection without an answer. */
 void http_abort(struct http_request *req);
-/** http_query() - value of a query parameter; empty if absent. */
-struct str http_query(struct http_request *req, const char *key);
+/** http_query_param() - value of a query parameter; empty if absent. */
+struct str http_query_param(struct http_request *req, const char *key);
 /** http_set_closing() - send "Connection: close" with each answer. */
 void http_set_closing(struct http_server *server, bool closing);
 /** http_quiesce() - accept no further connections. */
