--- a/catalog.h
+++ b/catalog.h
@@ -49,7 +49,7 @@
  * @shares: services; more than one if requests are split by weight
  * @shards: services that each hold a part of the index; empty for routes
  *          without merging
- * @top_k: number of records in a merged answer
+ * @max_records: number of records in a merged answer
  * @min_coverage: fraction of the shards below which a merge fails
  */
 struct route {
@@ -65,7 +65,7 @@
 	size_t nshares;
 	uint64_t *shards;
 	size_t nshards;
-	size_t top_k;
+	size_t max_records;
 	double min_coverage;
 };
 
--- a/merge.c
+++ b/merge.c
@@ -515,7 +515,7 @@
 	call->state = state;
 	apr_pool_cleanup_register(call->pool, state, free_state,
 				  apr_pool_cleanup_null);
-	records_init(&state->records, route->top_k, call->pool);
+	records_init(&state->records, route->max_records, call->pool);
 	state->unreported = apr_palloc(
 		call->pool, (route->nshards + 1) * sizeof(*state->unreported));
 	call->soft_deadline =
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -211,7 +211,7 @@
 	ck_assert(!catalog->routes[1].idempotent);
 	ck_assert_uint_eq(catalog->routes[1].nshares, 2);
 	ck_assert_uint_eq(catalog->routes[2].nshards, 2);
-	ck_assert_uint_eq(catalog->routes[2].top_k, 5);
+	ck_assert_uint_eq(catalog->routes[2].max_records, 5);
 	ck_assert_int_eq(catalog->services[0].max_conns, 9);
 	ck_assert_int_eq(catalog->services[0].warmup_us, 3 * SECOND_US);
 	ck_assert_uint_eq(catalog->limits.body_bytes, 1000);
--- a/tests/sim_dialect.c
+++ b/tests/sim_dialect.c
@@ -75,7 +75,7 @@
 {
 	struct route *route = add_route(catalog, name);
 
-	route->top_k = TOP_K;
+	route->max_records = TOP_K;
 	route->min_coverage = min_coverage;
 	route->shards =
 		apr_pcalloc(catalog->pool, SIM_SHARDS * sizeof(uint64_t));
