--- a/msg.h
+++ b/msg.h
@@ -38,8 +38,8 @@
  *
  * SUSPECTS carries evidence against requests in @body and its digest in @hash;
  * @state requests a reply, and @ran that the receiver relay it. TRY requests
- * permission to try the suspect request with the fingerprint @hash, @hash2,
- * @key; TRY_REPLY grants it if @state is set.
+ * the lease for a trial of the suspect request with the fingerprint @hash,
+ * @hash2, @key; TRY_REPLY grants it if @state is set.
  */
 enum msg_kind {
 	MSG_NONE,
--- a/tests/check_load.c
+++ b/tests/check_load.c
@@ -31,7 +31,7 @@
  * @inject: called before each question, to set the faults at that time
  * @credit: minimum mean of the squared coverage by the goal
  * @failed: maximum percentage of questions without an answer
- * @extra: maximum hedges and retries, in percent of the first sends
+ * @extra: maximum hedges and retries, in percent of the first attempts
  * @small_vms: two of three VMs are too small to merge
  */
 struct pattern {
@@ -188,7 +188,7 @@
  * struct result - measured results
  * @credit: mean of the squared coverage by the goal
  * @failed: fraction of questions without an answer
- * @extra: hedges and retries, in percent of the first sends
+ * @extra: hedges and retries, in percent of the first attempts
  */
 struct result {
 	double credit;
--- a/tests/check_parts.c
+++ b/tests/check_parts.c
@@ -510,7 +510,7 @@
 /*
  * A shard queues for a target; one appears, gets the request when the call is
  * processed again, and fails. The call decides whether to use another target,
- * and may need another node's permission for it. If the shard kept its place in
+ * and may need the retry grant of another node. If the shard kept its place in
  * the queue, it would be sent to a second target at once, which together with
  * those of the other node would exceed the route's limit of targets.
  */
